--- a/control/src/main/java/weldhitch/control/fleet/Rollout.java
+++ b/control/src/main/java/weldhitch/control/fleet/Rollout.java
@@ -10,12 +10,14 @@
 import java.util.Set;
 
 /**
- * A change that goes over many instances in waves, one site after another, with a share of each site away at most. A wave
- * begins when all of the one before are ready again; the first that is not ends the rollout, and what was changed is
- * named so that it can be changed back.
+ * A rolling update of many instances in waves, one site after another, with a bounded fraction of each site
+ * unavailable at once. A wave starts when all instances of the previous one are ready again; the first that
+ * fails ends the rollout, and the updated instances are listed for a rollback.
+ *
+ * <p>Not thread-safe.
  */
 public final class Rollout {
-    /** Where it stands. */
+    /** The progress of a rollout. */
     public enum State { GOING, DONE, FAILED, STOPPED }
 
     private final Deque<List<String>> waves = new ArrayDeque<>();
@@ -25,9 +27,12 @@
     private String reason = "";
 
     /**
-     * @param fleet all instances: the share is of these, not of those that are to change
-     * @param targets those that are to change
-     * @param mostAway share of a site's instances, over 0 and up to 1, that may be away at once; one always may
+     * Plans the waves.
+     *
+     * @param fleet all instances: the fraction refers to these, not to the targets
+     * @param targets names of the instances to update
+     * @param mostAway fraction of a site's instances, above 0 and up to 1, that may be unavailable at once; one
+     *     instance always may
      */
     public Rollout(List<Instance> fleet, Set<String> targets, double mostAway) {
         if (!(mostAway > 0 && mostAway <= 1)) {
@@ -42,7 +47,7 @@
     }
 
     private void waves(List<Instance> site, Set<String> targets, double mostAway) {
-        // One that is away already and not to change takes a place for as long as the rollout goes.
+        // An instance that is unavailable already and is no target uses up capacity for the whole rollout.
         long awayAnyway = site.stream().filter(i -> !i.ready() && !targets.contains(i.name())).count();
         int size = (int) Math.max(1, Math.floor(mostAway * site.size() + 1e-9) - awayAnyway);
         List<String> wave = new ArrayList<>();
@@ -60,7 +65,10 @@
         }
     }
 
-    /** The next wave to change now; empty while one is under way and when it has ended. */
+    /**
+     * Starts the next wave and returns its instances; empty while a wave is in progress and after the rollout
+     * has ended.
+     */
     public List<String> next() {
         if (state != State.GOING || !away.isEmpty()) {
             return List.of();
@@ -71,14 +79,14 @@
         return wave;
     }
 
-    /** An instance of the wave is ready again, changed. */
+    /** Reports that an instance of the current wave is updated and ready again. */
     public void ready(String name) {
         if (away.remove(name) && away.isEmpty() && waves.isEmpty() && state == State.GOING) {
             state = State.DONE;
         }
     }
 
-    /** An instance of the wave did not change or did not come back. */
+    /** Reports that an instance of the current wave was not updated or did not become ready again. */
     public void failed(String name, String why) {
         if (away.contains(name) && state == State.GOING) {
             state = State.FAILED;
@@ -86,7 +94,7 @@
         }
     }
 
-    /** Begins no further wave; what is under way is not called back. */
+    /** Starts no more waves; the current wave is not cancelled. */
     public void stop(String why) {
         if (state == State.GOING) {
             state = State.STOPPED;
@@ -94,16 +102,20 @@
         }
     }
 
+    /** Returns the progress of the rollout. */
     public State state() {
         return state;
     }
 
-    /** Why it failed or was stopped; empty otherwise. */
+    /** Returns why the rollout failed or was stopped; empty otherwise. */
     public String reason() {
         return reason;
     }
 
-    /** Those that were changed or begun, the last first: the order in which to change them back. */
+    /**
+     * Returns the instances whose update was completed or started, the latest first: the order for a rollback.
+     * Empty unless the rollout failed.
+     */
     public List<String> toChangeBack() {
         List<String> back = new ArrayList<>(changed);
         java.util.Collections.reverse(back);
--- a/control/src/main/java/weldhitch/control/fleet/Selection.java
+++ b/control/src/main/java/weldhitch/control/fleet/Selection.java
@@ -5,21 +5,23 @@
 import java.util.Set;
 
 /**
- * Which instances are meant: all that meet every part given.
+ * Selects the instances that meet all given conditions. Immutable.
  *
- * @param name a glob over the whole name, {@code *} any letters, {@code ?} any one; null for any
+ * @param name a glob that matches the whole name, {@code *} any characters, {@code ?} exactly one; null for any
+ *     name
  * @param sites any of these; empty for all
  * @param tiers any of these; empty for all
  * @param labels all of these
  */
 public record Selection(String name, Set<String> sites, Set<Integer> tiers, Map<String, String> labels) {
+    /** Copies the collections. */
     public Selection {
         sites = Set.copyOf(sites);
         tiers = Set.copyOf(tiers);
         labels = Map.copyOf(labels);
     }
 
-    /** In the order given. */
+    /** Returns the matching instances in the order of the list. */
     public List<Instance> of(List<Instance> fleet) {
         return fleet.stream().filter(this::means).toList();
     }
@@ -30,7 +32,7 @@
             && labels.entrySet().stream().allMatch(l -> l.getValue().equals(i.labels().get(l.getKey())));
     }
 
-    /** Goes back to the last star only, so that its cost is the product of the lengths at most. */
+    /** Backtracks to the last star only, so that the cost is at most the product of the two lengths. */
     private static boolean glob(String pattern, int p, String text, int t) {
         int star = -1;
         int from = 0;
--- a/control/src/main/java/weldhitch/control/fleet/Supervision.java
+++ b/control/src/main/java/weldhitch/control/fleet/Supervision.java
@@ -4,8 +4,11 @@
 import java.util.Deque;
 
 /**
- * When to start an instance again that has ended by itself: after a wait that doubles with each end up to a bound, and
- * not at all once it ends too often, which no further start will mend. Times are nanoseconds of the caller's clock.
+ * Decides when to restart an instance that has exited by itself: after an exponential backoff up to a maximum,
+ * and not at all in a crash loop, which another restart will not fix. Times are nanoseconds of the caller's
+ * clock.
+ *
+ * <p>Not thread-safe.
  */
 public final class Supervision {
     private final long firstWait;
@@ -18,11 +21,13 @@
     private long startedAt;
 
     /**
-     * @param firstWait before the first start anew
-     * @param longestWait what doubling stops at
-     * @param calm how long it must have run for the wait to begin anew
-     * @param mostEnds so many ends ...
-     * @param within ... in this time are a crash loop
+     * Creates the backoff state of one instance.
+     *
+     * @param firstWait delay before the first restart
+     * @param longestWait maximum delay, where doubling stops
+     * @param calm how long the instance must run for the delay to be reset
+     * @param mostEnds this many exits ...
+     * @param within ... within this time are a crash loop
      */
     public Supervision(long firstWait, long longestWait, long calm, int mostEnds, long within) {
         if (firstWait <= 0 || longestWait < firstWait || calm <= 0 || mostEnds < 1 || within <= 0) {
@@ -35,11 +40,14 @@
         this.within = within;
     }
 
+    /** Records that the instance has started. */
     public void started(long now) {
         startedAt = now;
     }
 
-    /** It ended and was not told to. Returns how long to wait before the next start, or -1 for a crash loop. */
+    /**
+     * Records an exit that nobody requested. Returns the delay before the next restart, or -1 for a crash loop.
+     */
     public long ended(long now) {
         inARow = now - startedAt >= calm ? 1 : inARow + 1;
         ends.addLast(now);
@@ -53,7 +61,7 @@
         return doublings > 40 || firstWait > longestWait >> doublings ? longestWait : firstWait << doublings;
     }
 
-    /** An operator wants it tried again: what was counted is forgotten. */
+    /** Resets all counts, because an operator requests another attempt. */
     public void forgive() {
         ends.clear();
         inARow = 0;
--- a/control/src/main/java/weldhitch/control/fleet/package-info.java
+++ b/control/src/main/java/weldhitch/control/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions over many instances: which are meant, what may be taken away at once, when to start one again. */
+/** Decisions over many instances: selection, minimum capacity, rolling updates and restart backoff. */
 package weldhitch.control.fleet;
--- a/control/src/main/java/weldhitch/control/log/StateLog.java
+++ b/control/src/main/java/weldhitch/control/log/StateLog.java
@@ -14,15 +14,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * A file of states, each record a whole one, so that the last sound record is all that counts. A record is its length (4
- * bytes), the CRC32C of length and state (4) and the state, big-endian. {@link #write} returns once the state is on the
- * device; one that fails leaves the file as it was, and the state before it in force.
+ * An append-only file of states in which each record is a complete state, so that only the last valid record
+ * counts. A record is its length (4 bytes), the CRC32C of length and state (4) and the state, big-endian.
+ * {@link #write} returns once the state is on the device; a write that fails leaves the file as it was, and the
+ * previous state in force.
  *
- * <p>A record that ends before its length says was never acknowledged: it is cut off at the next open. One of full length
- * with a wrong checksum may have been, so the log says that it is {@link #suspect}. One process at a time holds the log.
+ * <p>A record that ends before its length says was never acknowledged: it is truncated at the next open. A
+ * record of full length with a wrong checksum may have been acknowledged, so the log is marked
+ * {@link #suspect}. One process at a time locks the log.
+ *
+ * <p>Not thread-safe.
  */
 public final class StateLog implements Closeable {
-    /** The longest state, in bytes. */
+    /** The maximum size of a state, in bytes. */
     public static final int LONGEST = 16 << 20;
     private static final int HEAD = 8;
 
@@ -45,10 +49,10 @@
     }
 
     /**
-     * Opens a log or begins one, readable by its owner alone.
+     * Opens a log or creates one, readable by its owner only.
      *
-     * @param compactAt bytes from which on the file is written anew with its last state alone
-     * @throws IOException also where another process holds it
+     * @param compactAt file size in bytes from which on the file is rewritten with its last state only
+     * @throws IOException also if another process has locked the log
      */
     public static StateLog open(Path file, long compactAt) throws IOException {
         return open(file, compactAt, new Device() { });
@@ -77,7 +81,7 @@
     }
 
     private void read() throws IOException {
-        // What a compaction that was broken off had begun.
+        // Left over from a compaction that was interrupted.
         Files.deleteIfExists(beside());
         boolean fresh = !Files.exists(file);
         channel = create(file, StandardOpenOption.CREATE);
@@ -106,7 +110,8 @@
         }
         cut = size - end;
         if (suspect && !Files.exists(mark())) {
-            // Kept beside before the bytes are cut off: the next open must not take the file for whole.
+            // The marker is created before the bytes are truncated: the next open must not take the file for
+            // intact.
             create(mark(), StandardOpenOption.CREATE).close();
             syncDirectory();
         }
@@ -127,33 +132,34 @@
         return bytes.flip();
     }
 
-    /** The last state; null where there is none. */
+    /** Returns the last state; null if there is none. */
     public byte[] state() {
         return state == null ? null : state.clone();
     }
 
-    /** Bytes that were cut off at the open. */
+    /** Returns how many bytes were truncated at the open. */
     public long cut() {
         return cut;
     }
 
     /**
-     * Whether what was cut off, now or at an open before, may have been acknowledged: whoever goes on from here may have
-     * forgotten something. A file beside the log, named {@code .suspect}, says so until someone takes it away.
+     * Whether bytes that were truncated, now or at an earlier open, may have been acknowledged: a process that
+     * continues from here may have lost a state. A file next to the log, named {@code .suspect}, records this
+     * until an administrator deletes it.
      */
     public boolean suspect() {
         return suspect;
     }
 
-    /** Bytes in the file. */
+    /** Returns the size of the file in bytes. */
     public long size() {
         return end;
     }
 
     /**
-     * Puts the state on the device.
+     * Appends the state and syncs it to the device.
      *
-     * @throws IOException where that fails; the state before stays, here and after an open
+     * @throws IOException if that fails; the previous state stays in force, here and after a reopen
      */
     public void write(byte[] next) throws IOException {
         if (next.length > LONGEST) {
@@ -186,7 +192,10 @@
         }
     }
 
-    /** The file anew, by a rename: at each moment there is one whole file. A failure leaves the long one, which is sound. */
+    /**
+     * Rewrites the file and replaces it by a rename, so that there is a complete file at any moment. After a
+     * failure the long file, which is valid, stays in use.
+     */
     private void compact(ByteBuffer record) {
         try {
             FileChannel shorter = create(beside(), StandardOpenOption.CREATE_NEW);
@@ -204,23 +213,24 @@
             try {
                 syncDirectory();
             } catch (IOException e) {
-                // A crash might bring the longer file back, without what is written from here on.
+                // A crash might bring the longer file back, without the records written from here on.
                 broken = true;
             }
             longer.close();
         } catch (IOException e) {
-            // The file in use is whole, long or short; a long one is tried again at the next write.
+            // The file in use is complete, whether long or short; the compaction of a long one is retried at
+            // the next write.
         }
     }
 
-    /** What a log asks of the machine, which may refuse it. */
+    /** The operations of a storage device that may fail; tests replace it to inject faults. */
     interface Device {
-        /** Writes a record and puts it on the device. */
+        /** Writes a record and syncs it to the device. */
         default void append(FileChannel to, ByteBuffer record, long at) throws IOException {
             StateLog.append(to, record, at);
         }
 
-        /** Puts the names of a directory's files on the device. */
+        /** Syncs a directory's entries to the device. */
         default void sync(Path directory) throws IOException {
             try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
                 channel.force(true);
@@ -236,7 +246,7 @@
         to.force(true);
     }
 
-    /** There for as long as the log is suspect. */
+    /** Exists for as long as the log is suspect. */
     private Path mark() {
         return file.resolveSibling(file.getFileName() + ".suspect");
     }
--- a/control/src/main/java/weldhitch/control/log/package-info.java
+++ b/control/src/main/java/weldhitch/control/log/package-info.java
@@ -1,2 +1,2 @@
-/** What an agent must not forget, on disk. */
+/** A log on disk for state that must survive a crash. */
 package weldhitch.control.log;
--- a/control/src/main/java/weldhitch/control/order/Acceptor.java
+++ b/control/src/main/java/weldhitch/control/order/Acceptor.java
@@ -5,45 +5,54 @@
 import weldhitch.control.order.Reply.*;
 
 /**
- * An agent's part in deciding one order after another: an acceptor of Paxos (Lamport, "Paxos Made Simple", 2001, section
- * 2.2) for each generation, which forgets a generation when the next one begins. Whoever proposes in a generation has
- * seen the one before decided, so nothing is lost by that.
+ * An acceptor of Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2) that runs one instance per generation
+ * and discards an instance when the next one starts. A proposer of a generation has seen the previous one
+ * committed, so nothing is lost by that.
  *
- * <p>What it answers holds only once its {@link Kept} state is on disk: write first, then answer.
+ * <p>A reply is valid only once the {@link Kept} state is on disk: write first, then reply.
+ *
+ * <p>Not thread-safe.
  */
 public final class Acceptor {
     /**
-     * What must survive a crash.
+     * The state that must survive a crash. Immutable; written to the state log before a reply is sent.
      *
-     * @param decided the last epoch known to be decided
-     * @param generation the generation that promised and taken are of
+     * @param decided the last state known to be committed
+     * @param generation the generation that the promise and the accepted value belong to
+     * @param promised the highest ballot promised, null for none
+     * @param takenBallot the ballot of the accepted value, null for none
+     * @param taken the accepted value, null for none
      */
     public record Kept(Epoch decided, long generation, Ballot promised, Ballot takenBallot, Epoch taken) {
+        /** The state of an acceptor that has never received a message. */
         public static final Kept FIRST = new Kept(Epoch.FIRST, 1, null, null, null);
     }
 
     private final String name;
     private Kept kept;
 
+    /** Creates an acceptor that continues from the given state. */
     public Acceptor(String name, Kept kept) {
         this.name = name;
         this.kept = kept;
     }
 
+    /** Returns the state to write to disk before the last reply is sent. */
     public Kept kept() {
         return kept;
     }
 
-    /** What is in force. */
+    /** Returns the last state known to be committed. */
     public Epoch decided() {
         return kept.decided();
     }
 
-    /** Whether something was promised or taken that has not come to an end. */
+    /** Whether a promise or an accepted value of the current generation is not yet committed. */
     public boolean open() {
         return kept.generation() > kept.decided().generation() && kept.promised() != null;
     }
 
+    /** Handles a message and returns the reply, which may be sent once the state is on disk. */
     public Reply on(Message message) {
         long generation = message.generation();
         if (message instanceof Decide decide) {
@@ -78,7 +87,7 @@
         return kept.promised() != null && ballot.compareTo(kept.promised()) < 0;
     }
 
-    /** Takes over what another knows to be decided. */
+    /** Adopts a state that another acceptor knows to be committed. */
     public void learn(Epoch epoch) {
         if (epoch.generation() > kept.decided().generation()) {
             kept = epoch.generation() >= kept.generation() ? new Kept(epoch, epoch.generation() + 1, null, null, null)
@@ -86,7 +95,7 @@
         }
     }
 
-    /** A proposer that brings the open generation to an end, in the name of this agent. */
+    /** Returns a proposer that completes the open generation on behalf of this acceptor. */
     public Proposer recovery(List<String> agents, long round) {
         return new Proposer(name, agents, kept.decided(), Order.nothing(name), round);
     }
--- a/control/src/main/java/weldhitch/control/order/Ballot.java
+++ b/control/src/main/java/weldhitch/control/order/Ballot.java
@@ -1,6 +1,6 @@
 package weldhitch.control.order;
 
-/** Orders the proposals of one generation: by round, then by the proposer's name, which no two share. */
+/** A ballot number of Paxos: ordered by round, then by the proposer's name, which must be unique. Immutable. */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
     @Override
     public int compareTo(Ballot other) {
--- a/control/src/main/java/weldhitch/control/order/Message.java
+++ b/control/src/main/java/weldhitch/control/order/Message.java
@@ -1,15 +1,15 @@
 package weldhitch.control.order;
 
-/** What proposers tell agents, and agents each other. */
+/** The Paxos messages that proposers send to acceptors, and acceptors to each other. Immutable. */
 public sealed interface Message {
-    /** The generation that it is about. */
+    /** The generation that the message belongs to. */
     long generation();
 
-    /** Asks for the promise to take no lower ballot. */
+    /** Phase 1a: requests the promise to accept no lower ballot. */
     record Prepare(long generation, Ballot ballot) implements Message {
     }
 
-    /** Asks to take this epoch. */
+    /** Phase 2a: requests to accept this state. */
     record Propose(Ballot ballot, Epoch epoch) implements Message {
         @Override
         public long generation() {
@@ -17,7 +17,7 @@
         }
     }
 
-    /** This epoch is decided. */
+    /** Announces that this state is committed. */
     record Decide(Epoch epoch) implements Message {
         @Override
         public long generation() {
--- a/control/src/main/java/weldhitch/control/order/Proposer.java
+++ b/control/src/main/java/weldhitch/control/order/Proposer.java
@@ -7,26 +7,29 @@
 import weldhitch.control.order.Reply.*;
 
 /**
- * Brings one order to its decision (a proposer of Paxos): the generation after the one that its operator has seen. It ends
- * with that generation decided, by this order or by another, or without a majority of the agents. An order that others had
- * begun is finished in its stead, so that one whose operator died is not left half done.
+ * A Paxos proposer that brings one command to a decision, in the generation after the one that its operator has
+ * seen. It ends with that generation committed, by this command or by another one, or stays pending without a
+ * majority of the acceptors. A command that another proposer had started is completed instead of this one, so
+ * that a proposal whose operator crashed does not stay incomplete.
+ *
+ * <p>Not thread-safe; its owner sends the returned messages to all acceptors.
  */
 public final class Proposer {
-    /** How it ended, or that it has not. */
+    /** The result so far. */
     public sealed interface Outcome {
     }
 
-    /** Not yet. */
+    /** No decision yet. */
     public record Open() implements Outcome {
     }
 
-    /** The order is decided, and in force in {@code epoch}. */
+    /** The command is committed, and {@code state} is the resulting state. */
     public record Won(Epoch epoch) implements Outcome {
     }
 
     /**
-     * Another order was decided first, or in its stead while this one was not looking; {@code epoch} names the last one
-     * decided, its operator and when it was issued.
+     * Another command was committed first, or was completed in place of this one; {@code state} is the last
+     * committed one and names its operator and when it was issued.
      */
     public record Lost(Epoch epoch) implements Outcome {
     }
@@ -45,10 +48,12 @@
     private Outcome outcome = new Open();
 
     /**
-     * @param name no two proposers at work share one
-     * @param agents all agents of the fleet: a majority of them decides
-     * @param seen the epoch that the operator looked at, known to be decided
-     * @param round where to begin, from 1
+     * Creates a proposer; {@link #begin} starts it.
+     *
+     * @param name unique among all active proposers
+     * @param agents all acceptors of the fleet: a majority of them decides
+     * @param seen the state that the operator's command is based on, known to be committed
+     * @param round the first round to use, from 1
      */
     public Proposer(String name, List<String> agents, Epoch seen, Order order, long round) {
         this.name = name;
@@ -58,11 +63,12 @@
         highestRound = round - 1;
     }
 
+    /** Returns the result so far. */
     public Outcome outcome() {
         return outcome;
     }
 
-    /** Begins, or begins anew above all ballots heard of; the message goes to every agent. */
+    /** Starts a round above all ballots seen so far; the message returned goes to every acceptor. */
     public Message begin() {
         ballot = new Ballot(++highestRound, name);
         promised.clear();
@@ -73,7 +79,7 @@
         return new Prepare(seen.generation() + 1, ballot);
     }
 
-    /** Takes an answer; returns what to tell every agent now, or null for nothing. */
+    /** Handles a reply; returns the message to send to every acceptor now, or null for none. */
     public Message on(Reply reply) {
         if (!(outcome instanceof Open)) {
             return null;
--- a/control/src/main/java/weldhitch/control/order/package-info.java
+++ b/control/src/main/java/weldhitch/control/order/package-info.java
@@ -1,2 +1,5 @@
-/** Who wins where orders conflict: decisions alone, free of I/O, clock and threads. See docs/design/control.md. */
+/**
+ * Paxos consensus on conflicting commands: pure decisions, free of I/O, clocks and threads. See
+ * docs/design/control.md.
+ */
 package weldhitch.control.order;
--- a/control/src/test/java/weldhitch/control/agent/DurableAcceptorTest.java
+++ b/control/src/test/java/weldhitch/control/agent/DurableAcceptorTest.java
@@ -26,6 +26,7 @@
 import weldhitch.control.order.Proposer.Won;
 import weldhitch.control.order.Reply;
 
+/** Restarts, suspect logs and unknown payloads of {@link DurableAcceptor}, on real files. */
 class DurableAcceptorTest {
     private static final Order DRAIN = new Order("1", "ann", "disk change", Action.DRAIN, Set.of("n1"), 1_764_000_000_000L);
 
@@ -65,7 +66,7 @@
         for (Message m = proposer.begin(); m != null;) {
             Message next = null;
             for (int i = 0; i < 3; i++) {
-                // Each agent ends and begins anew between any two messages.
+                // Every acceptor is closed and reopened between any two messages.
                 agents.get(i).close();
                 agents.set(i, open(List.of("a", "b", "c").get(i)));
                 Message said = proposer.on(agents.get(i).on(m));
@@ -110,7 +111,7 @@
         }
         IOException e = assertThrows(IOException.class, () -> open("a"));
         assertTrue(e.getMessage().startsWith(file + ": not a state of this version"), e.getMessage());
-        // And it is not left locked.
+        // The failed open has released its lock.
         assertThrows(IOException.class, () -> open("a"));
     }
 }
--- a/control/src/test/java/weldhitch/control/certs/CertificatesTest.java
+++ b/control/src/test/java/weldhitch/control/certs/CertificatesTest.java
@@ -29,7 +29,7 @@
 import weldhitch.control.certs.Authority.Issued;
 import weldhitch.control.certs.Identity.Role;
 
-/** The certificates in handshakes of both sides, over loopback. */
+/** Uses the certificates in TLS handshakes of both sides, over loopback. */
 class CertificatesTest {
     private static final Instant NOW = Instant.now();
     private static final Instant FROM = NOW.minus(Duration.ofHours(1));
@@ -72,7 +72,10 @@
         return context;
     }
 
-    /** Whom a server sees that asks for a certificate of the fleet; fails as either side does. */
+    /**
+     * Returns the identity that a server sees when it requires a certificate of the fleet; fails if either side
+     * does.
+     */
     private Identity handshake(Issued server, Issued client) throws Exception {
         SSLContext serverSide = context(server, authority.certificate());
         SSLContext clientSide = context(client, authority.certificate());
--- a/control/src/test/java/weldhitch/control/fleet/FleetDecisionsTest.java
+++ b/control/src/test/java/weldhitch/control/fleet/FleetDecisionsTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.control.fleet.Rollout.State;
 
+/** Selection, minimum capacity, rolling updates and restart backoff. */
 class FleetDecisionsTest {
     private static final long SECOND = 1_000_000_000L;
 
--- a/control/src/test/java/weldhitch/control/log/StateLogTest.java
+++ b/control/src/test/java/weldhitch/control/log/StateLogTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Recovery, compaction, locking and write failures of {@link StateLog}, on real files. */
 class StateLogTest {
     private static final long MANY = 1 << 20;
 
@@ -63,7 +64,7 @@
         assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(file())));
     }
 
-    /** A crash may leave any beginning of the last record. */
+    /** A crash may leave any prefix of the last record. */
     @Test
     void aTornLastRecordIsCutOffWhereverItIsTorn() throws Exception {
         write("one", "two");
@@ -110,7 +111,7 @@
             }
         }
         assertTrue(Files.size(file()) < 1100);
-        // One that was broken off leaves a file beside, which counts for nothing.
+        // An interrupted compaction leaves its file behind, which is ignored.
         Files.write(directory.resolve("orders.log.next"), bytes("half"));
         try (StateLog log = open()) {
             assertArrayEquals(bytes("state 499"), log.state());
@@ -118,7 +119,7 @@
         assertFalse(Files.exists(directory.resolve("orders.log.next")));
     }
 
-    /** Half of the record gets on the disk; the rest goes to the device of Linux that is always full. */
+    /** Half of the record is written to the disk; the rest goes to Linux's {@code /dev/full}. */
     @Test
     void aWriteOnAFullDiskIsRefusedAndTheStateBeforeStays() throws Exception {
         write("one");
@@ -148,7 +149,7 @@
         }
     }
 
-    /** The rename is seen by this process, and a crash might still bring the longer file back. */
+    /** The rename is visible to this process, but a crash might still bring the longer file back. */
     @Test
     void afterARenameThatMayNotLastNothingMoreIsAcknowledged() throws Exception {
         AtomicBoolean fails = new AtomicBoolean();
@@ -185,7 +186,7 @@
         write("next");
     }
 
-    /** Writes states and says each once it is on the device, until it is killed. */
+    /** Writes states, and prints each once it is on the device, until the process is killed. */
     static final class Writer {
         private Writer() {
         }
--- a/control/src/test/java/weldhitch/control/order/ConflictTest.java
+++ b/control/src/test/java/weldhitch/control/order/ConflictTest.java
@@ -16,8 +16,9 @@
 import weldhitch.control.order.Proposer.*;
 
 /**
- * Operators who want the opposite of the same instances at the same moment, over a network that loses, doubles, delays
- * and reorders, while operators die and agents crash before and after their state is on disk.
+ * Operators issue conflicting commands for the same instances at the same time, over a network that loses,
+ * duplicates, delays and reorders messages, while proposers crash, and acceptors crash before and after their
+ * state is on disk.
  */
 class ConflictTest {
     private static final int SCHEDULES = 10_000;
@@ -27,7 +28,7 @@
         return new Order(operator + "-1", operator, "because", action, TARGETS, 0);
     }
 
-    /** One schedule. */
+    /** One random schedule of messages and crashes. */
     private static final class Schedule {
         final SplittableRandom random;
         final List<String> agents = new ArrayList<>();
@@ -71,13 +72,13 @@
             }
             Reply reply = acceptor.on(message);
             if (random.nextDouble() < crashes) {
-                // Before it is on disk: as if it had never come.
+                // Crashes before the state is on disk: as if the message had never arrived.
                 up.remove(agent);
                 return;
             }
             write(agent, acceptor);
             if (random.nextDouble() < crashes) {
-                // On disk, and not answered.
+                // Crashes after the state is on disk, without a reply.
                 up.remove(agent);
                 return;
             }
@@ -98,7 +99,7 @@
 
         void step() {
             if (random.nextInt(60) == 0 && !operators.isEmpty()) {
-                // Its machine dies, whatever it has begun.
+                // The proposer's machine crashes, at whatever point, or starts another round.
                 String name = pick(List.copyOf(operators.keySet()));
                 if (random.nextInt(3) == 0) {
                     ended.add(operators.remove(name));
@@ -126,7 +127,10 @@
             return some.get(random.nextInt(some.size()));
         }
 
-        /** All are up again and reach each other: agents tell each other what is decided and close what was left open. */
+        /**
+         * Restarts all acceptors and lets them reach each other: they exchange committed states and complete
+         * open generations.
+         */
         void rest() {
             agents.forEach(a -> up.computeIfAbsent(a, name -> new Acceptor(name, disk.get(name))));
             onTheWay.clear();
@@ -187,11 +191,11 @@
             }
             Epoch now = s.up.get("agent0").decided();
             finishedByOthers += now.order() != null && s.ended.stream().noneMatch(p -> p.outcome() instanceof Won) ? 1 : 0;
-            // All instances are in the state of one order, or of none.
+            // All instances are in the state of one command, or of none.
             assertTrue(now.standing().isEmpty() || now.standing().keySet().equals(TARGETS)
                 && now.standing().values().stream().distinct().count() == 1, "seed " + seed + ": " + now);
         }
-        // The schedules are of use only if each of these comes about often.
+        // The schedules are useful only if each of these outcomes is frequent.
         assertTrue(won > SCHEDULES / 2 && lost > SCHEDULES / 4 && finishedByOthers > SCHEDULES / 100,
             won + " won, " + lost + " lost, " + finishedByOthers + " ended by others");
     }
@@ -202,7 +206,7 @@
         Map<String, Acceptor> up = new HashMap<>();
         agents.forEach(a -> up.put(a, new Acceptor(a, Kept.FIRST)));
         Proposer first = new Proposer("ann", agents, Epoch.FIRST, order("ann", Action.DRAIN), 1);
-        // "c" is not reached.
+        // Acceptor "c" is not reached.
         play(first, up, List.of("a", "b"));
         Epoch drained = assertInstanceOf(Won.class, first.outcome()).epoch();
         Proposer late = new Proposer("ben", agents, Epoch.FIRST, order("ben", Action.UNDRAIN), 1);
--- a/decision/src/main/java/weldhitch/decision/AdmissionLimit.java
+++ b/decision/src/main/java/weldhitch/decision/AdmissionLimit.java
@@ -1,31 +1,34 @@
 package weldhitch.decision;
 
 /**
- * How many requests a node lets in at once, learned from how its answers come: the limit stays where a tenth of them
- * miss their aim. The last part of it is kept for requests worth more than usual.
+ * An adaptive concurrency limit on admitted requests: it settles where a tenth of the answers miss their
+ * latency objective. Its last part is reserved for requests of more than average priority weight for their
+ * work. Called by {@link RatioBalancer} on its thread; not thread-safe.
  */
 final class AdmissionLimit {
+    /** The fraction of the limit that all requests may use; the rest is for the more important ones. */
     private static final double OPEN_TO_ALL = 0.7;
     private static final double LEAST = 8;
-    /** What one server is guessed to take at once before any answer has come. */
+    /** Assumed concurrency of one endpoint before there is any answer. */
     private static final double FIRST_PER_SERVER = 6;
-    /** The share of answers past their aim at which the limit stays where it is. */
+    /** The fraction of late answers at which the limit is stable. */
     private static final double LATE_SHARE = 0.1;
     private static final int SLOW_ENOUGH = 4;
 
     double limit = LEAST;
     int admitted;
-    /** Whether answers have moved the limit from its first guess. */
+    /** Whether answers have moved the limit from its initial value. */
     boolean learning;
-    /** Whether nothing has yet told that servers have enough. */
+    /** Whether it is in slow start: nothing has yet shown that endpoints are at capacity. */
     boolean starting = true;
-    /** The quickest answer so far, as a share of its aim. */
+    /** Lowest ratio of a latency to its objective so far. */
     double quickest = Double.MAX_VALUE;
-    /** By how many the slow answers of the slow start outnumber the quick ones, never below 0. */
+    /** By how many the slow answers outnumber the quick ones during slow start, never below 0. */
     int slow;
-    /** The strength of the servers that the limit stands for. */
+    /** Total weight of the endpoints that the limit was learned with. */
     double learnedOver = 1;
 
+    /** Whether a request may be admitted; {@code highPriority}: whether it may use the reserved part. */
     boolean hasRoom(boolean worthMore) {
         return admitted < (worthMore ? limit : OPEN_TO_ALL * limit);
     }
@@ -39,8 +42,11 @@
     }
 
     /**
-     * The list has changed: so many servers are ready, shared with so many nodes, and together they have this
-     * strength (the sum of their sizes). What was learned over more or fewer servers holds in proportion.
+     * The endpoint list has changed. A learned limit is scaled in proportion to the endpoints' total weight.
+     *
+     * @param ready number of ready endpoints
+     * @param strength their total weight
+     * @param siblings number of nodes that share them
      */
     void servers(int ready, double strength, int siblings) {
         if (!learning) {
@@ -54,16 +60,20 @@
     }
 
     /**
-     * Moves the limit with an answer that took {@code taken} and is wanted within {@code aim}: up by a little for one
-     * in time while the limit is in use, down by much for a late one. A limit that stays at its first guess turns
-     * away what idle servers could do; one that grows while little of it is used says nothing of what they can do
-     * (RFC 7661 for the like in TCP).
+     * Adjusts the limit after an answer: a little up if it is in time while the limit is in use, much down if
+     * it is late. A limit that stayed at its initial value would reject requests that idle endpoints could
+     * serve; one that grew while little of it is used would say nothing about capacity (compare RFC 7661 for
+     * TCP).
+     *
+     * <p>A node that has just started has a low limit, and may be the only node: until the first sign that
+     * endpoints are at capacity, each answer raises it by one, so that it doubles with each round trip (slow
+     * start, RFC 5681 section 3.1). An endpoint that rejects as full is such a sign. So are answers that took
+     * half of their objective and twice the lowest ratio so far, once they outnumber the others by
+     * {@value #SLOW_ENOUGH}. A single slow answer says little: the first answers of a fresh fleet are slow even
+     * without load (RFC 9406 section 4.2 asks for eight samples).
      *
-     * <p>A node that has just started guesses low, and may be the only one: until the first sign that servers have
-     * enough, each answer raises it by one, so that it doubles with each round trip (slow start, RFC 5681 section
-     * 3.1). One turned away as full is such a sign; so are answers that took half their aim and twice what the
-     * quickest took, once they outnumber the others by {@value #SLOW_ENOUGH}. By itself a slow answer says little:
-     * the first ones of a fresh fleet are slow with nothing else to do (RFC 9406 section 4.2 asks for eight).
+     * @param taken the latency in nanoseconds
+     * @param aim the latency objective in nanoseconds
      */
     void answered(long taken, long aim) {
         if (starting) {
@@ -80,12 +90,15 @@
         }
     }
 
-    /** A server turned a request away as full: by one alone it may be chance, and the next has room. */
+    /**
+     * An endpoint rejected a request as full. This ends slow start only: one may be chance, and the next has
+     * capacity.
+     */
     void turnedAway() {
         starting = false;
     }
 
-    /** A request was turned away as full by a second server in a row: more is let in than they hold. */
+    /** A second endpoint in a row rejected a request as full: more is admitted than they can take. */
     void turnedAwayAgain() {
         lower();
     }
--- a/decision/src/main/java/weldhitch/decision/Attempt.java
+++ b/decision/src/main/java/weldhitch/decision/Attempt.java
@@ -1,6 +1,6 @@
 package weldhitch.decision;
 
-/** One attempt of a request. Times are nanoseconds. */
+/** The state of one attempt of a request. Times are nanoseconds. Mutable, owned by the balancer's thread. */
 final class Attempt {
     final Request request;
     final Upstream server;
@@ -8,11 +8,11 @@
     final long sentAt;
     boolean ended;
     boolean neverRan;
-    /** A further one was sent because this one took too long. */
+    /** Whether it took longer than the hedge delay, so that a hedged request was due. */
     boolean overstayed;
-    /** What a further one costs has been put aside, as this one is given up when it takes too long. */
+    /** Whether the retry token of its successor was taken in advance, as it is abandoned at its timeout. */
     boolean successorPaid;
-    /** Its answer has begun, and is the final one. */
+    /** Whether its answer has started, which makes it the final one. */
     boolean streaming;
 
     Attempt(Request request, Upstream server, int number, long sentAt) {
--- a/decision/src/main/java/weldhitch/decision/BalancerState.java
+++ b/decision/src/main/java/weldhitch/decision/BalancerState.java
@@ -5,36 +5,43 @@
 import java.util.PriorityQueue;
 import weldhitch.decision.Balancing.*;
 
-/** All that a node's decisions rest on besides its settings; what {@link Snapshots} saves. */
+/**
+ * The complete state of a {@link RatioBalancer} besides its settings; {@link Snapshots} saves and restores it.
+ * Mutable, and owned by the balancer's thread.
+ */
 final class BalancerState {
-    static final double MOST_RETRIES_SAVED = 10;
+    static final double MOST_RETRIES_SAVED = Snapshot.MAX_RETRY_TOKENS;
 
     final Settings settings;
     final SeededRandom random;
     final Upstreams list;
     final Map<String, ClassUse> classes = new LinkedHashMap<>();
-    /** For requests of a class that the settings don't name: nothing is known of them, so they are repeated by nobody. */
+    /**
+     * For requests of a class that the settings don't name: they may not be idempotent, so they are never
+     * repeated.
+     */
     final ClassUse unknownClass = new ClassUse(
         new RequestClass("", Effect.UNSAFE, KeyGroup.ALL, 0, 0, 0, 0, 1, 0, false));
     final Map<String, Request> requests = new LinkedHashMap<>();
-    /** Requests that are not admitted yet. */
+    /** The admission queue: requests that are not admitted yet. */
     final PriorityQueue<Request> waiting = new PriorityQueue<>();
     final Timers timers = new Timers();
     final AdmissionLimit limit = new AdmissionLimit();
-    /** What tenants are owed by the settings. */
+    /** This node's part of the tenants' quotas, by tenant name. */
     final Map<String, Quota> quotas = new LinkedHashMap<>();
-    /** What an operator's routes allow. */
+    /** The states of the operator's routes. */
     RouteUses routes = RouteUses.NONE;
-    /** A running mean of what arrives. */
+    /** Exponential moving average of the rank of arriving requests; 0 before the first. */
     double usualRank;
-    /** Further attempts after what may have run that the node may still make. */
+    /** Tokens for further attempts after one that may have been executed. */
     double retriesSaved = MOST_RETRIES_SAVED / 2;
     boolean started;
-    /** A list has been asked for and has not come. */
+    /** Whether a subscription is requested and not yet answered. */
     boolean asked;
     boolean subscribed;
+    /** Subscriptions rejected in a row, 6 at most. */
     int refusedAsks;
-    /** The snapshot begun last, and no part of one; null before the first. */
+    /** The snapshot begun last; not itself part of a snapshot. Null before the first. */
     SnapshotInParts inTheMaking;
 
     BalancerState(Settings settings, SeededRandom random) {
--- a/decision/src/main/java/weldhitch/decision/Balancing.java
+++ b/decision/src/main/java/weldhitch/decision/Balancing.java
@@ -4,25 +4,27 @@
 import java.util.Objects;
 
 /**
- * What {@link RatioBalancer} exchanges with the world: the settings it starts with, the events it is told
- * and the actions it returns. Times are nanoseconds of the caller's own monotonic clock; spans are
- * nanoseconds; a time or span of 0 means "none" where the field says so.
+ * The interface of {@link RatioBalancer}: the settings it starts with, the events it handles and the actions it
+ * returns. Times are nanoseconds of the caller's own monotonic clock; durations are nanoseconds; 0 means
+ * "none" where the component says so. All these types are immutable, except that load reports are arrays that
+ * must not be changed.
  */
 public final class Balancing {
 
     private Balancing() {
     }
 
-    /** What repeating a request may do. */
+    /** Whether a request may be executed more than once. */
     public enum Effect {
-        /** May run any number of times. */
+        /** Idempotent: may be executed any number of times. */
         SAFE,
-        /** Carries a key: one group of servers discards repeats for a while. */
+        /** Carries an idempotency key: the endpoints of one deduplication scope discard repeats for a while. */
         KEYED,
+        /** Not idempotent: must not be executed twice. */
         UNSAFE
     }
 
-    /** The servers that discard each other's repeats of a keyed request. */
+    /** The endpoints that discard each other's repeats of a request with an idempotency key. */
     public enum KeyGroup { ALL, ZONE, CELL }
 
     /** How one attempt ended. */
@@ -30,7 +32,7 @@
         OK(false), ERROR(false), FULL(true), TIMED_OUT(false), CONNECT_FAILED(true), RESET(false),
         CANCELLED(false), NOT_SENT(true);
 
-        /** Whether this outcome proves that the request never ran at the server. */
+        /** Whether this outcome proves that the endpoint did not execute the request. */
         public final boolean neverRan;
 
         Outcome(boolean neverRan) {
@@ -38,65 +40,112 @@
         }
     }
 
-    /** A server's state in the membership list. */
+    /** An endpoint's state in the endpoint list. */
     public enum ServerState { READY, DRAINING, GONE }
 
-    /** What a membership event carries: changed entries, a whole list, the last list held, or nothing. */
+    /**
+     * What an endpoint update carries: changed entries, the full list, a cached list, or nothing as it was
+     * rejected.
+     */
     public enum ListKind { CHANGES, ALL, REMEMBERED, REFUSED }
 
-    /** What a server's weight in the membership list means. */
+    /** What an endpoint's weight in the endpoint list means. */
     public enum Weights { NONE, NOMINAL, ROUGH, LIVE }
 
-    /** Values a load report may hold. */
+    /** Fields that a load report may have. */
     public enum LoadField { IN_FLIGHT, QUEUE, UTILIZATION, LATENCY_MS, PER_SECOND, ERRORS_PER_SECOND, OTHER }
 
-    /** A class of requests. */
+    /**
+     * A class of requests.
+     *
+     * @param group the deduplication scope of requests with an idempotency key
+     * @param memory the deduplication window in nanoseconds
+     * @param aim the latency objective in nanoseconds; 0 for none
+     * @param aimStretch by which multiple of a request's own work its objective grows
+     * @param deadline the longest time from a request's arrival to its deadline in nanoseconds; 0 if not stated
+     * @param worth the priority weight of a request
+     * @param lateWorth the weight of an answer after the objective
+     * @param streamed whether answers are streamed
+     */
     public record RequestClass(String name, Effect effect, KeyGroup group, long memory, long aim,
             double aimStretch, long deadline, double worth, double lateWorth, boolean streamed) {
         public RequestClass {
             Objects.requireNonNull(name, "classes.name");
             Objects.requireNonNull(effect, "classes.effect");
             Objects.requireNonNull(group, "classes.group");
-            require(memory >= 0, "classes.memory", memory, "0 or more");
-            require(aim >= 0, "classes.aim", aim, "0 or more");
-            require(deadline >= 0, "classes.deadline", deadline, "0 or more");
-            require(worth >= 0, "classes.worth", worth, "0 or more");
+            SettingRange.require(memory >= 0, "classes.memory", memory, "0 or more");
+            SettingRange.require(aim >= 0, "classes.aim", aim, "0 or more");
+            SettingRange.require(deadline >= 0, "classes.deadline", deadline, "0 or more");
+            SettingRange.require(worth >= 0, "classes.worth", worth, "0 or more");
         }
     }
 
-    /** A tenant and the requests a second that all nodes together owe it; 0 is no quota. */
+    /** A tenant and its quota in requests per second over all nodes together; 0 is no quota. */
     public record Tenant(String name, double quotaPerSecond) {
         public Tenant {
             Objects.requireNonNull(name, "tenants.name");
-            require(quotaPerSecond >= 0, "tenants.quotaPerSecond", quotaPerSecond, "0 or more");
+            SettingRange.require(quotaPerSecond >= 0, "tenants.quotaPerSecond", quotaPerSecond, "0 or more");
         }
     }
 
-    /** What the site permits. */
+    /**
+     * What the platform permits.
+     *
+     * @param maxAttempts attempts of a request, the first included
+     * @param secondCopies whether hedged requests are allowed
+     * @param cancel whether attempts may be cancelled
+     * @param probes whether health checks are allowed
+     * @param retryAfter whether rejections may carry Retry-After advice
+     * @param maxRetryAfter the longest such advice in nanoseconds
+     * @param connectTimeout nanoseconds
+     */
     public record Limits(int maxAttempts, boolean secondCopies, boolean cancel, boolean probes,
             boolean retryAfter, long maxRetryAfter, long connectTimeout) {
         public Limits {
-            require(maxAttempts >= 1, "limits.maxAttempts", maxAttempts, "1 or more");
-            require(maxRetryAfter >= 0, "limits.maxRetryAfter", maxRetryAfter, "0 or more");
-            require(connectTimeout >= 0, "limits.connectTimeout", connectTimeout, "0 or more");
+            SettingRange.require(maxAttempts >= 1, "limits.maxAttempts", maxAttempts, "1 or more");
+            SettingRange.require(maxRetryAfter >= 0, "limits.maxRetryAfter", maxRetryAfter, "0 or more");
+            SettingRange.require(connectTimeout >= 0, "limits.connectTimeout", connectTimeout, "0 or more");
         }
     }
 
-    /** The figures of the cold-start and membership rules. */
+    /**
+     * Thresholds of the platform's rules for slow start, draining and discovery; durations in nanoseconds.
+     *
+     * @param startCapacity the share of its capacity that an endpoint has when it starts, 0 to 1
+     * @param coldSpan the slow-start window after an endpoint's start
+     * @param fallMultiple the multiple of its present capacity at which an endpoint in slow start is overloaded
+     * @param fallSpan the window over which that load is counted
+     * @param drainGrace how long after an endpoint began to drain it may still be sent requests
+     * @param answerSlack how long after its deadline a request may still be answered by the node
+     * @param askEvery the longest time between two discovery polls
+     */
     public record Rules(double startCapacity, long coldSpan, double fallMultiple, long fallSpan,
             long drainGrace, long answerSlack, long askEvery) {
         public Rules {
-            require(startCapacity >= 0 && startCapacity <= 1, "rules.startCapacity", startCapacity, "0 to 1");
-            require(coldSpan >= 0, "rules.coldSpan", coldSpan, "0 or more");
-            require(fallMultiple >= 0, "rules.fallMultiple", fallMultiple, "0 or more");
-            require(fallSpan >= 0, "rules.fallSpan", fallSpan, "0 or more");
-            require(drainGrace >= 0, "rules.drainGrace", drainGrace, "0 or more");
-            require(answerSlack >= 0, "rules.answerSlack", answerSlack, "0 or more");
-            require(askEvery >= 0, "rules.askEvery", askEvery, "0 or more");
+            SettingRange.require(startCapacity >= 0 && startCapacity <= 1, "rules.startCapacity", startCapacity, "0 to 1");
+            SettingRange.require(coldSpan >= 0, "rules.coldSpan", coldSpan, "0 or more");
+            SettingRange.require(fallMultiple >= 0, "rules.fallMultiple", fallMultiple, "0 or more");
+            SettingRange.require(fallSpan >= 0, "rules.fallSpan", fallSpan, "0 or more");
+            SettingRange.require(drainGrace >= 0, "rules.drainGrace", drainGrace, "0 or more");
+            SettingRange.require(answerSlack >= 0, "rules.answerSlack", answerSlack, "0 or more");
+            SettingRange.require(askEvery >= 0, "rules.askEvery", askEvery, "0 or more");
         }
     }
 
-    /** What this node is told at its start: it is number {@code self} of {@code siblings}. {@code tick} is the shortest time between two events' clocks. */
+    /**
+     * The settings of one balancer node.
+     *
+     * @param tier the node's tier, 0 for the first, which alone limits admission
+     * @param self the node's index among all nodes, from 0
+     * @param siblings the number of nodes, this one included
+     * @param overShareWorth the factor on the priority weight of a tenant's requests above its quota
+     * @param worthByWork whether the priority weight of a request is multiplied by its cost hint
+     * @param mustAskMembership whether the node polls for endpoint updates
+     * @param weights what endpoint weights mean
+     * @param loadFields the fields of a load report
+     * @param crossZonePrice the cost of a call to another zone
+     * @param tick the clock resolution: the shortest time between the clocks of two events
+     */
     public record Settings(String zone, List<String> zones, int tier, int self, int siblings,
             List<RequestClass> classes, List<Tenant> tenants, double overShareWorth, boolean worthByWork,
             boolean mustAskMembership, Weights weights, List<LoadField> loadFields, double crossZonePrice,
@@ -109,46 +158,52 @@
             Objects.requireNonNull(limits, "limits");
             Objects.requireNonNull(rules, "rules");
             Objects.requireNonNull(weights, "weights");
-            require(zones.size() < 2 || (zone != null && !zone.isEmpty()), "zone", zone, "the zone of this node, as there are several");
-            require(tier >= 0, "tier", tier, "0 or more");
-            require(siblings >= 1, "siblings", siblings, "1 or more");
-            require(self >= 0, "self", self, "0 or more");
-            require(!classes.isEmpty(), "classes", "none", "one class or more");
-            require(overShareWorth >= 0, "overShareWorth", overShareWorth, "0 or more");
-            require(crossZonePrice >= 0, "crossZonePrice", crossZonePrice, "0 or more");
-            require(tick >= 0, "tick", tick, "0 or more");
+            SettingRange.require(zones.size() < 2 || (zone != null && !zone.isEmpty()), "zone", zone, "the zone of this node, as there are several");
+            SettingRange.require(tier >= 0, "tier", tier, "0 or more");
+            SettingRange.require(siblings >= 1, "siblings", siblings, "1 or more");
+            SettingRange.require(self >= 0, "self", self, "0 or more");
+            SettingRange.require(!classes.isEmpty(), "classes", "none", "one class or more");
+            SettingRange.require(overShareWorth >= 0, "overShareWorth", overShareWorth, "0 or more");
+            SettingRange.require(crossZonePrice >= 0, "crossZonePrice", crossZonePrice, "0 or more");
+            SettingRange.require(tick >= 0, "tick", tick, "0 or more");
         }
     }
 
-    /** One line of a membership list; {@code startedAt} 0 means long ago. */
+    /** One entry of an endpoint list; {@code startedAt} 0 means long ago. */
     public record ServerEntry(String server, String zone, long cell, ServerState state, double weight,
             long startedAt) {
     }
 
-    /** Something the node is told. */
+    /** An event that the balancer handles. */
     public sealed interface Event permits Membership, Arrival, FirstByte, AttemptEnded, ClientGone, Timer,
             Probed, NewRoutes, Zoned {
     }
 
     /**
-     * From here on requests that arrive go by these routes; none where null. Those under way keep their rules.
+     * Requests that arrive from now on use these routes; null for none. Requests in flight keep their policies.
      *
-     * @param made the same routes made ready ahead by {@link RouteUses#then}, or null; it changes nothing but the cost
+     * @param made the state of the same routes, prepared ahead, or null; it changes nothing but the cost
      */
-    public record NewRoutes(Routes routes, RouteUses made) implements Event {
+    public record NewRoutes(Routes routes, PreparedRoutes made) implements Event {
+        /** Routes without prepared state. */
         public NewRoutes(Routes routes) {
             this(routes, null);
         }
     }
 
-    /** News of the server list. */
+    /** An update of the endpoint list. */
     public record Membership(ListKind kind, List<ServerEntry> entries) implements Event {
     }
 
     /**
-     * A request landed here; {@code cost} is a hint of its work in seconds, 0 for none. Method and target are what
-     * routes go by, null where there are none; {@code zones} are those whose servers it may go to, null for any, empty
-     * for none, so that it is refused.
+     * A request arrived.
+     *
+     * @param deadline the time after which no answer counts
+     * @param cost a hint of the request's work in seconds, 0 for none
+     * @param clientRetry whether the client marks it as a retry
+     * @param method matched by routes; null for none
+     * @param target matched by routes; null for none
+     * @param zones the zones whose endpoints may serve it; null for any, empty for none, so that it is rejected
      */
     public record Arrival(String request, String requestClass, long deadline, String tenant, double cost,
             boolean clientRetry, String method, String target, List<String> zones) implements Event {
@@ -156,95 +211,96 @@
             zones = zones == null ? null : List.copyOf(zones);
         }
 
+        /** A request that any zone may serve. */
         public Arrival(String request, String requestClass, long deadline, String tenant, double cost,
                 boolean clientRetry, String method, String target) {
             this(request, requestClass, deadline, tenant, cost, clientRetry, method, target, null);
         }
 
+        /** A request that no route matches and any zone may serve. */
         public Arrival(String request, String requestClass, long deadline, String tenant, double cost,
                 boolean clientRetry) {
             this(request, requestClass, deadline, tenant, cost, clientRetry, null, null);
         }
     }
 
-    /** From here on the request's attempts go to servers of these zones; empty: to none, so that it ends. */
+    /** The request's further attempts go to endpoints of these zones; if empty, the request ends. */
     public record Zoned(String request, List<String> zones) implements Event {
         public Zoned {
             zones = List.copyOf(zones);
         }
     }
 
-    /** The answer of a streamed request has started. */
+    /** The answer of a streamed request has started; {@code latency} in nanoseconds. */
     public record FirstByte(String request, int attempt, String server, long latency) implements Event {
     }
 
-    /** An attempt has ended; {@code finished} says that the request has its final answer. */
+    /**
+     * An attempt has ended; {@code requestFinished}: the request has its final answer; {@code latency} in
+     * nanoseconds.
+     */
     public record AttemptEnded(String request, int attempt, String server, Outcome outcome, long latency,
             boolean finished, double[] load) implements Event {
     }
 
-    /** The client left, or its request is over for another reason. */
+    /** The client disconnected, or its request ended for another reason. */
     public record ClientGone(String request) implements Event {
     }
 
-    /** A timer that a {@link SetTimer} asked for has come due. */
+    /** A timer that a {@link SetTimer} scheduled has fired. */
     public record Timer(String token) implements Event {
     }
 
-    /** A probe was answered, or was not. */
+    /** A health check was answered, or failed; {@code latency} in nanoseconds. */
     public record Probed(String server, Outcome outcome, long latency, double[] load) implements Event {
     }
 
-    /** Something the node shall do, in the order returned. */
+    /** An action for the node to execute, in the order returned. */
     public sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Subscribe, Report, AskZones {
     }
 
-    /** Start an attempt; attempts of a request count from 0. A time-out of 0 runs to the deadline. */
+    /**
+     * Starts an attempt; attempts of a request are numbered from 0. A timeout of 0 lasts until the deadline.
+     */
     public record Send(String request, String server, long timeout) implements Action {
     }
 
-    /** Stop waiting for an attempt. */
+    /** Cancels an attempt. */
     public record Cancel(String request, int attempt) implements Action {
     }
 
-    /** Final answer: not run, a retry does no harm; {@code retryAfter} 0 is no advice. */
+    /** Final answer: not executed, a retry does no harm; {@code retryAfter} in nanoseconds, 0 for no advice. */
     public record Refuse(String request, long retryAfter) implements Action {
     }
 
-    /** Final answer: failed, with no word on its effect; {@code late}: by a deadline that a route has shortened. */
+    /**
+     * Final answer: failed, with no promise about its effect.
+     *
+     * @param late whether the deadline that has passed was shortened by a route
+     */
     public record Fail(String request, boolean late) implements Action {
+        /** A failure that no route's deadline caused. */
         public Fail(String request) {
             this(request, false);
         }
     }
 
-    /** Ask for a {@link Timer} after this span. */
+    /** Schedules a {@link Timer} after this delay in nanoseconds. */
     public record SetTimer(long after, String token) implements Action {
     }
 
-    /** Ask discovery for changes from now on. */
+    /** Subscribes to endpoint updates of discovery. */
     public record Subscribe() implements Action {
     }
 
     /**
-     * No server of the request's zones is left that its next attempt has not tried: asks for a {@link Zoned}. Without one
-     * the request waits and asks again.
+     * Requests a {@link Zoned}, as the request has tried all endpoints of its allowed zones. Until one
+     * arrives, the request waits and asks again.
      */
     public record AskZones(String request) implements Action {
     }
 
-    /** A line for the people on call. */
+    /** A log line for the operators on call. */
     public record Report(String text) implements Action {
     }
-
-    /** Where a server stands in the order in which nodes look at the list: 0 to 2^31 - 1, by its name alone. */
-    public static int place(String server) {
-        return server.hashCode() * 0x9E3779B1 >>> 1;
-    }
-
-    private static void require(boolean sound, String setting, Object found, String expected) {
-        if (!sound) {
-            throw new IllegalArgumentException("setting out of range: " + setting + ": found " + found + ", expected " + expected);
-        }
-    }
 }
--- a/decision/src/main/java/weldhitch/decision/ClassUse.java
+++ b/decision/src/main/java/weldhitch/decision/ClassUse.java
@@ -3,8 +3,10 @@
 import weldhitch.decision.Balancing.RequestClass;
 
 /**
- * A class's usual round trip in nanoseconds, by the cost hint where there is one. Round trips are divided by it, so
- * that a server is not judged by what it happened to get (the paper's remedy for mixed requests, section 6).
+ * Learns the expected latency of a request class in nanoseconds, by linear regression on the cost hint where
+ * there is one. Round trips are divided by it, so that an endpoint is not judged by the mix of requests it
+ * happened to get (Küting et al., section 6: the remedy for mixed request types). Mutable, owned by the
+ * balancer's thread.
  */
 final class ClassUse {
     static final double USUAL_STEP = 0.02;
@@ -21,6 +23,7 @@
         this.about = about;
     }
 
+    /** Records the latency of a served call with this cost hint. */
     void learn(double hint, double latency) {
         double step = Math.max(USUAL_STEP, 1.0 / ++seen);
         deviation += step * (Math.abs(latency - usual(hint)) - deviation);
@@ -32,25 +35,29 @@
         covariance += step * (offCost * offTrip - covariance);
     }
 
+    /**
+     * Returns the expected latency for this cost hint; a quarter of the objective, or 0.1 s, before any sample.
+     */
     double usual(double hint) {
         if (seen == 0) {
             return about.aim() > 0 ? about.aim() / 4.0 : 1e8;
         }
         double slope = costVariance > 1e-12 ? covariance / costVariance : 0;
-        // Answers that came in the instant of their sending must not make it nothing: means are divided by it.
+        // At least 1 ns: latencies of 0 must not make it 0, as round trips are divided by it.
         return Math.max(1, Math.max(trip / 5, trip + Math.max(0, slope) * (hint - cost)));
     }
 
     /**
-     * How long an attempt may take before it is given up for a further one, its work lost: as RFC 6298 has it for
-     * retransmission, where a single measurement counts for a deviation of half of it and none for nothing.
+     * Returns the timeout after which an attempt is abandoned for a retry, its work being lost. It is computed
+     * like the retransmission timeout of RFC 6298, where a single measurement implies a deviation of half of
+     * it, and none implies nothing.
      */
     long timeout(double hint) {
         double usual = usual(hint);
         return seen == 0 ? Math.max(about.aim(), (long) usual) : (long) (usual + 4 * Math.max(deviation, usual / (1 + seen)));
     }
 
-    /** How long an attempt may take before a further one is worth its work. */
+    /** Returns the time after which a hedged request is worth its work. */
     long patience(double hint) {
         return (long) (usual(hint) + 4 * deviation);
     }
--- a/decision/src/main/java/weldhitch/decision/DrainPlan.java
+++ b/decision/src/main/java/weldhitch/decision/DrainPlan.java
@@ -1,31 +1,39 @@
 package weldhitch.decision;
 
 /**
- * What a node that is told to end still takes, and what it closes when: free of I/O, clock and threads; times are the
- * caller's, in nanoseconds.
+ * Plans a graceful shutdown: what a node still accepts after SIGTERM, and when it closes which connections.
+ * Used by the node's client server; not thread-safe, without I/O or clock. Times are the caller's, in
+ * nanoseconds.
  *
- * <p>A planned restart of many nodes overlaps: the one told before may not be back yet when this one is told, and
- * then the connections that this one closes have nowhere to go. So it keeps them, and serves on them as ever, for as
- * long as what callers ask for can still be answered within its aim before the platform kills the process, which it
- * does no sooner than the longest deadline (3 s at most) and 0.7 s after SIGTERM. Only then are callers told to go, a
- * few at a time, so that their new connections do not fall on one other node in the same moment. A deadline past the
- * end is cut to it; what comes too late even for its aim is refused, as it is known not to have run.
+ * <p>Planned restarts of many nodes overlap: the node restarted before may not be back yet, and then the
+ * connections that this one closes have nowhere to go. So the node keeps its connections and serves them
+ * normally for as long as requests can still be answered within their latency objective before the platform
+ * kills the process, which it does no sooner than the longest deadline (3 s at most) plus 0.7 s after SIGTERM.
+ * Only then are clients asked to disconnect, a few at a time, so that they do not all reconnect to one other
+ * node at the same moment. A deadline after the end of the process is shortened to it; a request that comes
+ * too late even for its latency objective is rejected, as it is known not to be executed.
  */
 public final class DrainPlan {
     private static final long MILLI = 1_000_000L;
-    /** The platform waits for the longest deadline, but for no longer one than this. */
+    /** The platform waits for the longest deadline, but for no longer than this. */
     private static final long MOST_WAITED_FOR = 3000 * MILLI;
-    /** An aim counts for no more than this here: one as long as the end is away would have all refused at once. */
+    /**
+     * Upper bound of a latency objective here: one as long as the whole shutdown would reject everything at
+     * once.
+     */
     private static final long MOST_WANTED = MOST_WAITED_FOR / 2;
-    /** How long after the longest deadline the process is sure to live, less room for a late timer and the exit. */
+    /**
+     * How long the process surely lives after the longest deadline, less a margin for a late timer and the
+     * exit.
+     */
     private static final long AFTER_LONGEST = 500 * MILLI;
-    /** By how much an answer that is given at its deadline may be late. */
+    /** By how much the timer of an answer at its deadline may be late. */
     private static final long LATE_TIMERS = 50 * MILLI;
-    /** New connections go on coming for so long, as those who deal them out hear of the end late. */
+    /** New connections keep arriving for this long, as load balancers and clients notice the shutdown late. */
     private static final long LISTEN_ON = 500 * MILLI;
     private static final long QUIET = 250 * MILLI;
     private static final long LISTEN_AT_MOST = 1500 * MILLI;
-    /** The time over which callers are told to go. */
+    /** The period over which clients are asked to disconnect. */
     private static final long FAREWELL = 400 * MILLI;
 
     private final long longestDeadline;
@@ -34,15 +42,17 @@
     private long since;
 
     /**
-     * {@code longestDeadline}: the longest that a class of requests is waited for; {@code longestAim}: the longest
-     * time within which one wants its answer. Both in nanoseconds.
+     * Creates the plan; shutdown has not begun.
+     *
+     * @param longestDeadline the longest deadline of a request class in nanoseconds
+     * @param longestAim the longest latency objective of a request class in nanoseconds
      */
     public DrainPlan(long longestDeadline, long longestAim) {
         this.longestDeadline = Math.min(longestDeadline, MOST_WAITED_FOR);
         this.longestAim = Math.min(longestAim, MOST_WANTED);
     }
 
-    /** The node is told to end; a second call changes nothing. */
+    /** Shutdown begins; a second call has no effect. */
     public void begin(long now) {
         if (!begun) {
             begun = true;
@@ -50,25 +60,29 @@
         }
     }
 
-    /** Whether the node is told to end. */
+    /** Whether shutdown has begun. */
     public boolean begun() {
         return begun;
     }
 
-    /** The last moment at which an answer is given; what is taken has its deadline no later. */
+    /** The time of the last answer; deadlines of accepted requests are no later. */
     private long end() {
         return since + longestDeadline + AFTER_LONGEST;
     }
 
-    /** From here on callers are told to go: any request that comes sooner can be answered within its aim. */
+    /**
+     * When clients are first asked to disconnect; requests before it can be answered within their objective.
+     */
     private long farewell() {
         return end() - longestAim - FAREWELL;
     }
 
     /**
-     * How long a request that comes now may take, of the {@code patience} its caller has: less where the node ends
-     * before, and 0 where what is left is not even the time it is wanted within ({@code aim}; 0 for none stated), so
-     * that another node had better have it.
+     * Returns how long a request that arrives now may take; 0 if it should be rejected, so that another node
+     * serves it.
+     *
+     * @param patience the time until the request's own deadline
+     * @param aim its latency objective, 0 for none; less time than this until the end leads to rejection
      */
     public long timeFor(long now, long patience, long aim) {
         if (!begun) {
@@ -79,14 +93,20 @@
         return left < wanted ? 0 : Math.min(left, patience);
     }
 
-    /** Whether every deadline has passed: clients that have their answer and don't close are waited for no longer. */
+    /**
+     * Whether all deadlines have passed; clients that keep connections open after their answers are not
+     * awaited.
+     */
     public boolean over(long now) {
         return begun && now >= end() + LATE_TIMERS;
     }
 
     /**
-     * Whether new connections are still accepted: as long as callers keep any open and are not told to go, and in any
-     * case while those who deal them out may not have heard. {@code acceptedAt} is when the last one came.
+     * Whether new connections are still accepted: while clients have any open and are not yet asked to
+     * disconnect, and in any case while load balancers and clients may not have noticed the shutdown.
+     *
+     * @param acceptedAt when the last connection was accepted
+     * @param open number of open connections
      */
     public boolean listens(long now, long acceptedAt, int open) {
         long passed = now - since;
@@ -94,12 +114,14 @@
             || now - acceptedAt < QUIET && passed < LISTEN_AT_MOST;
     }
 
-    /** Whether an answer given now tells its caller to go. */
+    /** Whether an answer sent now asks its client to disconnect. */
     public boolean saysClose(long now) {
         return begun && now >= farewell();
     }
 
-    /** How many of so many idle connections stay open now: all at first, then evenly fewer, none at the end. */
+    /**
+     * Returns how many of the idle connections stay open now: all at first, then evenly fewer, none at the end.
+     */
     public int keepsIdle(long now, int idleAtFarewell) {
         if (!begun || now < farewell()) {
             return idleAtFarewell;
--- a/decision/src/main/java/weldhitch/decision/Draws.java
+++ b/decision/src/main/java/weldhitch/decision/Draws.java
@@ -5,11 +5,15 @@
 import weldhitch.decision.Balancing.ServerState;
 import weldhitch.decision.Watch.Out;
 
-/** Puts a draw into what a {@link Watch} is told: every server of the list with its chance, or why it had none. */
+/**
+ * Builds the trace of a pick for a {@link Watch}: every endpoint of the list with its weight, or why it could
+ * not be picked. Called by {@link RatioDraw}; stateless.
+ */
 final class Draws {
     private Draws() {
     }
 
+    /** Builds the trace of a pick that was just made. */
     static Watch.Drawn explain(Request r, long now, Upstreams list, List<Upstream> around, double[] chance, double best,
             boolean avoidTried, Upstream one, Upstream other, Upstream chosen) {
         List<Watch.Candidate> candidates = new ArrayList<>();
--- a/decision/src/main/java/weldhitch/decision/FlatSettings.java
+++ b/decision/src/main/java/weldhitch/decision/FlatSettings.java
@@ -7,9 +7,9 @@
 import weldhitch.decision.Balancing.*;
 
 /**
- * Reads the settings of an instance from flat paths, such as {@code limits.maxAttempts}: the form in which the
- * simulator's wire states them and to which a real node's configuration is flattened, so that both say the same
- * by the same reading. Paths it does not know are left alone.
+ * Parses balancer settings from flat paths such as {@code limits.maxAttempts}: the form of the simulator's
+ * wire protocol, to which a node's configuration is flattened as well, so that both are interpreted alike.
+ * Unknown paths are ignored. Immutable; used by the node's configuration and the simulator adapter.
  */
 public final class FlatSettings {
     private static final Map<String, Effect> EFFECTS = Map.of("read_like", Effect.SAFE,
@@ -24,11 +24,12 @@
 
     private final Map<String, String> pairs;
 
+    /** Creates a parser of these values by path. */
     public FlatSettings(Map<String, String> pairs) {
         this.pairs = Map.copyOf(pairs);
     }
 
-    /** A setting whose text cannot be read at all; a figure out of range is the record's own complaint. */
+    /** Thrown if a setting cannot be parsed; values out of range are rejected by the settings records. */
     public static final class MalformedSettingException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
@@ -37,7 +38,7 @@
         }
     }
 
-    /** The settings that the module starts with. */
+    /** Returns the balancer's settings; those that are not given have their defaults. */
     public Settings settings() {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count("classes"); i++) {
@@ -92,7 +93,7 @@
         }
     }
 
-    /** A span that the settings give in seconds, in nanoseconds; 0 where it is not given. */
+    /** Returns in nanoseconds a duration that is given in seconds; 0 if it is not given. */
     public long span(String path) {
         return Math.round(number(path, 0) * 1e9);
     }
--- a/decision/src/main/java/weldhitch/decision/LastCheck.java
+++ b/decision/src/main/java/weldhitch/decision/LastCheck.java
@@ -1,31 +1,33 @@
 package weldhitch.decision;
 
 /**
- * Whether an attempt may begin: asked once, as its first byte is about to be written, on a new connection and on one that is
- * used again alike. Between the decision to send and that moment lies a dial, which may take as long as the settings allow,
- * and in it its caller may go, its time or its servers' memory of it run out, and its server drain, start anew or move. An
- * attempt that may not begin ends as never run, so that the module may place its request anew.
+ * Decides whether an attempt may still be dispatched. The node calls it once, just before the first byte is
+ * written, on new and reused connections alike. Connecting may take as long as the settings allow; meanwhile
+ * the client may disconnect, the deadline or the deduplication window may expire, and the endpoint may drain,
+ * restart or move. An attempt that is not dispatched ends as not executed, so that the balancer can retry the
+ * request elsewhere.
  *
- * <p>Free of I/O, clock and threads; times are nanoseconds of the caller's clock.
+ * <p>Stateless, without I/O or clock; times are nanoseconds of the caller's clock.
  */
 public final class LastCheck {
-    /** The incarnation of a server that the list no longer names. */
+    /** The incarnation of an endpoint that is no longer listed. */
     public static final long NOT_LISTED = -1;
 
-    /** Why an attempt may not begin; {@link #BEGINS} where it may. */
+    /** Why an attempt must not be dispatched; {@link #BEGINS} if it may. */
     public enum Verdict {
+        /** It may be dispatched. */
         BEGINS,
-        /** Nobody waits for it: its request is answered, its caller has gone, or it was given up. */
+        /** Its request is answered, its client has disconnected, or it was abandoned. */
         UNWANTED,
-        /** What it may take is over. */
+        /** Its timeout or deadline has passed. */
         PAST_DEADLINE,
-        /** An earlier attempt may have run, and servers no longer remember its key. */
+        /** An earlier attempt may have been executed, and endpoints no longer discard its repeats. */
         WINDOW_OVER,
-        /** The list no longer names its server. */
+        /** Its endpoint is no longer listed. */
         GONE,
-        /** Its server has started anew since, or is reached elsewhere: what it was chosen by says nothing of it now. */
+        /** Its endpoint has restarted or moved, so that the state it was chosen by no longer applies. */
         REPLACED,
-        /** Its server takes nothing new. */
+        /** Its endpoint is draining. */
         DRAINING
     }
 
@@ -33,12 +35,15 @@
     }
 
     /**
-     * @param wanted whether its request still waits for an answer by it
-     * @param until when what it may take is over
-     * @param repeatUntil until when servers discard it where an earlier attempt has run; the most there is where none may have
-     * @param chosen the incarnation that its server had when it was chosen
-     * @param listed the one it has now, or {@link #NOT_LISTED}
-     * @param draining whether its server drains now
+     * Decides whether an attempt may be dispatched now.
+     *
+     * @param wanted whether its request still waits for its answer
+     * @param until when its timeout or deadline passes
+     * @param repeatUntil the end of the deduplication window of an earlier attempt that may have been executed;
+     *     {@link Long#MAX_VALUE} if none may have been
+     * @param chosen the incarnation of the endpoint when it was chosen
+     * @param listed its present incarnation, or {@link #NOT_LISTED}
+     * @param draining whether the endpoint is draining now
      */
     public static Verdict of(boolean wanted, long now, long until, long repeatUntil, long chosen, long listed, boolean draining) {
         if (!wanted) {
--- a/decision/src/main/java/weldhitch/decision/Latencies.java
+++ b/decision/src/main/java/weldhitch/decision/Latencies.java
@@ -3,15 +3,18 @@
 import java.util.Arrays;
 import weldhitch.decision.RouteRules.HedgePercentile;
 
-/** A percentile of the last answers' latencies. */
+/**
+ * A percentile of a route's last latencies, after which its hedged requests are sent. Mutable, owned by the
+ * balancer's thread.
+ */
 final class Latencies {
-    /** Answers that it is taken over; as many as the highest percentile needs. */
-    static final int KEPT = 1024;
-    /** It is taken anew after so many answers. */
+    /** Number of latencies that the percentile is computed over, enough for the highest one allowed. */
+    static final int KEPT = Snapshot.OfLatencies.WINDOW;
+    /** The percentile is recomputed after this many answers. */
     private static final int FRESH = 32;
 
     final HedgePercentile wanted;
-    /** Made at the first answer: most of a large file's routes see little traffic or none. */
+    /** Allocated at the first answer, as most routes of a large file see little or no traffic. */
     long[] last;
     long seen;
     long percentile;
@@ -31,7 +34,7 @@
         }
     }
 
-    /** In nanoseconds; 0 until enough answers have come. */
+    /** Returns the percentile in nanoseconds; 0 until there are enough samples. */
     long percentile() {
         return percentile;
     }
--- a/decision/src/main/java/weldhitch/decision/LifeCycle.java
+++ b/decision/src/main/java/weldhitch/decision/LifeCycle.java
@@ -1,22 +1,24 @@
 package weldhitch.decision;
 
 /**
- * What a process does at each signal, whenever it comes: free of I/O, clock and threads. It starts, serves, drains and ends, and
- * reads its configuration again in between, once at a time.
+ * The state machine of a node process: it decides what to do at each signal, whenever it arrives. The process
+ * starts, serves, drains and exits, and reloads its configuration in between, one reload at a time. Used by
+ * the node's service; not thread-safe, without I/O or clock.
  *
  * <table>
- * <caption>What a signal leads to</caption>
+ * <caption>Effect of a signal by state</caption>
  * <tr><th></th><th>SIGHUP</th><th>SIGTERM</th></tr>
- * <tr><td>before it listens</td><td>a reload, once it listens</td><td>the end, as it has taken nothing; it never listens</td></tr>
- * <tr><td>while it serves</td><td>a reload</td><td>the drain</td></tr>
- * <tr><td>in a reload</td><td>one more reload behind it, however many come: it reads what is newest</td><td>the drain, at once:
- * a reload may wait for a slow disk</td></tr>
- * <tr><td>in the drain</td><td>a reload: what it still serves goes by the newest list</td><td>nothing</td></tr>
- * <tr><td>at the end</td><td>nothing</td><td>nothing</td></tr>
+ * <tr><td>before listening</td><td>a reload, once it listens</td><td>exit, as it has accepted nothing; it never
+ * listens</td></tr>
+ * <tr><td>serving</td><td>a reload</td><td>drain</td></tr>
+ * <tr><td>reloading</td><td>one more reload afterwards, however many signals: it reads the newest
+ * files</td><td>drain at once, as a reload may wait for a slow disk</td></tr>
+ * <tr><td>draining</td><td>a reload: what is still served uses the newest list</td><td>nothing</td></tr>
+ * <tr><td>terminated</td><td>nothing</td><td>nothing</td></tr>
  * </table>
  */
 public final class LifeCycle {
-    /** What to do now. */
+    /** What the caller has to do now. */
     public enum Step { NOTHING, RELOAD, DRAIN, END }
 
     private boolean listens;
@@ -25,28 +27,30 @@
     private boolean reloading;
     private boolean reloadWanted;
 
-    /** Asked right before the listener opens: whether it may. */
+    /** Called right before the listener opens; returns whether it may. */
     public boolean mayListen() {
         listens = !told;
         return listens;
     }
 
-    /** The listener is open. */
+    /** The listener is open; returns a reload if one was requested before. */
     public Step listening() {
         return next();
     }
 
+    /** SIGHUP was received. */
     public Step hangUp() {
         reloadWanted = true;
         return next();
     }
 
-    /** A reload is over, however it went. */
+    /** A reload has ended, successfully or not. */
     public Step reloaded() {
         reloading = false;
         return next();
     }
 
+    /** SIGTERM was received. */
     public Step terminate() {
         if (told) {
             return Step.NOTHING;
@@ -59,7 +63,7 @@
         return Step.DRAIN;
     }
 
-    /** The drain is over. */
+    /** The drain has ended. */
     public void drained() {
         ended = true;
     }
--- a/decision/src/main/java/weldhitch/decision/ListAge.java
+++ b/decision/src/main/java/weldhitch/decision/ListAge.java
@@ -1,8 +1,9 @@
 package weldhitch.decision;
 
 /**
- * How old the list in force is, and when to say so: first after 3 s without word from discovery, then each time that its
- * age has doubled, up to once in five minutes. Times are nanoseconds of one clock. Not thread-safe.
+ * Tracks how stale the endpoint list is and when to warn: first 3 s after discovery last confirmed it, then
+ * each time its age has doubled, later every five minutes. Used by the node's discovery client. Times are
+ * nanoseconds of one clock. Not thread-safe.
  */
 public final class ListAge {
     private static final long SECOND = 1_000_000_000L;
@@ -13,29 +14,36 @@
     private boolean everSure;
     private long nextWord = FIRST_WORD;
 
-    /** @param startedAt when the node started, with a list of unknown age */
+    /**
+     * Starts with a list of unknown age.
+     *
+     * @param startedAt when the node started
+     */
     public ListAge(long startedAt) {
         sureAt = startedAt;
     }
 
-    /** Discovery confirmed the list in force, or gave a newer one. */
+    /** Discovery confirmed the list in force, or sent a newer one. */
     public void sure(long now) {
         sureAt = now;
         everSure = true;
         nextWord = FIRST_WORD;
     }
 
-    /** How long ago discovery last had its word, or, where it never had, the node started. */
+    /**
+     * Returns the nanoseconds since discovery last confirmed the list or, if it never did, since the node's
+     * start.
+     */
     public long age(long now) {
         return Math.max(0, now - sureAt);
     }
 
-    /** Whether discovery was ever heard. */
+    /** Whether discovery has ever confirmed the list. */
     public boolean everSure() {
         return everSure;
     }
 
-    /** What an operator should read now, or null for nothing. */
+    /** Returns the warning to log now, or null for none. */
     public String word(long now) {
         long age = age(now);
         if (age < nextWord) {
--- a/decision/src/main/java/weldhitch/decision/Quota.java
+++ b/decision/src/main/java/weldhitch/decision/Quota.java
@@ -1,6 +1,9 @@
 package weldhitch.decision;
 
-/** A token bucket: so many a second, saved up for one second at most, one at least. */
+/**
+ * A token bucket for a tenant's requests: it holds the tokens of one second at most, but at least one. Times
+ * are nanoseconds. Not thread-safe; owned by the balancer's thread.
+ */
 final class Quota {
     final double perSecond;
     double left;
@@ -12,6 +15,7 @@
         this.left = perSecond;
     }
 
+    /** Takes a token if there is one. */
     boolean take(long now) {
         left = Math.min(Math.max(1, perSecond), left + perSecond * (used ? now - at : 0) / 1e9);
         at = now;
@@ -23,7 +27,7 @@
         return true;
     }
 
-    /** Nanoseconds until the next one is there. */
+    /** Returns the nanoseconds until the next token is available; 0 if one is. */
     long untilNext() {
         return left >= 1 ? 0 : (long) Math.min(Long.MAX_VALUE / 4.0, (1 - left) / perSecond * 1e9);
     }
--- a/decision/src/main/java/weldhitch/decision/RatioBalancer.java
+++ b/decision/src/main/java/weldhitch/decision/RatioBalancer.java
@@ -7,25 +7,33 @@
 import weldhitch.decision.Watch.Why;
 
 /**
- * All decisions of a balancer node. Its settings, events and actions are in Balancing.java, what it knows in
- * {@link BalancerState}, the choice of a server in {@link RatioDraw}.
+ * Makes all decisions of a balancer node: it turns events into actions. Its state is in {@link BalancerState};
+ * the choice of an endpoint, by the averaged Ratio approach (Küting et al., sections 3.2 and 5.3), in
+ * {@link RatioDraw}.
  *
- * <p>Rules, and where each is kept: one final answer in time (deadlines, {@link #finish}); no effect twice
- * ({@link #hindrance}, {@link #mayRefuse}); drains and cold servers ({@link Upstreams}, {@link RatioDraw}: ready servers
- * alone, cold ones by credit). Single-threaded; time is what the caller hands over; only the seed is random.
+ * <p>Invariants, and where each is enforced: one final answer before the deadline ({@link #finish}); no request
+ * executed twice unless it is idempotent or its repeats are discarded ({@link #hindrance}, {@link #mayRefuse});
+ * draining and warming-up endpoints ({@link Upstreams}, {@link RatioDraw}: only ready endpoints are sent to,
+ * those in slow start only while they have credit).
+ *
+ * <p>Not thread-safe: one thread owns it. It does no I/O and reads no clock; the time comes from the caller,
+ * and the only randomness from the seed.
  */
 public final class RatioBalancer {
+    /** Retry tokens that each request earns. */
     private static final double RETRY_SHARE = 0.1;
+    /** Nanoseconds after which a request that no endpoint can take now is tried again. */
     private static final long HOLD_STEP = 20_000_000L;
 
     private final Settings settings;
     private final BalancerState state;
     private final RatioDraw draw;
-    /** Told why; null at work. */
+    /** Receives the reasons of decisions; null except in a replay. */
     private final Watch watch;
     private long now;
     private List<Action> actions;
 
+    /** Creates a balancer without endpoints or routes; {@code seed} determines all its random draws. */
     public RatioBalancer(Settings settings, long seed) {
         this(new BalancerState(settings, new SeededRandom(seed)), null);
     }
@@ -38,22 +46,26 @@
     }
 
     /**
-     * A module that knows what another one knew, and decides from there on as that one would, bit for bit.
+     * Restores a balancer from a snapshot; its decisions from there on are bit for bit those of the original.
      *
-     * @param settings those of the other one
-     * @param watch what is told why, or null
-     * @throws IllegalArgumentException where the snapshot can't be of a module with these settings, naming the field
+     * @param settings the settings of the balancer that the snapshot is of
+     * @param watch receives the reasons of decisions, or null
+     * @throws IllegalArgumentException if no balancer with these settings can have this snapshot; names the
+     * field
      */
     public static RatioBalancer restore(Settings settings, Snapshot snapshot, Watch watch) {
         return new RatioBalancer(Snapshots.restore(settings, snapshot), watch);
     }
 
-    /** All that this module knows, between two events. */
+    /** Returns the complete state between two events. */
     public Snapshot snapshot() {
         return beginSnapshot().finish();
     }
 
-    /** Begins a snapshot of this instant, to be taken in parts between the events that follow; ends one begun before. */
+    /**
+     * Begins a snapshot of the present state, to be taken in parts between the events that follow. A snapshot
+     * begun earlier is completed first.
+     */
     public SnapshotInParts beginSnapshot() {
         if (state.inTheMaking != null) {
             state.inTheMaking.more(Integer.MAX_VALUE);
@@ -62,7 +74,7 @@
         return state.inTheMaking;
     }
 
-    /** Takes one event at the caller's time and returns what to do, in order. */
+    /** Handles one event at the caller's time and returns the actions to execute, in order. */
     public List<Action> handle(long nowNanos, Event event) {
         now = nowNanos;
         actions = new ArrayList<>(4);
@@ -179,7 +191,7 @@
     }
 
     private void onNewRoutes(NewRoutes news) {
-        RouteUses made = news.made();
+        RouteUses made = news.made() instanceof RouteUses prepared ? prepared : null;
         if (made == state.routes) {
             return;
         }
@@ -187,7 +199,7 @@
         state.routes.taken();
     }
 
-    /** The routes in force, to make what comes after them from ({@link NewRoutes#made}). */
+    /** Returns the route states in force, from which the next ones are prepared ({@link NewRoutes#made}). */
     public RouteUses routes() {
         return state.routes;
     }
@@ -195,8 +207,10 @@
     // ---- admission ----
 
     /**
-     * The first tier lets in only as many requests at once as are answered within their aim; the rest wait,
-     * those worth most for their work first. Deeper tiers let all in: refusing there wastes the work above.
+     * Admits the request, or queues it. The first tier admits only as many concurrent requests as are answered
+     * within their latency objective; the rest queue, those with the highest priority weight for their work
+     * first. Deeper tiers admit everything: rejecting there would waste the work already done in the tiers
+     * above.
      */
     private void admit(Request r) {
         if (settings.tier() > 0 || hasRoom(r) && (state.waiting.isEmpty() || r.compareTo(state.waiting.peek()) < 0)) {
@@ -208,7 +222,7 @@
         tell(r, Why.WAITS_FOR_ROOM);
         long usual = (long) r.usual();
         long aim = r.use.about.aim() > 0 ? r.use.about.aim() : Long.MAX_VALUE / 2;
-        // A refusal leaves the client time for another node, so it comes soon rather than at the last moment.
+        // Reject early rather than just before the deadline, so that the client has time to try another node.
         long last = Math.min(Math.min(lastMoment(r), now + aim) - 2 * usual, now + usual / 2);
         wakeAt(r, Math.max(now + settings.tick(), last));
     }
@@ -241,9 +255,13 @@
     // ---- dispatch and further attempts ----
 
     /**
-     * Sends the request somewhere, or holds it while waiting may help, or ends it.
+     * Sends an attempt, or holds the request while waiting may help, or ends it.
      *
-     * @param zoned whether its zones were asked for just now, and are all that there is
+     * <p>On the ordinary path this is the Ratio approach with two choices (Küting et al., section 3.2);
+     * choosing another endpoint for the next attempt after a failure is the failover of section 3.4.
+     *
+     * @param zoned whether the request's zones have just been requested and assigned, so that there are no
+     * others
      */
     private void dispatch(Request r, boolean zoned) {
         if (now >= lastMoment(r)) {
@@ -257,6 +275,7 @@
             wakeAt(r, Math.min(lastMoment(r), now + HOLD_STEP));
             return;
         }
+        // Section 3.2: two weighted draws with replacement; the endpoint with the lower mean is taken.
         Upstream server = draw.draw(r, now, watch);
         if (server == null) {
             tell(r, Why.NO_SERVER_NOW);
@@ -279,8 +298,9 @@
     }
 
     /**
-     * After which time an attempt is given up for a further one, where the two can't be out at once; 0 for never. Only
-     * one whose successor is paid for is: to give up what may still be answered for nothing would lose the request.
+     * Returns the time after which an attempt is abandoned for a retry, where hedging is not allowed; 0 for
+     * never. The retry token is taken in advance: abandoning an attempt that may still be answered, and then
+     * having no token for the retry, would lose the request.
      */
     private long giveUpAfter(Request r, Attempt attempt) {
         long after = r.use.timeout(r.cost);
@@ -297,7 +317,10 @@
         return after;
     }
 
-    /** Whether only servers of the zone, or cell, where it may have run discard its repeats. */
+    /**
+     * Whether only endpoints of the zone, or cell, where the request may have been executed discard its
+     * repeats.
+     */
     private static boolean boundToZone(Request r) {
         return r.anchor != null && r.use.about.effect() == Effect.KEYED && r.use.about.group() != KeyGroup.ALL;
     }
@@ -345,12 +368,14 @@
     private void observe(Request r, Attempt attempt, AttemptEnded ended) {
         Upstream server = attempt.server;
         switch (ended.outcome()) {
+            // Section 5.3, averaged variant: only a served call adds its round-trip time to the window.
             case OK -> {
                 server.heard(now);
                 if (!attempt.streaming) {
                     served(r, server, ended.latency());
                 }
             }
+            // Section 3.4: a failure adds no time, but lowers the probability of choosing the endpoint.
             case ERROR -> {
                 server.heard(now);
                 server.failed(true, false, now);
@@ -367,7 +392,7 @@
             }
             case TIMED_OUT -> {
                 if (server.heardAt > attempt.sentAt) {
-                    // Its server answers others: it is late, not lost with a server that says nothing.
+                    // The endpoint has answered other attempts since, so it is slow rather than unresponsive.
                     learnLimit(r);
                 }
                 server.failed(false, true, now);
@@ -375,7 +400,8 @@
             case CONNECT_FAILED -> server.failed(false, true, now);
             case RESET -> server.failed(false, false, now);
             case CANCELLED -> {
-                // A copy was sent because this one overstayed: a time-out in all but name.
+                // A hedged request was sent as this attempt was overdue: a failure like a timeout, but not of
+                // its zone.
                 if (attempt.overstayed) {
                     server.failed(false, false, now);
                 }
@@ -406,6 +432,9 @@
         }
     }
 
+    /**
+     * Retries after an ended attempt (failover, section 3.4), at once or after a backoff, or ends the request.
+     */
     private void again(Request r, Outcome outcome) {
         Why hindrance = r.route == null || r.route.retries(outcome) ? hindrance(r) : Why.ROUTE_DOES_NOT_RETRY;
         if (r.out > 0 || hindrance != null || !spendRetry(r, outcome.neverRan)) {
@@ -430,7 +459,7 @@
         }
     }
 
-    /** Why no further attempt may go out now; null where one may. */
+    /** Returns why no further attempt may be sent now; null if one may. */
     private Why hindrance(Request r) {
         if (r.done || now >= lastMoment(r)) {
             return Why.PAST_DEADLINE;
@@ -446,13 +475,17 @@
         };
     }
 
+    /** Whether a rejection would be true: the request was not executed, or repeating it does no harm. */
     private static boolean mayRefuse(Request r) {
         RequestClass about = r.use.about;
         return r.anchor == null || about.effect() == Effect.SAFE
             || about.effect() == Effect.KEYED && about.group() == KeyGroup.ALL;
     }
 
-    /** Pays for a further attempt: by the route's own budget for any, else only where the last one may have run. */
+    /**
+     * Takes the token for a further attempt. A route's own retry budget is charged for each one, the node's
+     * retry tokens only if the last attempt may have been executed.
+     */
     private boolean spendRetry(Request r, boolean neverRan) {
         if (r.route != null && r.route.hasBudget()) {
             return r.route.spend(now);
@@ -469,6 +502,7 @@
 
     // ---- deadlines ----
 
+    /** The latest time of an answer: one clock step before the deadline. */
     private long lastMoment(Request r) {
         return r.deadline - settings.tick();
     }
@@ -478,7 +512,7 @@
         state.timers.plan(at, r);
     }
 
-    /** The one final answer that the node itself gives. */
+    /** Ends the request with the node's own final answer: rejected where that is true, failed otherwise. */
     private void finish(Request r) {
         if (!r.done) {
             if (mayRefuse(r)) {
@@ -490,6 +524,10 @@
         }
     }
 
+    /**
+     * Rejects the request; {@code defaultRetryAfter} is the Retry-After advice in nanoseconds, before its
+     * bounds.
+     */
     private void refuse(Request r, long away) {
         Limits limits = settings.limits();
         long advice = r.route == null ? away : r.route.retryAfter(away);
@@ -497,7 +535,7 @@
         close(r);
     }
 
-    /** Nothing more goes out for the request; attempts still out are only waited for. */
+    /** Closes the request: no further attempts; those in flight are cancelled if allowed, and awaited. */
     private void close(Request r) {
         if (!r.done) {
             r.done = true;
@@ -541,12 +579,12 @@
         if (r.out == 0 && hindrance == null) {
             dispatch(r, false);
         } else if (r.out == 0) {
-            // While it waited, the servers' memory of its key may have run out.
+            // The deduplication window may have expired during the backoff.
             tell(r, hindrance);
             finish(r);
         } else {
             Attempt last = r.attempts.get(r.attempts.size() - 1);
-            // A route may want its copy long before its server has overstayed.
+            // A route may hedge long before the attempt is overdue.
             last.overstayed = r.route == null || now - last.sentAt >= r.patience();
             if (hindrance == null && spendRetry(r, false)) {
                 tell(r, Why.SECOND_COPY);
--- a/decision/src/main/java/weldhitch/decision/Request.java
+++ b/decision/src/main/java/weldhitch/decision/Request.java
@@ -5,32 +5,36 @@
 import java.util.Set;
 
 /**
- * A request from its arrival until it has its final answer and no attempt out. Those worth most for their work come
- * first. Times are nanoseconds.
+ * The state of a request from its arrival until it has its final answer and no attempt in flight. Its natural
+ * order is that of the admission queue: highest priority weight for its work first, then first come. Times are
+ * nanoseconds. Mutable, owned by the balancer's thread.
  */
 final class Request implements Comparable<Request> {
     final String id;
     final double worth;
-    /** Worth for each nanosecond of a usual round trip of its class. */
+    /** Priority weight per nanosecond of expected latency. */
     final double rank;
     final long number;
     final ClassUse use;
     /** Null where no route matches. */
     final RouteUse route;
-    /** Whether its route has shortened its deadline. */
+    /** Whether the route has shortened the deadline. */
     final boolean shortened;
     final long arrivedAt;
     final long deadline;
+    /** The client's cost hint in seconds; 0 for none. */
     final double cost;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** The first attempt that ran or might have; null while it is certain that none did. */
+    /** The first attempt that was or may have been executed; null while it is certain that none was. */
     Attempt anchor;
+    /** Number of attempts in flight. */
     int out;
-    /** Those it may be sent to; null for any. */
+    /** The zones whose endpoints may serve it; null for any. */
     Set<String> zones;
     boolean done;
     boolean waits;
     boolean admitted;
+    /** When it is to be looked at again; a timer that fires at another time is obsolete. */
     long wakeAt;
 
     Request(String id, ClassUse use, RouteUse route, double worth, double rank, long number, long arrivedAt,
@@ -60,7 +64,7 @@
         return rank != other.rank ? Double.compare(other.rank, rank) : Long.compare(number, other.number);
     }
 
-    /** The round trip that is usual for it. */
+    /** Returns the expected latency in nanoseconds. */
     double usual() {
         return use.usual(cost);
     }
@@ -79,7 +83,7 @@
         return attempt;
     }
 
-    /** An attempt of it that is still out; null where there is none of this number. */
+    /** Returns the attempt of this number if it is in flight, else null. */
     Attempt outNow(int number) {
         return number < 0 || number >= attempts.size() || attempts.get(number).ended ? null : attempts.get(number);
     }
--- a/decision/src/main/java/weldhitch/decision/RetryBudget.java
+++ b/decision/src/main/java/weldhitch/decision/RetryBudget.java
@@ -3,17 +3,19 @@
 import weldhitch.decision.RouteRules.Budget;
 
 /**
- * Counts requests and further attempts over the last ten seconds, second by second, and allows a further attempt
- * while all of them stay within the budget. A further attempt is forgotten no sooner than the requests that paid for
- * it, so that over any time further attempts stay under the share of the requests, and the floor.
+ * A route's retry budget: counts requests and retries (hedged requests included) over the last ten seconds in
+ * one-second slices, and allows a retry while the total stays within the budget. A retry leaves the window no
+ * sooner than the requests that earned it, so that over any period retries stay below their ratio to requests
+ * plus the minimum rate. Not thread-safe; owned by the balancer's thread.
  */
 final class RetryBudget {
-    static final int SLICES = 10;
+    static final int SLICES = Snapshot.OfBudget.WINDOW_SECONDS;
     private static final long SLICE = 1_000_000_000L;
 
     final Budget budget;
     final int[] requests = new int[SLICES];
     final int[] retries = new int[SLICES];
+    /** The latest second counted, by the caller's clock. */
     long slice = Long.MIN_VALUE;
 
     RetryBudget(Budget budget) {
@@ -24,10 +26,12 @@
         return budget;
     }
 
+    /** Counts a request, which earns a part of a retry. */
     void request(long now) {
         requests[at(now)]++;
     }
 
+    /** Counts a retry and returns true if the budget allows it. */
     boolean take(long now) {
         int here = at(now);
         int asked = 0;
@@ -43,6 +47,7 @@
         return true;
     }
 
+    /** Drops the seconds that have left the window and returns the index of the present one. */
     private int at(long now) {
         long current = Math.floorDiv(now, SLICE);
         long passed = slice == Long.MIN_VALUE ? 0 : Math.min(SLICES, current - slice);
--- /dev/null
+++ b/decision/src/main/java/weldhitch/decision/RingPosition.java
@@ -0,0 +1,17 @@
+package weldhitch.decision;
+
+/**
+ * Positions of endpoints on the hash ring by which balancers order the endpoint list. Used by the balancer and
+ * by replay; stateless.
+ */
+public final class RingPosition {
+    private RingPosition() {}
+
+    /**
+     * Returns an endpoint's position, 0 to 2^31 - 1. It depends on the name alone, so it is the same on all
+     * nodes.
+     */
+    public static int of(String server) {
+        return server.hashCode() * 0x9E3779B1 >>> 1;
+    }
+}
--- a/decision/src/main/java/weldhitch/decision/RoutePattern.java
+++ b/decision/src/main/java/weldhitch/decision/RoutePattern.java
@@ -4,23 +4,24 @@
 import java.util.Objects;
 
 /**
- * What a route matches: a class, a method and a path, each or none. A path is a template ({@code /book/{id}/cancel},
- * where a part in braces stands for any one part) or a prefix of whole parts.
+ * What a route matches: a request class, a method and a path, each of them optional. A path is a template
+ * ({@code /book/{id}/cancel}, where braces stand for any one segment) or a prefix of complete segments.
+ * Immutable.
  *
  * @param requestClass the class's name, or null for any
  * @param method the method's name, or null for any
- * @param parts the path between its slashes, a part of null standing for any one; empty for {@code /}
- * @param prefix whether more parts may follow
+ * @param parts the path's segments, null standing for any one; empty for {@code /}
+ * @param prefix whether more segments may follow
  */
 public record RoutePattern(String requestClass, String method, List<String> parts, boolean prefix) {
-    /** Matches all. */
+    /** Matches every request. */
     public static final RoutePattern ALL = new RoutePattern(null, null, List.of(), true);
 
     public RoutePattern {
         parts = java.util.Collections.unmodifiableList(new java.util.ArrayList<>(parts));
     }
 
-    /** Whether some request matches both. */
+    /** Whether there is a request that matches both patterns. */
     public boolean overlaps(RoutePattern other) {
         if (!meet(requestClass, other.requestClass) || !meet(method, other.method)) {
             return false;
@@ -35,12 +36,12 @@
             || (parts.size() < other.parts.size() ? prefix : other.prefix);
     }
 
-    /** Whether both have the same path, whatever its open parts are called. */
+    /** Whether both have the same path, whatever the names of their wildcard segments. */
     public boolean samePath(RoutePattern other) {
         return prefix == other.prefix && parts.equals(other.parts);
     }
 
-    /** Whether it asks for all that the other asks for of class and method. */
+    /** Whether this pattern has every constraint on class and method that the other one has. */
     public boolean asksAllOf(RoutePattern other) {
         return (other.requestClass == null || Objects.equals(requestClass, other.requestClass))
             && (other.method == null || Objects.equals(method, other.method));
--- a/decision/src/main/java/weldhitch/decision/RouteRules.java
+++ b/decision/src/main/java/weldhitch/decision/RouteRules.java
@@ -9,29 +9,30 @@
 import weldhitch.decision.Balancing.Outcome;
 
 /**
- * What an operator allows the requests of one route; it narrows what the platform allows and never widens it. Spans
- * are nanoseconds; a part that is null, or a figure of 0 where said so, leaves the platform's or the module's own.
+ * An operator's policy for the requests of one route. It narrows what the platform allows and never widens it.
+ * Immutable; durations are nanoseconds. A component that is null, or 0 where stated, leaves the platform's or
+ * balancer's default.
  *
- * @param deadline the longest time from arrival to the final answer; 0 for the caller's own
- * @param attemptTimeout the longest time of one attempt; 0 for none of its own
- * @param attempts attempts at most, the first included; 0 for the platform's
- * @param backoff waits between attempts, or null
- * @param retryOn after which outcomes a further attempt may go out, where the effect of the class allows it
- * @param budget what further attempts may cost, or null for the module's own
- * @param hedge when a second copy of a safe request goes out, or null for the module's own
- * @param retryAfter bounds of the advice given with a refusal, or null
- * @param tenants requests a second by tenant over all nodes; {@code *} is all others together
+ * @param deadline the longest time from arrival to the final answer; 0 for the client's own
+ * @param attemptTimeout the longest time of one attempt; 0 for the default
+ * @param attempts the maximum number of attempts, the first included; 0 for the platform's
+ * @param backoff the backoff between attempts, or null
+ * @param retryOn outcomes after which a retry is allowed, if the class's idempotency allows it
+ * @param budget the retry budget, or null for the balancer's own retry tokens
+ * @param hedge when a hedged request of an idempotent request is sent, or null for the balancer's default
+ * @param retryAfter bounds of the Retry-After advice of a rejection, or null
+ * @param tenants requests per second by tenant over all nodes; {@code *} stands for all others together
  */
 public record RouteRules(long deadline, long attemptTimeout, int attempts, Backoff backoff, Set<Outcome> retryOn,
         Budget budget, Hedge hedge, Bounds retryAfter, Map<String, Double> tenants) {
-    /** Outcomes that an operator may name; the others are no outcome of a server. */
+    /** Outcomes that an operator may name; the others are not caused by an endpoint. */
     public static final Set<Outcome> RETRYABLE = Collections.unmodifiableSet(EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL,
         Outcome.RESET, Outcome.TIMED_OUT, Outcome.ERROR));
-    /** Narrows nothing. */
+    /** The policy that restricts nothing. */
     public static final RouteRules NONE = new RouteRules(0, 0, 0, null, RETRYABLE, null, null, null, Map.of());
 
     public RouteRules {
-        // In an order that is the same in every run, as these are saved and compared.
+        // Ordered, as policies are saved and compared: the order must be the same in every run.
         EnumSet<Outcome> outcomes = EnumSet.noneOf(Outcome.class);
         outcomes.addAll(retryOn);
         retryOn = Collections.unmodifiableSet(outcomes);
@@ -42,23 +43,25 @@
     }
 
     /**
-     * Waits of full jitter: before the n-th further attempt any time from 0 to {@code base * 2^(n-1)}, at most
-     * {@code max} (Brooker, "Exponential Backoff And Jitter", 2015).
+     * Exponential backoff with full jitter: before the n-th retry a random time from 0 to {@code base *
+     * 2^(n-1)}, at most {@code max} (Brooker, "Exponential Backoff And Jitter", 2015). Both are nanoseconds.
      */
     public record Backoff(long base, long max) {
         public Backoff {
             require(base > 0 && max >= base, "base from 1 ns, max from base");
         }
 
-        /** The longest wait before further attempt {@code n}, counted from 1. */
+        /** Returns the longest backoff before retry {@code n}, counted from 1. */
         public long ceiling(int n) {
             return n > 40 || base > max >> Math.min(n - 1, 62) ? max : Math.min(max, base << (n - 1));
         }
     }
 
     /**
-     * Further attempts in any ten seconds: {@code share} of the requests of that time, and {@code floor} a second
-     * besides (after Finagle's RetryBudget). Each route has its own.
+     * A retry budget over any ten seconds (after Finagle's RetryBudget). Each route has its own.
+     *
+     * @param share retries allowed as a fraction of the requests of that time
+     * @param floor retries per second allowed in addition
      */
     public record Budget(double share, double floor) {
         public Budget {
@@ -66,34 +69,34 @@
         }
     }
 
-    /** A second copy after a fixed time, after a percentile of the route's own latency, or never. */
+    /** When a hedged request is sent: after a fixed delay, at a percentile of the route's latency, or never. */
     public sealed interface Hedge permits HedgeAfter, HedgePercentile, HedgeOff {
     }
 
-    /** After {@code delay} nanoseconds without an answer. */
+    /** Hedge after {@code delay} nanoseconds without an answer. */
     public record HedgeAfter(long delay) implements Hedge {
         public HedgeAfter {
             require(delay > 0, "delay from 1 ns");
         }
     }
 
-    /** After the given percentile, 50 to 99, of the last answers; none goes out before enough of them have come. */
+    /** Hedge at the given percentile, 50 to 99, of the last latencies; not before there are enough samples. */
     public record HedgePercentile(double percentile) implements Hedge {
         public HedgePercentile {
             require(percentile >= 50 && percentile <= 99, "percentile from 50 to 99");
         }
 
-        /** Answers that it takes until ten are expected beyond the percentile. */
+        /** Returns the number of samples at which ten are expected beyond the percentile. */
         public int samples() {
             return (int) Math.ceil(1000 / (100 - percentile));
         }
     }
 
-    /** No second copies. */
+    /** No hedged requests. */
     public record HedgeOff() implements Hedge {
     }
 
-    /** A least and a most, in nanoseconds. */
+    /** Bounds of Retry-After advice, in nanoseconds. */
     public record Bounds(long min, long max) {
         public Bounds {
             require(min >= 0 && max >= min, "min from 0, max from min");
--- a/decision/src/main/java/weldhitch/decision/RouteUse.java
+++ b/decision/src/main/java/weldhitch/decision/RouteUse.java
@@ -5,16 +5,25 @@
 import weldhitch.decision.Balancing.Outcome;
 import weldhitch.decision.RouteRules.*;
 
-/** One route at work: its rules, and what they need to remember. */
+/**
+ * The state of one route: its policy, and the retry budget, tenant quotas and latencies that the policy needs.
+ * Times are nanoseconds. The budget, quotas and latencies are mutable and owned by the balancer's thread.
+ */
 final class RouteUse {
     final RouteRules rules;
-    /** Null where the route has none. */
+    /** Null if the route has none of its own. */
     final RetryBudget budget;
     final Map<String, Quota> tenants;
-    /** Null where no rule asks for them. */
+    /** Null unless the route hedges at a percentile. */
     final Latencies latencies;
 
-    /** Shares with {@code before}, a route of the same name or group or null, what has the same rule in both. */
+    /**
+     * Creates the state of a route.
+     *
+     * @param siblings number of nodes that share the tenants' quotas
+     * @param before a route of the same name or group, whose state is shared where its settings are the same;
+     * or null
+     */
     RouteUse(RouteRules rules, int siblings, RouteUse before) {
         this.rules = rules;
         boolean same = before != null && before.budget != null && before.budget.budget().equals(rules.budget());
@@ -31,7 +40,7 @@
         }
     }
 
-    /** As it was when it was saved. */
+    /** Restores a saved state. */
     RouteUse(RouteRules rules, RetryBudget budget, Map<String, Quota> tenants, Latencies latencies) {
         this.rules = rules;
         this.budget = budget;
@@ -39,14 +48,17 @@
         this.latencies = latencies;
     }
 
-    /** A request that its tenant's limit leaves in; what is refused pays for no further attempts. */
+    /** Counts a request within its tenant's quota; rejected ones earn no retries. */
     void letIn(long now) {
         if (budget != null) {
             budget.request(now);
         }
     }
 
-    /** The quota that this tenant has used up; null while it has not, or has none. */
+    /**
+     * Takes a token of the tenant's quota; returns the quota if it is exhausted, null if not or if there is
+     * none.
+     */
     Quota exceeded(String tenant, long now) {
         if (tenants.isEmpty()) {
             return null;
@@ -56,15 +68,17 @@
         return quota == null || quota.take(now) ? null : quota;
     }
 
+    /** Returns the request's deadline, shortened to the route's. */
     long deadline(long now, long asked) {
         return rules.deadline() > 0 ? Math.min(asked, now + rules.deadline()) : asked;
     }
 
+    /** Returns the maximum number of attempts, {@code allowed} being the platform's. */
     int attempts(int allowed) {
         return rules.attempts() > 0 ? Math.min(allowed, rules.attempts()) : allowed;
     }
 
-    /** How long an attempt sent now may take: never past the deadline; 0 where nothing here bounds it. */
+    /** Returns the timeout of an attempt sent now, within the deadline; 0 if nothing here limits it. */
     long timeout(long own, long left) {
         long timeout = rules.attemptTimeout() > 0 ? rules.attemptTimeout() : own;
         return timeout > 0 ? Math.min(timeout, left) : rules.deadline() > 0 ? left : 0;
@@ -82,12 +96,14 @@
         return budget.take(now);
     }
 
-    /** The wait before further attempt {@code n}, counted from 1; below 0 where the route has none of its own. */
+    /**
+     * Returns the backoff before retry {@code retry}, counted from 1; below 0 if the route has none of its own.
+     */
     long wait(int n, SeededRandom random) {
         return rules.backoff() == null ? -1 : (long) (random.nextDouble() * rules.backoff().ceiling(n));
     }
 
-    /** When a second copy goes out after the first; {@code own} where the route does not say, 0 for never. */
+    /** Returns the hedge delay; {@code defaultDelay} if the route does not define one, 0 for never. */
     long hedgeAfter(long own) {
         if (rules.hedge() instanceof HedgeAfter fixed) {
             return fixed.delay();
--- a/decision/src/main/java/weldhitch/decision/RouteUses.java
+++ b/decision/src/main/java/weldhitch/decision/RouteUses.java
@@ -5,15 +5,16 @@
 import java.util.Map;
 
 /**
- * Routes at work: what each route needs to remember, kept from the routes before where the rule is the same. Made once and
- * not changed, so it can be made ahead on another thread, and a balancer takes it up in no time that grows with routes.
+ * The states of all routes; a route keeps the state it had in the previous table where its policy is the same.
+ * The set of routes does not change once created, so it can be prepared on another thread and then handed to
+ * the balancer, which activates it in constant time. The states themselves belong to the balancer's thread.
  */
-public final class RouteUses {
+public final class RouteUses implements PreparedRoutes {
     static final RouteUses NONE = new RouteUses(null, Map.of());
 
     private final Routes routes;
     private final Map<String, RouteUse> byName;
-    /** What this was made after, until it is taken up. */
+    /** The route states that this was prepared from, until it is activated. */
     private RouteUses before;
 
     RouteUses(Routes routes, Map<String, RouteUse> byName) {
@@ -21,16 +22,16 @@
         this.byName = byName;
     }
 
-    /** The routes, or null for none. */
+    /** Returns the route table, or null for none. */
     public Routes routes() {
         return routes;
     }
 
     /**
-     * Routes that come after these.
+     * Prepares the states of the next route table.
      *
      * @param next null for none
-     * @param siblings nodes that share the limits of tenants
+     * @param siblings number of nodes that share the tenants' quotas
      */
     public RouteUses then(Routes next, int siblings) {
         Map<String, RouteUse> uses = new LinkedHashMap<>();
@@ -46,12 +47,12 @@
         return made;
     }
 
-    /** Whether this was made after {@code inForce}, and so remembers what that does. */
+    /** Whether this was prepared from {@code active}, and so shares its states. */
     boolean follows(RouteUses inForce) {
         return before == inForce;
     }
 
-    /** Taken up: what came before is not held any longer. */
+    /** Called on activation: releases the previous states. */
     void taken() {
         before = null;
     }
@@ -60,7 +61,7 @@
         return byName.get(route);
     }
 
-    /** The route of a request, or null. */
+    /** Returns the state of the route that a request matches, or null. */
     RouteUse match(Balancing.Arrival arrival) {
         if (routes == null || arrival.target() == null) {
             return null;
@@ -69,7 +70,7 @@
         return route == null ? null : byName.get(route.name());
     }
 
-    /** Whether a request would be decided by other rules here than there. */
+    /** Whether a request would get another policy here than there. */
     public boolean differs(RouteUses other, String requestClass, String method, String target) {
         return !rules(requestClass, method, target).equals(other.rules(requestClass, method, target));
     }
--- a/decision/src/main/java/weldhitch/decision/Routes.java
+++ b/decision/src/main/java/weldhitch/decision/Routes.java
@@ -7,19 +7,24 @@
 import java.util.Set;
 
 /**
- * Finds the route of a request. Paths are compared part by part from the left: a part spelled out goes before an open
- * one, and that before the end of a prefix; among routes of one path the higher rank goes first, then the one that
- * asks for method and class, then for method, then for class. The path is taken as it stands in the request line up
- * to its query, without decoding.
+ * Finds the route of a request. Paths are compared segment by segment from the left: a literal segment takes
+ * precedence over a wildcard, and that over the end of a prefix. Among routes with the same path the higher
+ * precedence wins, then the one that specifies method and class, then method, then class. The path is used as
+ * it stands in the request line up to its query, without decoding.
  *
- * <p>Immutable. A look-up walks a tree of parts, each node at most once, and makes nothing.
+ * <p>Immutable and thread-safe. A lookup walks a tree of segments, visits each node at most once and allocates
+ * nothing.
  */
 public final class Routes {
     /**
-     * One route. Names are unique; of a name, what stands before {@code @} is the group, whose members share budgets,
-     * quotas and latencies where their rules are the same. The higher {@code rank} goes first where paths are alike.
+     * One route.
+     *
+     * @param name unique; the part before {@code @} is the group, whose members share retry budgets, quotas
+     * and latencies     where their policies are the same
+     * @param rank decides between routes with the same path: the higher one wins
      */
     public record Route(String name, int rank, RoutePattern pattern, RouteRules rules) {
+        /** Returns the part of the name before {@code @}, or the complete name. */
         public String group() {
             int end = name.indexOf('@');
             return end < 0 ? name : name.substring(0, end);
@@ -29,7 +34,11 @@
     private final Part root = new Part("");
     private final List<Route> all;
 
-    /** @throws IllegalArgumentException where two routes match the same requests equally */
+    /**
+     * Builds the lookup tree.
+     *
+     * @throws IllegalArgumentException if two routes match the same requests with the same precedence
+     */
     public Routes(List<Route> routes) {
         all = List.copyOf(routes);
         for (Route route : all) {
@@ -42,16 +51,21 @@
         root.sort();
     }
 
+    /** Returns all routes in their given order. */
     public List<Route> all() {
         return all;
     }
 
-    /** The most specific route that matches, or null. {@code uri} is the request's target, its query ignored. */
+    /**
+     * Returns the most specific route that matches, or null. {@code target} is the request target; its query is
+     * ignored.
+     */
     public Route match(String requestClass, String method, String uri) {
         int end = uri.indexOf('?');
         return root.match(requestClass, method, uri, uri.startsWith("/") ? 1 : 0, end < 0 ? uri.length() : end);
     }
 
+    /** A node of the tree: one path segment with its child segments and the routes that end there. */
     private static final class Part {
         private static final Comparator<Route> ORDER = Comparator.<Route>comparingInt(Route::rank)
             .thenComparing(r -> (r.pattern().method() != null ? 2 : 0) + (r.pattern().requestClass() != null ? 1 : 0))
@@ -103,7 +117,9 @@
             }
         }
 
-        /** The best route below here for the path from {@code from} on, which lies behind a slash. */
+        /**
+         * Returns the best route below this node for the path from index {@code start}, which follows a slash.
+         */
         Route match(String requestClass, String method, String uri, int from, int end) {
             Route found = null;
             if (from < end) {
--- a/decision/src/main/java/weldhitch/decision/SeededRandom.java
+++ b/decision/src/main/java/weldhitch/decision/SeededRandom.java
@@ -4,8 +4,9 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 
 /**
- * Chance from a seed, whose state can be saved. SplitMix64 (Steele, Lea, Flood, "Fast splittable pseudorandom number
- * generators", 2014) gives the numbers that {@link java.util.SplittableRandom} gives for the same seed, bit for bit.
+ * A pseudorandom number generator whose state can be saved. SplitMix64 (Steele, Lea, Flood, "Fast splittable
+ * pseudorandom number generators", 2014) yields the same numbers as {@link java.util.SplittableRandom} for the
+ * same seed, bit for bit. Not thread-safe; each owner has its own.
  */
 final class SeededRandom {
     private final SplitMix64 source;
@@ -14,7 +15,11 @@
         source = new SplitMix64(seed);
     }
 
-    /** @throws IllegalArgumentException where these bytes are no state of it */
+    /**
+     * Restores a generator.
+     *
+     * @throws IllegalArgumentException if the bytes are not a state of this generator
+     */
     SeededRandom(byte[] saved) {
         this(0);
         try {
@@ -24,11 +29,12 @@
         }
     }
 
-    /** From 0 to 1, 1 left out. */
+    /** Returns a number from 0 inclusive to 1 exclusive. */
     double nextDouble() {
         return source.nextDouble();
     }
 
+    /** Returns the state, for the constructor that restores it. */
     byte[] save() {
         return ((RandomProviderDefaultState) source.saveState()).getState();
     }
--- a/decision/src/main/java/weldhitch/decision/Snapshot.java
+++ b/decision/src/main/java/weldhitch/decision/Snapshot.java
@@ -8,32 +8,39 @@
 import weldhitch.decision.RouteRules.HedgePercentile;
 
 /**
- * All that a {@link RatioBalancer} knows between two events, as plain data. Each part says what it can't be: one that
- * holds an impossible figure can't be made, and the complaint names the field. Times are nanoseconds of the node's own
- * clock. Places in a list stand for what is shared; -1 for none.
+ * The complete state of a {@link RatioBalancer} between two events, as plain data. Each record validates its
+ * components: one with an impossible value cannot be created, and the exception names the field. Times are
+ * nanoseconds of the node's own clock. Shared objects are represented by their index in a list; -1 for none.
+ * Immutable, if the arrays are not changed.
  *
- * <p>Not here, as they are made anew to the same bits: the ready servers in their order (by the list), the requests
- * that wait (by their marks), and what a draw writes before it reads it.
+ * <p>Not included, as it is derived again bit for bit: the ready endpoints in ring order (from the list), the
+ * admission queue (from the requests' flags), and what a pick writes before it reads it.
  *
- * @param version of this form, {@link #VERSION}
- * @param random the state of the random numbers
- * @param servers those of the list in its order, and behind them those that only attempts still know
- * @param cold ready servers that were cold at the last look, in their order
- * @param carried calls a nanosecond that a warm server serves this node, 0 where none is known
- * @param classes those of the settings in their order, and behind them the one for unknown names
- * @param routes null where there are none
- * @param routesInForce for each of {@code routes}, its place in {@code routeUses}
- * @param requests in the order of their arrival
- * @param quotas the settings' tenants with one, in their order
+ * @param version the format version, {@link #VERSION}
+ * @param random the state of the random number generator
+ * @param servers the endpoints of the list in its order, then those that only attempts still refer to
+ * @param cold indexes of the ready endpoints that were in slow start when last checked, in their order
+ * @param carried served rate: calls per nanosecond that a warm endpoint serves this node, 0 if unknown
+ * @param classes the classes of the settings in their order, then the one for unknown names
+ * @param routes null if there are none
+ * @param routesInForce for each of {@code routes}, its index in {@code routeStates}
+ * @param requests in order of arrival
+ * @param quotas of the settings' tenants that have one, in their order
+ * @param usualRank moving average of the rank of arriving requests
+ * @param asked whether a subscription is requested and not yet answered
+ * @param refusedAsks subscriptions rejected in a row, 0 to 6
  */
 public record Snapshot(int version, byte[] random, List<OfZone> zones, List<OfServer> servers, List<Integer> cold,
         double carried, long carriedAt, List<OfClass> classes, List<Routes.Route> routes, List<Integer> routesInForce, List<OfBudget> budgets,
         List<OfQuota> routeQuotas, List<OfLatencies> latencies, List<OfRouteUse> routeUses, List<OfRequest> requests,
         List<OfTimer> timers, long armedFor, long numbers, OfAdmission admission, List<OfQuota> quotas, double usualRank,
         double retriesSaved, boolean started, boolean asked, boolean subscribed, int refusedAsks) {
-    /** The form that this build writes and reads. */
+    /** The format version that this build writes and reads. */
     public static final int VERSION = 4;
 
+    /** The maximum number of retry tokens of a balancer. */
+    public static final double MAX_RETRY_TOKENS = 10;
+
     public Snapshot {
         check(version == VERSION, "version", version, "one of " + VERSION);
         check(random != null && random.length > 0 && random.length <= 64, "random", random, "1 to 64 bytes");
@@ -55,11 +62,11 @@
         finite("carried", carried, 0);
         finite("usualRank", usualRank, 0);
         finite("retriesSaved", retriesSaved, 0);
-        check(retriesSaved <= BalancerState.MOST_RETRIES_SAVED, "retriesSaved", retriesSaved, "10 at most");
+        check(retriesSaved <= MAX_RETRY_TOKENS, "retriesSaved", retriesSaved, "10 at most");
         check(refusedAsks >= 0 && refusedAsks <= 6, "refusedAsks", refusedAsks, "0 to 6");
     }
 
-    /** Failures of a zone as a whole. */
+    /** The decaying failure count of a zone, as of {@code failedAt}. */
     public record OfZone(String name, double failures, long failedAt) {
         public OfZone {
             check(name != null, "zone.name", null, "a name");
@@ -67,26 +74,38 @@
         }
     }
 
-    /** {@code window}: the last round trips, as multiples of usual ones, with {@code next} the place of the next. */
+    /**
+     * An endpoint.
+     *
+     * @param zone its index in {@code zones}
+     * @param listed whether it is in the endpoint list
+     * @param coldListed whether it was in slow start when last checked
+     * @param window the last round trips as multiples of the expected latency
+     * @param next the index of the next sample in the window
+     * @param out the attempts in flight, oldest first
+     */
     public record OfServer(String id, int zone, long cell, ServerState state, double size, long startedAt, boolean listed,
             double credit, boolean coldListed, double failures, long failedAt, double errorShare, double[] window,
             double sum, int count, int next, long sampledAt, long heardAt, List<OfSent> out) {
+        /** Number of round trips in an endpoint's window. */
+        public static final int LATENCY_WINDOW = 20;
+
         public OfServer {
             check(id != null, "server.id", null, "a name");
-            // A fleet has thousands: no complaint is put together before there is one.
+            // A fleet has thousands of endpoints: build an error message only if there is an error.
             part(state != null, id, "state", 0, "READY, DRAINING or GONE, not nothing");
             part(size > 0 && Double.isFinite(size), id, "size", size, "more than 0");
             part(Double.isFinite(credit) && credit <= 2, id, "credit", credit, "2 at most");
             part(failures >= 0 && Double.isFinite(failures), id, "failures", failures, "a finite figure from 0");
             part(errorShare >= 0 && errorShare <= 1, id, "errorShare", errorShare, "0 to 1");
-            part(window != null && window.length == Upstream.WINDOW, id, "window", window == null ? 0 : window.length,
-                "so many figures: " + Upstream.WINDOW);
+            part(window != null && window.length == LATENCY_WINDOW, id, "window", window == null ? 0 : window.length,
+                "so many figures: " + LATENCY_WINDOW);
             for (double trip : window) {
                 part(Double.isFinite(trip), id, "window", trip, "a finite figure");
             }
             part(Double.isFinite(sum), id, "sum", sum, "a finite figure");
-            part(count >= 0 && count <= Upstream.WINDOW, id, "count", count, "0 to " + Upstream.WINDOW);
-            part(next >= 0 && next < Upstream.WINDOW, id, "next", next, "0 to " + (Upstream.WINDOW - 1));
+            part(count >= 0 && count <= LATENCY_WINDOW, id, "count", count, "0 to " + LATENCY_WINDOW);
+            part(next >= 0 && next < LATENCY_WINDOW, id, "next", next, "0 to " + (LATENCY_WINDOW - 1));
             part(out != null, id, "out", 0, "a list, not nothing");
             out = List.copyOf(out);
         }
@@ -98,11 +117,11 @@
         }
     }
 
-    /** An attempt by its request's place in {@code requests} and its number. */
+    /** An attempt in flight, by its request's index in {@code requests} and its own number. */
     public record OfSent(int request, int attempt) {
     }
 
-    /** {@code name} null: the class of requests whose class the settings don't name. */
+    /** The latency model of a class; {@code name} null stands for classes that the settings don't name. */
     public record OfClass(String name, double trip, double deviation, double cost, double costVariance, double covariance,
             int seen) {
         public OfClass {
@@ -116,8 +135,13 @@
         }
     }
 
-    /** Requests and further attempts of the last seconds, {@code slice} the last one counted. */
+    /**
+     * Requests and retries by second of a retry budget's window; {@code latestSecond} is the last one counted.
+     */
     public record OfBudget(Budget rule, int[] requests, int[] retries, long slice) {
+        /** Length of a retry budget's window in seconds. */
+        public static final int WINDOW_SECONDS = 10;
+
         public OfBudget {
             check(rule != null, "budget.rule", null, "a rule");
             seconds("budget.requests", requests);
@@ -125,14 +149,14 @@
         }
 
         private static void seconds(String field, int[] counts) {
-            check(counts != null && counts.length == RetryBudget.SLICES, field, counts, RetryBudget.SLICES + " counts");
+            check(counts != null && counts.length == WINDOW_SECONDS, field, counts, WINDOW_SECONDS + " counts");
             for (int each : counts) {
                 check(each >= 0, field, each, "0 or more");
             }
         }
     }
 
-    /** A token bucket. */
+    /** A tenant's token bucket; {@code everUsed}: whether a token was ever requested. */
     public record OfQuota(String tenant, double perSecond, double left, long at, boolean used) {
         public OfQuota {
             check(tenant != null, "quota.tenant", null, "a name");
@@ -141,16 +165,19 @@
         }
     }
 
-    /** {@code last}: the last answers' latencies, null before the first. */
+    /** A route's latency percentile; {@code samples}: the last latencies, null before the first. */
     public record OfLatencies(HedgePercentile rule, long[] last, long seen, long percentile) {
+        /** Number of latencies that a percentile is computed over. */
+        public static final int WINDOW = 1024;
+
         public OfLatencies {
             check(rule != null, "latencies.rule", null, "a rule");
-            check(last == null ? seen == 0 : last.length == Latencies.KEPT, "latencies.last", last, Latencies.KEPT + " figures");
+            check(last == null ? seen == 0 : last.length == WINDOW, "latencies.last", last, WINDOW + " figures");
             check(seen >= 0 && percentile >= 0, "latencies.seen", seen, "0 or more, and the percentile too");
         }
     }
 
-    /** A route at work: its rules, and places of its budget, quotas and latencies. */
+    /** A route's state: its policy, and the indexes of its retry budget, quotas and latencies. */
     public record OfRouteUse(RouteRules rules, int budget, List<Integer> quotas, int latencies) {
         public OfRouteUse {
             check(rules != null, "routeUse.rules", null, "rules");
@@ -159,8 +186,13 @@
     }
 
     /**
-     * {@code requestClass} null: a class that the settings don't name; {@code anchor}: the attempt's number; {@code zones}:
-     * those it may be sent to, in their order, null for any.
+     * A request.
+     *
+     * @param requestClass null for a class that the settings don't name
+     * @param route the index of its route's state, -1 for none
+     * @param shortened whether its route has shortened its deadline
+     * @param anchor the number of the first attempt that may have been executed, -1 for none
+     * @param zones the zones that may serve it, in order; null for any
      */
     public record OfRequest(String id, String requestClass, int route, double worth, double rank, long number,
             long arrivedAt, long deadline, boolean shortened, double cost, List<OfAttempt> attempts, int anchor,
@@ -178,16 +210,21 @@
         }
     }
 
-    /** {@code server}: its place in {@code servers}. */
+    /** An attempt; {@code endpoint} is the index in {@code endpoints}. */
     public record OfAttempt(int server, long sentAt, boolean ended, boolean neverRan, boolean overstayed,
             boolean streaming, boolean successorPaid) {
     }
 
-    /** {@code request}: its place in {@code requests}, -1 for the list's subscription; {@code spent}: waits no longer. */
+    /**
+     * A timer.
+     *
+     * @param request the index in {@code requests}, -1 for the subscription to endpoint updates
+     * @param spent whether it is cancelled
+     */
     public record OfTimer(long at, long number, int request, boolean spent) {
     }
 
-    /** The admission limit. */
+    /** The state of the admission limit. */
     public record OfAdmission(double limit, int admitted, boolean learning, boolean starting, double quickest, int slow,
             double learnedOver) {
         public OfAdmission {
@@ -199,6 +236,7 @@
         }
     }
 
+    /** Throws an exception that names the field unless the value is sound. */
     static void check(boolean sound, String field, Object value, String wanted) {
         if (!sound) {
             throw new IllegalArgumentException("snapshot: " + field + ": " + value + ", expected " + wanted);
--- a/decision/src/main/java/weldhitch/decision/SnapshotInParts.java
+++ b/decision/src/main/java/weldhitch/decision/SnapshotInParts.java
@@ -5,18 +5,19 @@
 import weldhitch.decision.Snapshot.OfServer;
 
 /**
- * A snapshot that is taken between events, some servers at a time, so that a large fleet does not hold the event loop. It
- * is of the instant at which it was begun: all but the servers is saved then, and a server that changes before its turn is
- * saved ahead of its change. Single-threaded like the module; once {@link #more} has said that all is saved, another thread
- * to which it was handed safely may ask for the {@link #snapshot}.
+ * A snapshot taken incrementally between events, some endpoints at a time, so that a large fleet does not
+ * block the event loop. It is consistent with the instant at which it was begun: everything but the endpoints
+ * is saved then, and an endpoint that changes before its turn is saved first (copy on write). It belongs to
+ * the balancer's thread; once {@link #more} has returned true, another thread to which it is safely published
+ * may call {@link #snapshot}.
  */
 public final class SnapshotInParts {
-    /** Everything but the servers, for which it is given a list. */
+    /** Assembles the snapshot from the saved endpoints and everything else, which it has already. */
     interface Rest {
         Snapshot with(List<OfServer> servers);
     }
 
-    /** What saves one server. */
+    /** Saves one endpoint. */
     interface Saver {
         OfServer save(Upstream server, boolean listed);
     }
@@ -32,7 +33,7 @@
     SnapshotInParts() {
     }
 
-    /** The server's place, which its first mention gives it. */
+    /** Returns the endpoint's index, which is assigned at its first mention. */
     int placeOf(Upstream server) {
         if (server.wantedBy != this) {
             server.wantedBy = this;
@@ -42,25 +43,25 @@
         return server.savedAs;
     }
 
-    /** Those mentioned until now are the list's; what comes behind them only attempts know. */
+    /** The endpoints mentioned so far are those of the list; only attempts refer to the ones that follow. */
     void listEnds() {
         listed = servers.size();
     }
 
-    /** No server is mentioned any more. */
+    /** All endpoints have been mentioned: saving can start. */
     void begun(Saver how, Rest others) {
         saver = how;
         rest = others;
         saved = new OfServer[servers.size()];
     }
 
-    /** Ahead of a change of a server that has not been saved. */
+    /** Saves an endpoint that is not saved yet; called before it changes. */
     void keep(Upstream server) {
         server.wantedBy = null;
         saved[server.savedAs] = saver.save(server, server.savedAs < listed);
     }
 
-    /** Saves so many servers more at most; true once all are. */
+    /** Saves at most this many more endpoints; returns true once all are saved. */
     public boolean more(int most) {
         int end = (int) Math.min(servers.size(), (long) next + most);
         for (; next < end; next++) {
@@ -73,12 +74,16 @@
         return complete;
     }
 
-    /** Whether all is saved; asked on any thread. */
+    /** Whether everything is saved; may be called on any thread. */
     public boolean complete() {
         return complete;
     }
 
-    /** @throws IllegalStateException while something is still to be saved */
+    /**
+     * Returns the complete snapshot.
+     *
+     * @throws IllegalStateException if endpoints are still to be saved
+     */
     public Snapshot snapshot() {
         if (!complete) {
             throw new IllegalStateException(next + " of " + servers.size() + " servers are saved");
@@ -86,7 +91,7 @@
         return rest.with(List.of(saved));
     }
 
-    /** Saves what is left. */
+    /** Saves the remaining endpoints and returns the snapshot. */
     public Snapshot finish() {
         more(Integer.MAX_VALUE);
         return snapshot();
--- a/decision/src/main/java/weldhitch/decision/Snapshots.java
+++ b/decision/src/main/java/weldhitch/decision/Snapshots.java
@@ -12,12 +12,15 @@
 import weldhitch.decision.Balancing.Settings;
 import weldhitch.decision.Snapshot.*;
 
-/** Saves what a module knows, and makes it anew. What two parts share by reference they share again. */
+/**
+ * Converts a {@link BalancerState} to a {@link Snapshot} and back. Objects that are shared by reference are
+ * shared again after restoring. Called by {@link RatioBalancer} on its thread; stateless.
+ */
 final class Snapshots {
     private Snapshots() {
     }
 
-    /** Gives each thing a place at its first mention. */
+    /** Assigns each object an index at its first mention, by identity. */
     private static final class Places<T> {
         final Map<T, Integer> places = new IdentityHashMap<>();
         final List<T> all = new ArrayList<>();
@@ -45,7 +48,7 @@
 
     // ---- saving ----
 
-    /** Saves all but the servers, which are left to be saved one by one. */
+    /** Saves everything but the endpoints, which the returned snapshot saves one by one. */
     static SnapshotInParts begin(BalancerState s) {
         SnapshotInParts parts = new SnapshotInParts();
         Places<Request> requests = new Places<>();
@@ -144,6 +147,10 @@
 
     // ---- making anew ----
 
+    /**
+     * Restores the state; throws an IllegalArgumentException that names the field if it doesn't fit the
+     * settings.
+     */
     static BalancerState restore(Settings settings, Snapshot snapshot) {
         BalancerState s = new BalancerState(settings, new SeededRandom(snapshot.random()));
         List<Failures> zones = new ArrayList<>();
--- a/decision/src/main/java/weldhitch/decision/Timers.java
+++ b/decision/src/main/java/weldhitch/decision/Timers.java
@@ -2,9 +2,17 @@
 
 import java.util.PriorityQueue;
 
-/** What is due, in the order of its time, and of its planning where times are equal. Times are nanoseconds. */
+/**
+ * The balancer's timers, ordered by time, then by when they were scheduled. Only the earliest is requested
+ * from the caller. Times are nanoseconds. Not thread-safe; owned by the balancer's thread.
+ */
 final class Timers {
-    /** {@code request}: what waits, null for the list's subscription; {@code spent}: it no longer waits, only the time stands. */
+    /**
+     * A scheduled timer.
+     *
+     * @param request the request that waits; null for the subscription to endpoint updates
+     * @param spent whether it is cancelled, so that it fires without effect
+     */
     record Due(long at, long number, Request request, boolean spent) implements Comparable<Due> {
         @Override
         public int compareTo(Due other) {
@@ -13,9 +21,9 @@
     }
 
     final PriorityQueue<Due> due = new PriorityQueue<>();
-    /** When the timer asked for last comes; the most there is where none is out. */
+    /** When the timer requested last fires; {@link Long#MAX_VALUE} if none is pending. */
     long armedFor = Long.MAX_VALUE;
-    /** Numbers given so far, to requests too. */
+    /** Sequence numbers given so far, to requests as well as timers. */
     long numbers;
 
     long nextNumber() {
@@ -26,19 +34,19 @@
         due.add(new Due(at, numbers++, request, false));
     }
 
-    /** A timer came: whatever was asked for until now is no longer out. */
+    /** A timer has fired: if the one requested last is due, none is pending any more. */
     void came(long now) {
         if (now >= armedFor) {
             armedFor = Long.MAX_VALUE;
         }
     }
 
-    /** What is due next, taken out; null where nothing is yet. */
+    /** Removes and returns the next expired timer; null if there is none. */
     Due poll(long now) {
         return due.isEmpty() || due.peek().at > now ? null : due.poll();
     }
 
-    /** Nanoseconds until a timer must come that is not out yet; below 0 where none must. */
+    /** Returns the delay in nanoseconds of the timer to request now; below 0 if none is needed. */
     long arm(long now) {
         if (due.isEmpty() || due.peek().at >= armedFor) {
             return -1;
--- a/decision/src/main/java/weldhitch/decision/Upstream.java
+++ b/decision/src/main/java/weldhitch/decision/Upstream.java
@@ -5,13 +5,18 @@
 import weldhitch.decision.Balancing.ServerState;
 
 /**
- * What is known of one server: its line of the list, its last round trips as multiples of their class's usual one, its
- * failures, its credit while it is cold, and the attempts it has out. Times are nanoseconds.
+ * The state of one endpoint: its entry in the endpoint list, its last round trips as multiples of the expected
+ * latency of their class, its failures, its slow-start credit and its attempts in flight. Times are
+ * nanoseconds. Mutable, and owned by the balancer's thread; each change first lets a snapshot in progress save
+ * the old state.
  */
 final class Upstream {
-    /** Round trips a server's mean is taken over (the paper's averaged variant). */
-    static final int WINDOW = 20;
-    /** Time in which an old mean loses most of its distance to t_b, and a share of errors its height. */
+    /**
+     * Round trips that an endpoint's mean is computed over (Küting et al., section 5.3: the averaged variant,
+     * 20).
+     */
+    static final int WINDOW = Snapshot.OfServer.LATENCY_WINDOW;
+    /** Time constant by which an old mean decays towards t_b, and the error rate towards 0. */
     static final double FADE = 10e9;
     private static final double ERROR_STEP = 0.1;
 
@@ -21,39 +26,42 @@
     final long cell;
     final long startedAt;
     final Failures failures = new Failures();
-    /** Shared with all servers of its zone. */
+    /** Shared by all endpoints of the zone. */
     final Failures zoneFailures;
-    /** Attempts that wait for its answer, the oldest first. */
+    /** Attempts in flight, oldest first. */
     final ArrayDeque<Attempt> out = new ArrayDeque<>();
     final double[] window = new double[WINDOW];
     ServerState state;
     double size;
-    /** Calls that it may be sent while it is cold. */
+    /** Calls that may be sent to it while it is in slow start. */
     double credit;
     boolean isColdListed;
     double errorShare;
-    /** Of the window, kept as it changes: rounding and all, it is part of what is known. */
+    /** Sum of the window, updated incrementally; its rounding errors are part of the state. */
     double sum;
     int count;
     int next;
     long sampledAt;
     long heardAt;
-    /** Its mean for the draw at hand. */
+    /** The mean that the current pick uses. */
     double drawMean;
-    /** The snapshot in the making that has yet to save this server, and its place there; null where none has. */
+    /**
+     * The snapshot in progress that has yet to save this endpoint, or null; {@code snapshotIndex} is the index
+     * there.
+     */
     SnapshotInParts wantedBy;
     int savedAs;
 
     Upstream(String id, String zone, long cell, long startedAt, Failures zoneFailures) {
         this.id = id;
-        this.place = Balancing.place(id);
+        this.place = RingPosition.of(id);
         this.zone = zone;
         this.cell = cell;
         this.startedAt = startedAt;
         this.zoneFailures = zoneFailures;
     }
 
-    /** Ahead of each change. */
+    /** Called before each change: lets a snapshot in progress save the state before it. */
     private void changes() {
         if (wantedBy != null) {
             wantedBy.keep(this);
@@ -66,20 +74,20 @@
         size = entry.weight() > 0 ? entry.weight() : 1;
     }
 
-    /** An attempt goes out to it, which a cold one pays for. */
+    /** An attempt is sent; in slow start it costs one credit. */
     void sent(Attempt attempt) {
         changes();
         out.addLast(attempt);
         credit -= isColdListed ? 1 : 0;
     }
 
-    /** An attempt no longer waits for its answer. */
+    /** An attempt is no longer in flight. */
     void ended(Attempt attempt) {
         changes();
         out.remove(attempt);
     }
 
-    /** It has said something. */
+    /** The endpoint has answered something. */
     void heard(long now) {
         changes();
         heardAt = now;
@@ -97,6 +105,7 @@
         }
     }
 
+    /** A call was served: its round trip joins the window, the failure counts are cleared. */
     void served(double roundTrip, long now) {
         changes();
         sum += roundTrip - (count == WINDOW ? window[next] : 0);
@@ -109,7 +118,12 @@
         zoneFailures.clear();
     }
 
-    /** {@code error}: it answered with one; {@code silent}: no answer came, which soon speaks for all of its zone. */
+    /**
+     * Counts a failed attempt.
+     *
+     * @param error whether the endpoint answered with an error
+     * @param silent whether it did not answer, which also counts against its zone
+     */
     void failed(boolean error, boolean silent, long now) {
         changes();
         if (error) {
@@ -126,7 +140,7 @@
         return errorShare == 0 ? 0 : errorShare * Math.exp((failures.at - now) / FADE);
     }
 
-    /** What failures leave of its chance. */
+    /** The factor, up to 1, by which failures lower the endpoint's weight (section 3.4; the curve is ours). */
     double chanceLeft(long now) {
         double served = Math.pow(1 - errorsNow(now), 3);
         return failures.factor(now) * zoneFailures.factor(now) * Math.max(Failures.LEAST_CHANCE, served);
@@ -137,8 +151,9 @@
     }
 
     /**
-     * Its mean for the draw: that of its window, sliding to t_b as it ages. A silent or stalled server keeps its old
-     * mean, so the time since it was last heard of, with a call out, is a lower bound.
+     * Returns t_i of section 3.2: the mean of the window, decaying towards t_b as it ages; t_b if there is
+     * none. A stalled endpoint would keep its old mean, so with a call in flight the time since its last
+     * answer is a lower bound, multiplied by the number of calls in flight plus one.
      */
     double meanNow(double best, long now) {
         double mean = best;
--- a/decision/src/main/java/weldhitch/decision/Upstreams.java
+++ b/decision/src/main/java/weldhitch/decision/Upstreams.java
@@ -7,25 +7,31 @@
 import java.util.Map;
 import weldhitch.decision.Balancing.*;
 
-/** The list of servers, those of it that are ready, and the limit on what cold ones are sent. Times are nanoseconds. */
+/**
+ * The endpoint list, its ready endpoints in ring order, and the slow-start credit that limits what endpoints
+ * in slow start are sent. Times are nanoseconds. Not thread-safe; owned by the balancer's thread.
+ */
 final class Upstreams {
-    /** How much of a warm server's served calls, scaled by its present capacity, a cold one is sent. */
+    /** Slow-start credit as a multiple of a warm endpoint's served calls, scaled by the present capacity. */
     private static final double COLD_SHARE = 1.0;
-    /** Time over which what a warm server carries is averaged. */
+    /** Time constant of the average of the served rate. */
     private static final double CARRIED_OVER = 5e9;
-    /** A longer time without a call says nothing of what servers can carry. */
+    /** Idle time beyond this does not lower the served rate, as it says nothing about capacity. */
     private static final long IDLE = 1_000_000_000L;
 
     private final Rules rules;
     final Map<String, Upstream> all = new LinkedHashMap<>();
     final Map<String, Failures> zones = new LinkedHashMap<>();
-    /** Those to be sent to, in an order that all nodes share; made from the list at each change. */
+    /** Endpoints that may be sent to, in the ring order that all nodes share; rebuilt at each update. */
     final List<Upstream> ready = new ArrayList<>();
-    /** Ready ones that were cold at the last look. */
+    /** Ready endpoints that were in slow start when last checked. */
     final List<Upstream> cold = new ArrayList<>();
-    /** Calls a nanosecond that a warm server serves this node; as last seen where none is warm, 0 before any was. */
+    /**
+     * Served rate: calls per nanosecond that a warm endpoint serves this node; the last one known, 0 before
+     * any.
+     */
     double carried;
-    /** When {@link #carried} was brought up to date, or cold servers last earned by it. */
+    /** When {@link #carried} was updated, or credit was last earned by it. */
     long carriedAt;
 
     Upstreams(Rules rules) {
@@ -57,7 +63,7 @@
         if (server == null || server.startedAt != entry.startedAt()) {
             String zone = String.valueOf(entry.zone());
             server = new Upstream(entry.server(), zone, entry.cell(), entry.startedAt(), zone(zone));
-            // Spread over the nodes, or all of them would send their first call in the same moment.
+            // Random, so that not all nodes send their first call to the endpoint at the same moment.
             server.credit = random.nextDouble();
             all.put(entry.server(), server);
         }
@@ -107,9 +113,9 @@
     }
 
     /**
-     * Where all are cold there are no warm servers' calls to go by. What those carried that there were stands for them,
-     * by the clock: by what arrives, cold servers would be sent the less the more callers fail for want of them. Where
-     * none was ever warm, arrivals are all that is known.
+     * A request arrived: earns credit by arrivals where no endpoint was ever warm, as nothing else is known
+     * then. If all endpoints are in slow start but some were warm before, credit is earned by the clock from
+     * their served rate ({@link #passed}): by arrivals it would fall as callers fail for lack of capacity.
      */
     void arrived(long now) {
         if (cold.size() == ready.size() && carried == 0) {
@@ -117,7 +123,7 @@
         }
     }
 
-    /** Ahead of each draw. */
+    /** Called before each pick: earns credit for elapsed time if all endpoints are in slow start. */
     void passed(long now) {
         if (carried > 0 && !cold.isEmpty() && cold.size() == ready.size()) {
             double calls = carried * (now - carriedAt);
@@ -127,8 +133,9 @@
     }
 
     /**
-     * Every call that warm servers served earns each cold one its part of a call: what a warm one of its size carries,
-     * scaled to its present capacity. Summed over all nodes that stays under the rule's multiple.
+     * Credits each endpoint in slow start with its part of the calls that warm endpoints served: what a warm
+     * endpoint of its size serves, scaled to its present capacity. Summed over all nodes this stays below the
+     * platform's overload multiple.
      */
     private void earnCredit(double calls, long now) {
         if (cold.isEmpty()) {
--- a/decision/src/test/java/weldhitch/decision/AdmissionLimitTest.java
+++ b/decision/src/test/java/weldhitch/decision/AdmissionLimitTest.java
@@ -5,11 +5,15 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests the adaptive concurrency limit on its own: slow start, growth, decrease and scaling with the endpoint
+ * list.
+ */
 class AdmissionLimitTest {
     private static final long AIM = 600;
     private final AdmissionLimit limit = new AdmissionLimit();
 
-    /** How many of those worth most are let in at once; leaves the count as it was. */
+    /** Returns how many important requests can be admitted at once; leaves the count as it was. */
     private int room() {
         int entered = 0;
         while (limit.hasRoom(true)) {
@@ -28,7 +32,9 @@
         }
     }
 
-    /** Calm time with a third of the limit in use raised it to twice of what the servers could do at once. */
+    /**
+     * Regression: a calm period with a third of the limit in use raised it to twice the endpoints' capacity.
+     */
     @Test
     void growsOnlyWhileItIsInUse() {
         limit.servers(4, 4, 1);
@@ -56,7 +62,9 @@
         }
     }
 
-    /** A release that took two of four servers left a limit that four had taught. */
+    /**
+     * Regression: after a release removed two of four endpoints, the limit was still that learned with four.
+     */
     @Test
     void whatWasLearnedHoldsInProportionToTheServersThatAreReady() {
         limit.servers(4, 4, 1);
@@ -73,7 +81,7 @@
         limit.answered(AIM * 3 / 4, AIM);
     }
 
-    /** A node back from a restart was the only one for a second, and turned half of the requests away. */
+    /** Regression: a restarted node, the only one for a second, rejected half of the requests. */
     @Test
     void doublesWithEachRoundTripUntilServersShowThatTheyHaveEnough() {
         limit.servers(4, 4, 2);
@@ -97,7 +105,10 @@
         assertEquals(first + first / 10, room(), 1);
     }
 
-    /** One slow answer among quick ones ended it, and 27% of a fresh fleet's first five seconds were refused. */
+    /**
+     * Regression: one slow answer among fast ones ended slow start; a fresh fleet rejected 27% in its first
+     * five seconds.
+     */
     @Test
     void aSlowAnswerAmongQuickOnesDoesNotEndTheSlowStart() {
         limit.servers(4, 4, 2);
@@ -110,7 +121,7 @@
         assertEquals(2 * first, room());
     }
 
-    /** All answers of servers that start are slow, with nothing else to do. */
+    /** All answers of starting endpoints are slow, even without load. */
     @Test
     void firstAnswersThatAreAllSlowDoNotEndTheSlowStart() {
         limit.servers(4, 4, 2);
@@ -127,7 +138,7 @@
         enter(filled);
         for (int i = 0; i < answers; i++) {
             limit.answered(AIM / 10, AIM);
-            // The next one comes in at once, so that all of it stays in use.
+            // The next request is admitted at once, so that the limit stays fully used.
             limit.enter();
         }
         for (int i = 0; i < filled + answers; i++) {
--- a/decision/src/test/java/weldhitch/decision/AdmissionTest.java
+++ b/decision/src/test/java/weldhitch/decision/AdmissionTest.java
@@ -11,12 +11,16 @@
 import weldhitch.decision.Balancing.*;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests admission by the balancer: the queue by priority weight, the limit, tenant quotas and prompt
+ * rejection.
+ */
 class AdmissionTest {
     private static final RequestClass CHEAP = Node.requestClass("cheap", Effect.UNSAFE, KeyGroup.ALL);
     private static final RequestClass DEAR = new RequestClass("dear", Effect.UNSAFE, KeyGroup.ALL, 0, 400 * MS, 0,
         2 * Node.SECOND, 9, 0, false);
 
-    /** Sends until the node no longer lets requests in and returns those sent. */
+    /** Sends requests until the node no longer admits them and returns those admitted. */
     private static List<String> fill(Node node) {
         List<String> sent = new ArrayList<>();
         for (int i = 0; ; i++) {
@@ -50,14 +54,17 @@
         assertEquals("dear", let.get(0).request());
     }
 
-    /** Overload once served the dearest class no better than the cheapest, first come first let in. */
+    /**
+     * Regression: under overload the class of highest weight was served no better than the lowest, in FIFO
+     * order.
+     */
     @Test
     void lastPartOfTheLimitIsKeptForWhatIsWorthMore() {
         Node node = new Node(Node.settings(CHEAP, DEAR), 1).list("a", "b");
         List<Integer> letIn = new ArrayList<>();
         int dear = 0;
         for (int i = 0; i < 40; i++) {
-            // One dear request for three cheap ones makes the usual lie between the two.
+            // One important request for three cheap ones, so that the mean rank lies between the two.
             boolean isDear = i % 4 == 0;
             boolean sent = sent(node.arrive("m" + i, isDear ? "dear" : "cheap")) != null;
             if (sent) {
@@ -68,7 +75,9 @@
         assertTrue(dear * 3 >= letIn.size(), dear + " dear of " + letIn);
     }
 
-    /** How many are let in at once, after each of so many turns in which all that were let in took this long. */
+    /**
+     * Returns how many requests are admitted at once, after rounds in which all admitted ones had this latency.
+     */
     private static int limitAfter(Node node, int turns, long latency) {
         int limit = 0;
         for (int turn = 0; turn <= turns; turn++) {
@@ -88,7 +97,10 @@
         return limit;
     }
 
-    /** A limit that stayed at its first guess turned away a third of the requests of nodes with idle servers. */
+    /**
+     * Regression: a limit fixed at its initial value rejected a third of the requests while endpoints were
+     * idle.
+     */
     @Test
     void limitGrowsWhileAnswersComeWithinTheirAim() {
         Node node = new Node(Node.settings(CHEAP), 1).list("a", "b");
@@ -106,7 +118,10 @@
         assertTrue(fallen > 0 && fallen <= grown / 2, fallen + " after " + grown);
     }
 
-    /** Servers that are full say so long before answers are late; the limit once heard only the latter. */
+    /**
+     * Regression: endpoints reject as full long before answers are late, but only late answers lowered the
+     * limit.
+     */
     @Test
     void limitFallsWhenOneServerAfterAnotherIsFull() {
         Node node = new Node(Node.settings(CHEAP), 1).list("a", "b");
@@ -129,7 +144,7 @@
             List.of(new Tenant("greedy", 20), new Tenant("modest", 20)), 0.1, false, false, Weights.NONE, List.of(),
             0, 2 * MS, s.limits(), s.rules()), 1).list("a", "b");
         List<String> sent = fill(node);
-        // Its half of the quota is 10 requests a second, for all that this node knows.
+        // This node's half of the quota is 10 requests per second.
         for (int i = 0; i < 11; i++) {
             arrive(node, "g" + i, "greedy");
         }
--- a/decision/src/test/java/weldhitch/decision/ColdFleetTest.java
+++ b/decision/src/test/java/weldhitch/decision/ColdFleetTest.java
@@ -17,34 +17,39 @@
 import weldhitch.decision.Balancing.*;
 
 /**
- * The rule on cold servers is one on the sum of all nodes' calls. A fleet of modules in virtual time, with little and
- * uneven traffic at each, replaces servers; no cold one may ever be sent more in the rule's span than its multiple of
- * what it can do at that moment. Servers answer all in 100 ms, so nothing but the modules keeps calls from them.
+ * Tests the slow-start rule, which limits the sum of all nodes' calls. Many balancers in virtual time, each
+ * with little and uneven traffic, see endpoints replaced; none in slow start may be sent more within the
+ * overload window than the rule's multiple of its present capacity. Endpoints answer everything in 100 ms, so
+ * only the balancers limit calls.
  */
 class ColdFleetTest {
     private static final int SERVERS = 10;
-    /** Calls a second that a warm server can do. */
+    /** Capacity of a warm endpoint in calls per second. */
     private static final double CAPACITY = 10;
     private static final long LATENCY = 100 * MS;
     private static final Rules USUAL = new Rules(0.2, 10 * SECOND, 3, 2 * SECOND, SECOND, 10 * MS, 10 * SECOND);
 
+    /** A task scheduled in virtual time. */
     private record Due(long at, long number, Runnable what) { }
 
     private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) ->
         a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-    /** By server, the calls within the rule's span. */
+    /** Times of the calls within the overload window, by endpoint. */
     private final Map<String, ArrayDeque<Long>> coldCalls = new HashMap<>();
     private final Map<String, Long> born = new HashMap<>();
     private final Random random = new Random(4711);
     private Rules rules = USUAL;
     private double capacity = CAPACITY;
     private RatioBalancer[] nodes;
-    /** By how many calls a window exceeded what is allowed with chance, N + 2 x root of N + 2, at the most; below 0: kept. */
+    /**
+     * Largest excess of a window over the bound with random variation, N + 2 * sqrt(N) + 2; below 0 if never
+     * exceeded.
+     */
     private double excess = Double.NEGATIVE_INFINITY;
     private long now = 100 * SECOND;
     private long scheduled;
     private int calls;
-    /** The fullest window so far, as a share of what the rule allows. */
+    /** The fullest window so far, as a fraction of what the rule allows. */
     private double worst;
 
     private void at(long time, Runnable what) {
@@ -104,7 +109,9 @@
         worst = Math.max(worst, recent.size() / allowed);
     }
 
-    /** Traffic is uneven: the node that is asked most gets seven times what the quietest one does. */
+    /**
+     * Picks a node for a request; traffic is uneven: the busiest node gets seven times that of the least busy.
+     */
     private int asked(int siblings) {
         int node;
         do {
@@ -131,8 +138,9 @@
     }
 
     /**
-     * The users' term for a few dozen processes: beyond the budget only 2 x root of N + 2 calls are put down to chance. Under a
-     * burst, with rules that allow little: short windows, small multiples, servers that do little in them.
+     * The users' requirement for a few dozen processes: beyond the budget N only 2 * sqrt(N) + 2 calls are
+     * accepted as random variation. Tested under a burst, with tight rules: short windows, small multiples,
+     * endpoints of low capacity.
      */
     @ParameterizedTest
     @CsvSource({"20, 3, false, 3, 3, 10", "24, 5, true, 3, 3, 10", "30, 3, false, 3, 2, 10", "30, 10, false, 3, 3, 20", "24, 3, true, 2, 2, 10",
--- a/decision/src/test/java/weldhitch/decision/ColdServerTest.java
+++ b/decision/src/test/java/weldhitch/decision/ColdServerTest.java
@@ -10,8 +10,9 @@
 import weldhitch.decision.Balancing.*;
 import org.junit.jupiter.api.Test;
 
+/** Tests slow start with one balancer: credit, ramp and the served rate when some or all endpoints are new. */
 class ColdServerTest {
-    /** Calls to the cold servers when this many a second are served over the span, each in 50 ms. */
+    /** Returns the calls to endpoints in slow start at this rate over the time; each call takes 50 ms. */
     private static int coldCalls(Node node, int perSecond, double seconds) {
         int calls = 0;
         for (int i = 0; i < perSecond * seconds; i++) {
@@ -40,7 +41,8 @@
 
     @Test
     void coldServerGetsNoMoreThanItsPresentPartOfAWarmOnesCalls() {
-        // 100 calls a second on 10 servers: a warm one carries 10 a second, a fresh one is good for a fifth.
+        // 100 calls per second on 10 endpoints: a warm one serves 10 per second, a new one can do a fifth of
+        // that.
         int calls = coldCalls(node(9, 1), 100, 2);
         assertTrue(calls > 0 && calls <= 8, calls + " calls in the first 2 s");
     }
@@ -65,7 +67,7 @@
         node.handle(new Membership(ListKind.ALL, entries));
     }
 
-    /** Share served of so many requests a second at cold servers that answer each in 50 ms. */
+    /** Returns the fraction served at this rate by endpoints in slow start that answer in 50 ms. */
     private static double servedByColdOnes(Node node, String name, int perSecond, double seconds) {
         int requests = (int) (perSecond * seconds);
         int served = 0;
@@ -81,8 +83,9 @@
     }
 
     /**
-     * Where all servers are replaced by cold ones, callers that fail ask less. What cold servers are sent must not fall
-     * with what is asked, or a fleet at rest turns nearly all away until the first of them is warm.
+     * If all endpoints are replaced, clients that fail send fewer requests. The credit of the new endpoints
+     * must not fall with the request rate, or an idle fleet rejects nearly everything until the first endpoint
+     * is warm.
      */
     @Test
     void coldServersAreSentWhatTheyCanDoWhenFewerCallersAskForIt() {
@@ -92,7 +95,7 @@
         assertTrue(servedByColdOnes(node, "few", 20, 2) > 0.9);
     }
 
-    /** A quiet night before does not count as servers that can do nothing. */
+    /** An idle night before does not count as endpoints without capacity. */
     @Test
     void whatServersCarriedIsNotForgottenWhileNobodyAsks() {
         Node node = node(10, 0);
@@ -103,14 +106,14 @@
         assertTrue(servedByColdOnes(node, "few", 20, 2) > 0.9);
     }
 
-    /** What the rule allows at most: the multiple of present capacity, where warm ones carried all that they can. */
+    /** The rule's upper bound: the multiple of the present capacity, if warm endpoints were fully used. */
     @Test
     void coldServersAllAloneStayWithinTheRulesMultiple() {
         Node node = node(10, 0);
         coldCalls(node, 100, 10);
         replaceAllByColdOnes(node, 10);
         int calls = coldCalls(node, 1000, 3);
-        // Ten servers that carried 10 calls a second each, over three seconds from 0.2 to 0.44 of that.
+        // Ten endpoints that served 10 calls per second each, over three seconds at 0.2 to 0.44 of that.
         double allowed = 3 * 10 * 10 * 3 * 0.32;
         assertTrue(calls <= allowed, calls + " calls in 3 s, " + allowed + " allowed");
     }
--- a/decision/src/test/java/weldhitch/decision/DrainPlanTest.java
+++ b/decision/src/test/java/weldhitch/decision/DrainPlanTest.java
@@ -6,7 +6,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** With a longest deadline of 3 s and a longest aim of 1.2 s the last answer leaves 3.5 s after the word to end. */
+/**
+ * Tests graceful shutdown: with a deadline of 3 s and an objective of 1.2 s the last answer is sent at 3.5 s.
+ */
 class DrainPlanTest {
     private static final long MILLI = 1_000_000L;
     private static final long TOLD = 77_000 * MILLI;
@@ -75,7 +77,7 @@
         assertTrue(plan.over(at(3550)));
     }
 
-    /** Deadlines of 14 s do not move the platform's kill, which waits for 3 s of them and 0.7 s more. */
+    /** Deadlines of 14 s do not delay the platform's kill, which waits for 3 s of them plus 0.7 s. */
     @Test
     void isOverBeforeTheKillHoweverLongDeadlinesAre() {
         DrainPlan slow = new DrainPlan(13_967 * MILLI, 5587 * MILLI);
--- a/decision/src/test/java/weldhitch/decision/DrawTest.java
+++ b/decision/src/test/java/weldhitch/decision/DrawTest.java
@@ -10,10 +10,15 @@
 import weldhitch.decision.Balancing.*;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests the weighted pick of endpoints: the Ratio approach with two choices, failures, and stalled endpoints.
+ */
 class DrawTest {
     private static final int DRAWS = 20_000;
 
-    /** Frequencies of first choices, each request withdrawn at once so that it leaves no trace. */
+    /**
+     * Returns the frequencies of first picks; each request is cancelled at once, so that it leaves no state.
+     */
     private static Map<String, Double> frequencies(Node node) {
         Map<String, Double> share = new HashMap<>();
         for (int i = 0; i < DRAWS; i++) {
@@ -27,7 +32,7 @@
         return share;
     }
 
-    /** Gives each server a full window of the given round trip, by serving whatever is drawn. */
+    /** Fills each endpoint's window with the given round trip by serving whatever is picked. */
     private static void fill(Node node, Map<String, Long> trips) {
         Map<String, Integer> left = new HashMap<>();
         trips.keySet().forEach(s -> left.put(s, 20));
@@ -41,10 +46,10 @@
     @Test
     void lowerMeanOfTwoDrawsByBestOverOwnWins() {
         Node node = Node.plain().list("a", "b");
-        // Every class's usual trip settles between the two, the ratio of the means stays near 1 to 3.
+        // The expected latency settles between the two; the ratio of the means stays near 1 to 3.
         fill(node, Map.of("a", 50 * MS, "b", 150 * MS));
         Map<String, Double> share = frequencies(node);
-        // p(b) = (1/3) / (4/3) = 1/4 and b is sent to only where both draws name it.
+        // p(b) = (1/3) / (4/3) = 1/4, and b is chosen only if both draws return it.
         assertEquals(1.0 / 16, share.get("b"), 0.02);
     }
 
@@ -54,7 +59,7 @@
         fill(node, Map.of("a", 50 * MS, "b", 50 * MS));
         node.list("a", "b", "new");
         Map<String, Double> share = frequencies(node);
-        // Three servers near the same mean: each is drawn about as often.
+        // Three endpoints with about the same mean: each is picked about equally often.
         assertTrue(share.get("new") > 0.2, share.toString());
     }
 
@@ -79,7 +84,10 @@
         assertEquals(0.5, frequencies(node).get("b"), 0.2);
     }
 
-    /** Every other call of a server fails fast: each served one clears the count, so the count alone misses it. */
+    /**
+     * Every other call fails fast: each served call clears the failure count, so the count alone would not
+     * show it.
+     */
     @Test
     void serverThatErrsHalfTheTimeIsDrawnMuchLess() {
         Node node = Node.plain().list("a", "b");
@@ -91,7 +99,7 @@
             boolean errs = server.equals("b") && calls % 2 == 1;
             node.end("h" + i, 0, server, errs ? Outcome.ERROR : Outcome.OK, 50 * MS);
         }
-        // The last call was served, so the count is clear.
+        // The last call was served, so the failure count is 0.
         double share = frequencies(node).get("b");
         assertTrue(share > 0 && share < 0.2, "share " + share);
         node.now += 60 * Node.SECOND;
@@ -127,7 +135,7 @@
         assertTrue(frequencies(node).getOrDefault("b", 0.0) < 0.05);
     }
 
-    /** Events of one instant: a mean over no time at all once left every chance undefined, and the draw without a server. */
+    /** Regression: latencies of 0 made a mean 0 and all weights undefined, so that no endpoint was picked. */
     @Test
     void answersInTheInstantOfTheirSendingLeaveServersToDraw() {
         Node node = Node.plain().list("a", "b");
--- a/decision/src/test/java/weldhitch/decision/FurtherAttemptsTest.java
+++ b/decision/src/test/java/weldhitch/decision/FurtherAttemptsTest.java
@@ -14,6 +14,9 @@
 import weldhitch.decision.Balancing.*;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests retries, hedged requests and abandoned attempts by idempotency, and the final answer at the deadline.
+ */
 class FurtherAttemptsTest {
     private final Node node = Node.plain().list("a1", "a2", "b1", "b2");
 
@@ -46,7 +49,7 @@
         assertTrue(only(actions, Refuse.class).isPresent());
     }
 
-    /** Where two attempts can't be out at once, and so the one is given up for the other. */
+    /** A node without hedging, where an attempt is abandoned before its retry. */
     private static Node withoutCopies() {
         return new Node(Node.settings(new Limits(4, false, false, false, true, Node.SECOND, 100 * MS),
             Node.requestClass("read", Effect.SAFE, KeyGroup.ALL)), 7).list("a1", "a2", "b1", "b2");
@@ -56,7 +59,10 @@
         return only(actions, Send.class).orElseThrow().timeout();
     }
 
-    /** Answers that took over the first guess, a quarter of the aim, were given up one and all, and so never learned. */
+    /**
+     * Regression: answers slower than the initial estimate, a quarter of the objective, were all abandoned,
+     * never learned.
+     */
     @Test
     void attemptsOfAClassThatNobodyHasAnsweredYetHaveItsAim() {
         Node node = withoutCopies();
@@ -68,7 +74,7 @@
         }
     }
 
-    /** Given up with no further one to follow, it is lost, though its answer may be on its way. */
+    /** An attempt abandoned without a retry loses the request, though its answer may be under way. */
     @Test
     void attemptsAreGivenUpOnlyForAFurtherOneThatIsPaidFor() {
         Node node = withoutCopies();
@@ -91,7 +97,7 @@
             node.now += 50 * MS;
             node.end("r" + i, 0, server, Outcome.OK, 50 * MS);
         }
-        // Ten is the most that is ever saved.
+        // Ten is the maximum number of retry tokens.
         for (int i = 0; i < 10; i++) {
             assertTrue(timeout(node.arrive("s" + i, "read")) > 0, "s" + i);
         }
@@ -116,7 +122,7 @@
         assertTrue(only(actions, Refuse.class).isPresent());
     }
 
-    /** The wait before a third attempt once outlasted the memory that allowed it. */
+    /** Regression: the backoff before a third attempt outlasted the deduplication window. */
     @Test
     void keyedRequestIsNotRepeatedWhenTheMemoryRunsOutWhileItWaits() {
         long deadline = node.now + 5 * Node.SECOND;
--- a/decision/src/test/java/weldhitch/decision/LastCheckTest.java
+++ b/decision/src/test/java/weldhitch/decision/LastCheckTest.java
@@ -5,8 +5,9 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.decision.LastCheck.Verdict;
 
+/** Tests all combinations of the conditions under which an attempt may be dispatched. */
 class LastCheckTest {
-    /** Every combination: it begins where all hold, at the last nanosecond too, and nowhere else. */
+    /** All combinations: allowed if all conditions hold, up to the last nanosecond, and otherwise not. */
     @Test
     void beginsOnlyWhereAllHolds() {
         int begins = 0;
--- a/decision/src/test/java/weldhitch/decision/LifeCycleTest.java
+++ b/decision/src/test/java/weldhitch/decision/LifeCycleTest.java
@@ -7,10 +7,11 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.decision.LifeCycle.Step;
 
+/** Tests the process lifecycle exhaustively over sequences of signals and completions. */
 class LifeCycleTest {
     private static final int LENGTH = 9;
 
-    /** Every sequence of what may happen to a process, up to nine things: two million. */
+    /** All sequences of up to nine events: two million. */
     @Test
     void everySequenceOfSignalsIsInOrder() {
         int[] happens = new int[LENGTH];
@@ -32,7 +33,10 @@
         return false;
     }
 
-    /** 0 SIGHUP, 1 SIGTERM, 2 the start goes on by one step, 3 a reload is over, 4 the drain is over; what can't happen is left out. */
+    /**
+     * 0 SIGHUP, 1 SIGTERM, 2 next step of the start, 3 reload ended, 4 drain ended; impossible events are
+     * skipped.
+     */
     private static void play(int[] happens) {
         LifeCycle life = new LifeCycle();
         int started = 0;
@@ -77,7 +81,7 @@
                 reloading = true;
                 owed = false;
             }
-            // What was asked for is under way or waits for the one at hand, unless the node does not listen yet or any more.
+            // A requested reload is running or waits for the running one, unless the node is not listening.
             assertTrue(!owed || reloading || started < 2 || ended, "a reload was forgotten");
         }
     }
--- a/decision/src/test/java/weldhitch/decision/ListAgeTest.java
+++ b/decision/src/test/java/weldhitch/decision/ListAgeTest.java
@@ -7,6 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests the warnings on a stale endpoint list. */
 class ListAgeTest {
     private static final long SECOND = 1_000_000_000L;
 
@@ -19,7 +20,7 @@
                 words++;
             }
         }
-        // 3, 6, 12, ... 384 s, then each five minutes
+        // At 3, 6, 12, ... 384 s, then every five minutes.
         assertEquals(18, words);
     }
 
--- a/decision/src/test/java/weldhitch/decision/ListCallsTest.java
+++ b/decision/src/test/java/weldhitch/decision/ListCallsTest.java
@@ -9,8 +9,14 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.decision.ListCalls.Failure;
 
+/**
+ * Tests discovery polling: timeouts, backoff, jitter and load on a shared service, against the delivery
+ * deadlines.
+ */
 class ListCallsTest {
-    /** What discovery tells counts as told 2 s after a call's wait is over, and drains must be kept 2 s later. */
+    /**
+     * An update counts as delivered 2 s after a poll's wait has ended; draining must be respected 2 s later.
+     */
     @Test
     void listIsAskedForAgainBeforeDrainsAreBrokenWhateverCallsEndIn() {
         for (Failure why : Failure.values()) {
@@ -37,7 +43,7 @@
         assertEquals(500 * MS, calls.patience());
     }
 
-    /** All watches end in one moment. */
+    /** All watches end at the same moment. */
     @Test
     void nodesThatLoseTheirWatchesTogetherDoNotAskAgainTogether() {
         int[] byTenth = new int[10];
@@ -81,8 +87,9 @@
     }
 
     /**
-     * The users' term: told 6 s after discovery had it and could be reached, whatever failed: the call at
-     * hand in that moment and one more, each lost, refused, broken off or answered with nonsense, or its dial hanging.
+     * The users' requirement: an update is delivered 6 s after discovery had it and was reachable, whatever
+     * failed: the poll in progress at that moment and one more, each lost, rejected, broken, answered
+     * malformed, or hanging in connect.
      */
     @Test
     void aChangeOfAnAgentsIsHeardWithinSixSecondsWhateverFailed() {
@@ -112,7 +119,7 @@
         assertTrue(longest < 6 * SECOND, longest / MS + " ms");
     }
 
-    /** One whose answers take two seconds and more was not heard again once a call had failed. */
+    /** Regression: an agent whose answers take 2 s or more was never received again after a failed poll. */
     @Test
     void aSlowAgentIsHeardAgainAfterAnyFailure() {
         for (Failure why : Failure.values()) {
@@ -142,9 +149,9 @@
     }
 
     /**
-     * The users' term, of a service that all nodes ask: what it has to tell, to a node that holds a list, is heard 6 s after it
-     * had it and could be reached, or 2 s after the wait of a watch that fell silent, whatever failed before. Not of a node that
-     * the service turns away for want of room.
+     * The users' requirement for a shared service: a node that has a list receives an update 6 s after the
+     * service had it and was reachable, or 2 s after the wait of a lost watch, whatever failed before. It does
+     * not apply to a node that the service rejects because of overload.
      */
     @Test
     void aChangeOfASharedServicesIsHeardInTimeWhateverFailed() {
@@ -158,16 +165,17 @@
             for (int i = random.nextInt(8); i > 0; i--) {
                 calls.failed(Failure.values()[random.nextInt(Failure.values().length)], random.nextInt(4) * 5 * SECOND);
             }
-            // The call at hand: it begins at 0, and somewhere in it discovery can be reached again, and has something to tell.
+            // The poll in progress begins at 0; at some time in it discovery is reachable again and has an
+            // update.
             Failure[] kinds = {Failure.SILENT, Failure.BROKEN, Failure.UNREADABLE, Failure.NOT_HELD};
             Failure why = kinds[random.nextInt(kinds.length)];
             boolean dials = why == Failure.BROKEN && random.nextBoolean();
             long due = calls.asks();
             long over = why == Failure.SILENT ? due + calls.patience() : dials ? calls.dial() : random.nextLong(due + 1);
-            // A call that is answered or broken off in the end would have told what there was to tell until then.
+            // A poll that is answered or broken at its end would have delivered the updates until then.
             long had = why == Failure.SILENT || dials ? random.nextLong(over) : over;
             long heard = over + calls.failed(why) + 200 * MS;
-            // What a silent watch missed late counts as told later still, which no node can know.
+            // An update that a lost watch missed late counts as delivered even later, which no node can know.
             long limit = why == Failure.SILENT && due > 0 ? due + 2 * SECOND : had + 6 * SECOND;
             slowest = Math.max(slowest, heard - had);
             assertTrue(heard <= limit, why + " after " + due / MS + " ms: heard at " + heard / MS + ", counts as told at " + limit / MS);
@@ -175,7 +183,10 @@
         System.out.println("of a shared service's: heard " + slowest / MS + " ms after it could be reached, at the latest of 20,000 histories");
     }
 
-    /** A new configuration reaches all nodes at once: as many as there are, as long the time in which they ask, up to 2 s. */
+    /**
+     * A new configuration reaches all nodes at once: their polls are spread over a time that grows with them,
+     * up to 2 s.
+     */
     @Test
     void firstCallsToAnotherServiceAreSpreadByTheFleetsSize() {
         for (int nodes : new int[] {1, 20, 200, 1000}) {
@@ -198,7 +209,10 @@
         }
     }
 
-    /** A call given up is worked on all the same: so long as nothing is held, an overloaded service is not asked twice. */
+    /**
+     * The service works on an abandoned poll all the same: a node without a list does not poll an overloaded
+     * one twice.
+     */
     @Test
     void firstAnswerOfASharedServiceIsWaitedForLonger() {
         ListCalls calls = shared(5, 100);
@@ -243,7 +257,7 @@
         }
     }
 
-    /** It never stops asking, whatever happens, and never without end between two calls. */
+    /** Polling never stops, whatever happens, and the time between two polls is bounded. */
     @Test
     void anyHistoryLeadsToAnotherCallInTime() {
         java.util.SplittableRandom random = new java.util.SplittableRandom(11);
--- a/decision/src/test/java/weldhitch/decision/MembershipTest.java
+++ b/decision/src/test/java/weldhitch/decision/MembershipTest.java
@@ -12,6 +12,7 @@
 import weldhitch.decision.Balancing.*;
 import org.junit.jupiter.api.Test;
 
+/** Tests endpoint updates and the subscription to them. */
 class MembershipTest {
     private static Node asking(long seed) {
         Settings plain = Node.settings(Node.requestClass("read", Effect.SAFE, KeyGroup.ALL));
--- a/decision/src/test/java/weldhitch/decision/Node.java
+++ b/decision/src/test/java/weldhitch/decision/Node.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import weldhitch.decision.Balancing.*;
 
-/** A module under test with made-up settings and a hand-moved clock. */
+/** A balancer under test with default settings and a manual clock. Single-threaded. */
 final class Node {
     static final long MS = 1_000_000L;
     static final long SECOND = 1000 * MS;
@@ -67,7 +67,7 @@
         return handle(new AttemptEnded(request, attempt, server, outcome, latency, outcome == Outcome.OK, null));
     }
 
-    /** The server that the actions send to, or null. */
+    /** Returns the endpoint that the actions send to, or null. */
     static String sent(List<Action> actions) {
         return only(actions, Send.class).map(Send::server).orElse(null);
     }
@@ -80,13 +80,13 @@
         return found.stream().findFirst();
     }
 
-    /** Moves the clock to the timer that the actions ask for and fires it. */
+    /** Advances the clock to the timer that the actions schedule and fires it. */
     List<Action> fire(List<Action> actions) {
         now += only(actions, SetTimer.class).orElseThrow().after();
         return handle(new Timer("due"));
     }
 
-    /** Sends one request and has it served in the given time. */
+    /** Sends one request, has it served with this latency in nanoseconds and returns the endpoint. */
     String serve(String request, long latency) {
         String server = sent(arrive(request, "read"));
         end(request, 0, server, Outcome.OK, latency);
--- a/decision/src/test/java/weldhitch/decision/RetryBudgetTest.java
+++ b/decision/src/test/java/weldhitch/decision/RetryBudgetTest.java
@@ -9,6 +9,7 @@
 import weldhitch.decision.RouteRules.Budget;
 import weldhitch.decision.RouteRules.HedgePercentile;
 
+/** Tests a route's retry budget and its latency percentile. */
 class RetryBudgetTest {
     private static final long SECOND = 1_000_000_000L;
 
@@ -35,7 +36,7 @@
         assertEquals(50, taken, 5);
     }
 
-    /** Over all of any run, not over ten seconds of it alone. */
+    /** The ratio holds over a complete run, not only over ten seconds of it. */
     @Test
     void neverAllowsMoreThanItsShareOfAllThatWasAsked() {
         for (int seed = 0; seed < 200; seed++) {
--- a/decision/src/test/java/weldhitch/decision/ReuseTrustTest.java
+++ b/decision/src/test/java/weldhitch/decision/ReuseTrustTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests how long connections may be idle before a request that is not idempotent. */
 class ReuseTrustTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long NOW = 1_764_000_000L * SECOND;
