--- a/decision/src/test/java/weldhitch/decision/RouteRulesTest.java
+++ b/decision/src/test/java/weldhitch/decision/RouteRulesTest.java
@@ -19,7 +19,7 @@
 import weldhitch.decision.RouteRules.*;
 import weldhitch.decision.Routes.Route;
 
-/** What a route's rules make of the module's decisions; the clock moves by hand. */
+/** Tests the effect of route policies on the balancer's decisions, with a manual clock. */
 class RouteRulesTest {
     private final Node node = Node.plain().list("a1", "a2", "b1", "b2");
 
@@ -43,7 +43,7 @@
         return arrive(id, "read", null);
     }
 
-    /** Fails every attempt until the request is answered; the attempts that it took. */
+    /** Fails every attempt until the request is answered and returns the number of attempts. */
     private int failAll(String id, Outcome outcome) {
         List<Action> actions = arrive(id);
         int attempts = 0;
@@ -124,7 +124,7 @@
                 long failed = node.now;
                 List<Action> actions = node.end("r" + i, n - 1, server, Outcome.CONNECT_FAILED, 0);
                 for (server = sent(actions); server == null; server = sent(actions)) {
-                    // An older timer may come due first; the wait's own is then still set.
+                    // An older timer may fire first; that of the backoff is then still scheduled.
                     actions = only(actions, SetTimer.class).isPresent() ? node.fire(actions) : wake(MS / 10);
                 }
                 long waited = node.now - failed;
@@ -183,14 +183,14 @@
             }
             node.now += 10 * MS;
             node.end("r" + i, 0, sent(actions), Outcome.OK, 10 * MS);
-            // Fires what is due, so that each request's own timer is seen.
+            // Fires the expired timers, so that each request's own timer is visible.
             wake(SECOND);
         }
         assertEquals(20, hedged.get(0), "twenty answers come before the first");
         assertEquals(10, hedged.size());
     }
 
-    /** A stream's end says how much was read, not how soon its server answered. */
+    /** The end of a stream shows how much was read, not how fast the endpoint answered. */
     @Test
     void aStreamCountsByItsFirstByte() {
         force(rules(0, 0, 2, null, new HedgePercentile(50)));
--- a/decision/src/test/java/weldhitch/decision/RoutesTest.java
+++ b/decision/src/test/java/weldhitch/decision/RoutesTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.decision.Routes.Route;
 
+/** Tests route lookup against a linear search, the order of precedence, and pattern overlap. */
 class RoutesTest {
-    /** A part of {@code *} is open; a path that ends in {@code /**} is a prefix. */
+    /** Parses a pattern: {@code *} is a wildcard segment; a path that ends in {@code /**} is a prefix. */
     private static RoutePattern pattern(String requestClass, String method, String path) {
         boolean prefix = path.endsWith("/**");
         List<String> parts = new ArrayList<>();
@@ -80,7 +81,7 @@
             route("b", null, null, "/x/*"))));
     }
 
-    /** The tree against a look at every route, over patterns and paths of few words so that many overlap. */
+    /** Compares the tree with a linear search, over patterns and paths of few segments so that many overlap. */
     @Test
     void findsWhatALookAtEveryRouteFinds() {
         String[] words = {"a", "b", "*"};
@@ -132,7 +133,10 @@
         return best == null ? null : best.name();
     }
 
-    /** Sorts as specificity does: for each part 3 where spelled out, 2 where open, then 1 for a prefix's end, 2 for an end. */
+    /**
+     * Sort key of specificity: per segment 3 for a literal, 2 for a wildcard; then 1 for a prefix's end, 2 for
+     * an end.
+     */
     private static String order(RoutePattern p) {
         StringBuilder order = new StringBuilder();
         p.parts().forEach(part -> order.append(part == null ? 2 : 3));
--- a/decision/src/test/java/weldhitch/decision/SameDecisionsTest.java
+++ b/decision/src/test/java/weldhitch/decision/SameDecisionsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every decision of 1,000 seeded workloads, held against digests written by an earlier build. What changes no rule changes
- * none of them. A change of a rule writes them anew and says so in its commit.
+ * Compares all decisions of 1,000 seeded workloads with digests recorded by an earlier build. A change that is
+ * not meant to alter decisions must not change them; one that is records them again and says so in its commit.
  */
 class SameDecisionsTest {
     private static final Path DIGESTS = Path.of("decision/src/test/resources/weldhitch/decision/digests.txt");
@@ -25,7 +25,7 @@
         return Long.toHexString(digest[0]);
     }
 
-    /** {@code -DargLine=-Dweldhitch.digests=write} writes them anew. */
+    /** {@code -DargLine=-Dweldhitch.digests=write} records the digests again. */
     @Test
     void decisionsAreThoseOfTheBuildThatWroteTheDigests() throws Exception {
         List<String> now = LongStream.range(0, SEEDS).parallel().mapToObj(seed -> seed + " " + worked(seed)).toList();
--- a/decision/src/test/java/weldhitch/decision/SettingsTest.java
+++ b/decision/src/test/java/weldhitch/decision/SettingsTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
+/** Tests that settings out of range are rejected by name. */
 class SettingsTest {
     private static void names(String setting, Executable construction) {
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, construction);
--- a/decision/src/test/java/weldhitch/decision/SnapshotTest.java
+++ b/decision/src/test/java/weldhitch/decision/SnapshotTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.decision.Balancing.*;
 
+/** Tests that a restored balancer decides like the original, and that impossible snapshots are rejected. */
 class SnapshotTest {
-    /** All parts of a record by name, arrays by their contents. */
+    /** Describes all components of a record by name, arrays by their contents. */
     static String spelled(Object value) throws ReflectiveOperationException {
         if (value instanceof Record r) {
             StringBuilder text = new StringBuilder(r.getClass().getSimpleName()).append('{');
@@ -38,7 +39,7 @@
             ? new java.util.TreeMap<>(m).toString() : String.valueOf(value);
     }
 
-    /** One module goes on; the other is made anew from its own snapshot after every few events. */
+    /** One balancer goes on; the other is restored from its own snapshot after every few events. */
     private static String differs(long seed) {
         Workload workload = new Workload(seed, seed % 5 == 1);
         SplittableRandom random = new SplittableRandom(seed);
@@ -73,7 +74,7 @@
             .filter(java.util.Objects::nonNull).toList());
     }
 
-    /** One snapshot is taken at once, another in parts while its module goes on: both are of the same instant. */
+    /** One snapshot is taken at once, another incrementally while its balancer goes on: both must be equal. */
     private static String partsDiffer(long seed) {
         Workload workload = new Workload(seed, seed % 5 == 1);
         SplittableRandom random = new SplittableRandom(seed);
@@ -175,7 +176,9 @@
             s.asked(), s.subscribed(), s.refusedAsks()));
     }
 
-    /** The node's figures by the generator whose state can be saved are those of the JDK's, so no decision moved. */
+    /**
+     * The generator whose state can be saved yields the same numbers as the JDK's, so decisions are unchanged.
+     */
     @Test
     void chanceIsThatOfTheGeneratorBefore() {
         for (long seed : new long[] {0, 1, -7, Long.MIN_VALUE, 0x8c1f30d27a5be964L}) {
--- a/decision/src/test/java/weldhitch/decision/SpanTest.java
+++ b/decision/src/test/java/weldhitch/decision/SpanTest.java
@@ -12,6 +12,7 @@
 import weldhitch.decision.Balancing.*;
 import org.junit.jupiter.api.Test;
 
+/** Tests the subsets of endpoints that nodes use on the hash ring. */
 class SpanTest {
     private static Settings settings(int self, int siblings) {
         Settings plain = Node.settings(Node.requestClass("read", Effect.SAFE, KeyGroup.ALL));
@@ -53,7 +54,7 @@
         assertEquals(100, met(node(0, 1, 100)).size());
     }
 
-    /** A node whose nearest servers all failed must not be left with them. */
+    /** A node whose subset has failed completely must use further endpoints. */
     @Test
     void deadServersAreMadeUpForByTheNextOnes() {
         Node node = node(0, 50, 100);
--- /dev/null
+++ b/decision/src/test/java/weldhitch/decision/WatchLabelsTest.java
@@ -0,0 +1,45 @@
+package weldhitch.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Checks the labels of reasons. Scripts and recorded reports read them, so they never change, whatever the
+ * constants' names.
+ */
+class WatchLabelsTest {
+    @Test
+    void reasonsKeepTheirRecordedLabels() {
+        assertEquals(
+                List.of(
+                        "admitted",
+                        "waits for room",
+                        "no room in time",
+                        "tenant quota",
+                        "no server now",
+                        "past deadline",
+                        "tried again",
+                        "backs off",
+                        "second copy",
+                        "route does not retry",
+                        "attempts used up",
+                        "may have run",
+                        "memory run out",
+                        "no budget",
+                        "backoff too long",
+                        "asks for zones",
+                        "no zone"),
+                Stream.of(Watch.Why.values()).map(Watch.Why::label).toList());
+    }
+
+    @Test
+    void exclusionsKeepTheirRecordedLabels() {
+        assertEquals(
+                List.of("in", "draining", "not_around", "cold", "tried", "other_group", "other_zone"),
+                Arrays.stream(Watch.Out.values()).map(Watch.Out::label).toList());
+    }
+}
--- a/decision/src/test/java/weldhitch/decision/Workload.java
+++ b/decision/src/test/java/weldhitch/decision/Workload.java
@@ -11,21 +11,23 @@
 import weldhitch.decision.RouteRules.*;
 
 /**
- * A stream of events drawn from a seed, of every kind that a module is told, in answer to what it decides: requests of
- * each effect, streams, quotas, routes that change, a list that is asked for and refused, cold and draining servers,
- * outcomes of all sorts, callers that leave, events of one instant. No model of any site: it asks only that the module
- * be told what could be.
+ * Generates random events from a seed, of every type that a balancer handles, in response to its decisions:
+ * requests of each idempotency, streams, quotas, changing routes, subscriptions that succeed or are rejected,
+ * endpoints that warm up or drain, all outcomes, clients that disconnect, simultaneous events. It does not
+ * model a real system: it only produces possible sequences of events. Not thread-safe; used by the tests of
+ * several modules.
  */
 public final class Workload {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1000 * MS;
     private static final Outcome[] OUTCOMES = Outcome.values();
 
-    /** What hands an event to a module and gives back what it decides. */
+    /** Handles an event, usually by a balancer, and returns its actions. */
     public interface Module {
         List<Action> handle(long now, Event event);
     }
 
+    /** An event scheduled for a later time. */
     private record Due(long at, long number, Event event) implements Comparable<Due> {
         @Override
         public int compareTo(Due other) {
@@ -33,6 +35,7 @@
         }
     }
 
+    /** An attempt in flight. */
     private record Sent(String request, int attempt, String server, long at, boolean streamed) {
     }
 
@@ -42,19 +45,25 @@
     private final List<Sent> out = new ArrayList<>();
     private final java.util.LinkedHashMap<String, Integer> attempts = new java.util.LinkedHashMap<>();
     private final java.util.Set<String> over = new java.util.HashSet<>();
-    /** Draws the zones of requests, so that what else is drawn stays the same; null where there are none. */
+    /**
+     * Separate generator for the zones of requests, so that the other draws stay the same; null without zones.
+     */
     private final SplittableRandom zones;
     private final int servers;
     private long number;
     private long now = 1_000_000_000_000L;
     private int born;
 
-    /** Without zones. */
+    /** Creates a workload whose requests are not bound to zones. */
     public Workload(long seed) {
         this(seed, false);
     }
 
-    /** @param zoned whether requests are bound to zones, others than which they ask for */
+    /**
+     * Creates a workload.
+     *
+     * @param zoned whether requests are bound to zones, and may request others
+     */
     public Workload(long seed, boolean zoned) {
         zones = zoned ? new SplittableRandom(seed) : null;
         random = new SplittableRandom(seed * 7919 + 17);
@@ -77,11 +86,12 @@
             new Rules(0.3, 3 * SECOND, 3, 2 * SECOND, SECOND, 8 * MS, 4 * SECOND));
     }
 
+    /** Returns the current virtual time in nanoseconds. */
     public long now() {
         return now;
     }
 
-    /** Tells the module so many events, and {@code seen} of each one what was decided. */
+    /** Plays this many events, and passes each with its actions to {@code observer}. */
     public void play(Module module, int events, BiConsumer<Event, List<Action>> seen) {
         for (int i = 0; i < events; i++) {
             Event event = born++ == 0 ? list(ListKind.REMEMBERED) : next();
@@ -188,7 +198,7 @@
         } else if (action instanceof SetTimer timer) {
             due.add(new Due(now + timer.after(), number++, new Timer(timer.token())));
         } else if (action instanceof AskZones ask) {
-            // Mostly at once, sometimes later or not at all.
+            // Mostly at once, sometimes later or never.
             if (zones.nextInt(8) > 0) {
                 due.add(new Due(now + (zones.nextInt(4) == 0 ? 30 * MS : 0), number++, new Zoned(ask.request(), zones())));
             }
--- a/decision/src/test/java/weldhitch/decision/ZoneTest.java
+++ b/decision/src/test/java/weldhitch/decision/ZoneTest.java
@@ -9,8 +9,9 @@
 import weldhitch.decision.Balancing.*;
 import org.junit.jupiter.api.Test;
 
+/** Tests that an unresponsive zone is avoided. */
 class ZoneTest {
-    /** Each server of a cut-off zone failed but once, so their own counts alone would not steer away. */
+    /** Each endpoint of an unreachable zone has failed only once, so their own counts would not suffice. */
     @Test
     void zoneThatAnswersNothingIsAvoidedAsAWhole() {
         Node node = Node.plain();
--- a/decision/src/test/java/weldhitch/decision/ZonesTest.java
+++ b/decision/src/test/java/weldhitch/decision/ZonesTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.decision.Balancing.*;
 
-/** Requests that are bound to zones. */
+/** Tests requests that are restricted to zones. */
 class ZonesTest {
     private static Node node() {
         Node node = Node.plain();
@@ -60,11 +60,11 @@
         assertEquals(new AskZones("r"), only(asks, AskZones.class).orElseThrow());
         String east = sent(node.handle(new Zoned("r", List.of("east"))));
         assertTrue(east.startsWith("e"), east);
-        // A second word while an attempt is out changes nothing of it.
+        // A second assignment while an attempt is in flight has no effect.
         assertEquals(List.of(), node.handle(new Zoned("r", List.of("west"))).stream().filter(a -> a instanceof Send).toList());
     }
 
-    /** Where it may go nowhere else, it goes again to those it has tried; a word that never comes is asked for again. */
+    /** Without other zones, endpoints are tried again; an assignment that never arrives is requested again. */
     @Test
     void whoIsToldToStayStaysAndWhoIsToldNothingAsksAgain() {
         Node node = node();
@@ -94,7 +94,10 @@
         assertEquals(List.of(), node.handle(new Zoned("ran", List.of("east"))));
     }
 
-    /** The servers that discard its repeats are those of the zone where it may have run: it asks for no others. */
+    /**
+     * Only endpoints of the zone where it may have been executed discard its repeats, so it requests no other
+     * zones.
+     */
     @Test
     void aKeyedRequestThatMayHaveRunDoesNotLeaveItsZone() {
         Node node = node();
@@ -108,7 +111,7 @@
         }
     }
 
-    /** Held over many workloads: nothing goes to a zone that its request may not go to. */
+    /** Over many workloads: no attempt goes to a zone that its request is not allowed to use. */
     @Test
     void noSendLeavesTheZonesOfItsRequest() {
         int[] asked = {0};
@@ -128,7 +131,8 @@
             } else if (event instanceof Membership m) {
                 m.entries().forEach(e -> zoneOf.put(e.server(), e.zone()));
             }
-            // Words that come while an attempt is out are not heeded, so a send may go by the zones before them too.
+            // Assignments while an attempt is in flight are ignored, so an attempt may follow the previous
+            // zones too.
             for (Action action : actions) {
                 asked[0] += action instanceof AskZones ? 1 : 0;
                 if (action instanceof Send send) {
@@ -142,7 +146,7 @@
                 }
             }
             if (event instanceof Zoned z && bound.get(z.request()) != null && actions.stream().noneMatch(a -> a instanceof Send)) {
-                // Whether it took the word and waits, or passed it over, can't be told from here: either holds.
+                // Whether the assignment was applied or ignored is not visible here: accept both.
                 List<String> either = new ArrayList<>(bound.get(z.request()));
                 either.addAll(z.zones());
                 bound.put(z.request(), either);
--- a/fleet/src/main/java/weldhitch/fleet/activation/ClockEstimate.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ClockEstimate.java
@@ -1,26 +1,36 @@
 package weldhitch.fleet.activation;
 
 /**
- * What a process knows of another's clock: an interval that its offset lies in, got from round trips (Cristian,
- * "Probabilistic clock synchronization", 1989) and widened by drift as time goes by. Each new interval is cut with what is
- * left of the old one, so that the best round trip counts for as long as it is worth it.
+ * Estimates the offset of a remote clock as an interval, from round trips (Cristian, "Probabilistic clock
+ * synchronization", 1989); drift widens the interval as time passes. Each new interval is intersected with
+ * the widened old one, so that the best round trip counts for as long as it improves the bound. {@link
+ * MemberCore} owns one for the fleet clock. Not thread-safe; times are nanoseconds.
  */
 public final class ClockEstimate {
     private final double drift;
     private String clock;
-    /** Bounds of the other's time less this one's, as of {@code at}. */
+    /** Bounds of the remote time less the local time, as of {@code updatedAt}. */
     private long low;
     private long high;
     private long at;
 
-    /** @param drift share by which either clock may run fast or slow */
+    /**
+     * Creates an estimate without any reading.
+     *
+     * @param drift fraction by which either clock may run fast or slow
+     */
     public ClockEstimate(double drift) {
         this.drift = drift;
     }
 
     /**
-     * At some moment between {@code from} and {@code to} of this clock, the other, which is called {@code name}, read
-     * {@code read}, give or take {@code error}.
+     * Adds one reading of the remote clock. A reading of another clock replaces the estimate.
+     *
+     * @param name identifies the remote clock
+     * @param from local time before the reading: when the question was sent
+     * @param to local time after the reading: when the answer was received
+     * @param read what the remote clock showed at some moment between the two
+     * @param error by how much that reading may be wrong, in either direction
      */
     public void read(String name, long from, long to, long read, long error) {
         long newLow = read - error - to;
@@ -38,7 +48,7 @@
         low = Math.max(oldLow, newLow);
         high = Math.min(oldHigh, newHigh);
         if (low > high) {
-            // A clock ran faster than the bound says: what was just read is all that there is to go by.
+            // A clock ran faster than the drift bound allows: only the latest reading can be used.
             low = newLow;
             high = newHigh;
         }
@@ -49,22 +59,22 @@
         return (long) (2 * drift * Math.max(0, now - at));
     }
 
-    /** The clock that is known, or null. */
+    /** The id of the remote clock, or null before the first reading. */
     public String clock() {
         return clock;
     }
 
-    /** The other clock's time now, as well as it is known. */
+    /** The remote clock's time at the local time {@code now}: the middle of the interval. */
     public long otherAt(long now) {
         return now + low + (high - low) / 2;
     }
 
-    /** By how much {@link #otherAt} may be wrong. */
+    /** By how much {@link #otherAt} may be wrong, in either direction. */
     public long error(long now) {
         return (high - low + 1) / 2 + widening(now);
     }
 
-    /** When this clock will read as the other's {@code time} does. */
+    /** The local time at which the remote clock will show {@code remoteTime}. */
     public long here(long time) {
         return time - low - (high - low) / 2;
     }
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberCall.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberCall.java
@@ -3,17 +3,20 @@
 import java.util.List;
 
 /**
- * What a member tells a steward, some times a second.
+ * A member's heartbeat to a coordinator, sent several times a second. Immutable.
  *
+ * @param member the member's name
  * @param incarnation new with each start of the process
- * @param generation of the decision that the member has seen last: a steward may wait with its answer for a newer one
- * @param voted the version that it votes on, 0 for none
- * @param yes whether it has built the version's table and would serve by it
- * @param noes why not, a line each
- * @param leaves whether it ends as planned and is to be struck off
+ * @param generation of the latest decision that the member has seen: a coordinator may delay its response
+ *     until there is a newer one
+ * @param voted the version that the member votes on, 0 for none
+ * @param yes whether it has built the version's table and could serve by it
+ * @param noes why it rejects the version, a line each; null counts as empty
+ * @param leaves whether the process is shutting down and is to be removed from the membership
  */
 public record MemberCall(String member, String incarnation, long generation, long voted, boolean yes, List<String> noes,
         boolean leaves) {
+    /** Copies the list, so that the record stays immutable. */
     public MemberCall {
         noes = noes == null ? List.of() : List.copyOf(noes);
     }
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberCore.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberCore.java
@@ -5,45 +5,51 @@
 import weldhitch.fleet.error.FleetError;
 
 /**
- * A member's part in putting versions in force. It serves by {@link #standing}; what it knows comes from the answers of the
- * leading steward alone, and from how long ago it asked for them.
+ * A member's part in the activation of route versions: a state machine whose effects its owner, {@link
+ * weldhitch.fleet.member.FleetMember}, carries out. The member serves by {@link #standing}; its knowledge
+ * comes only from coordinators' responses and from when it sent the heartbeats that they answer.
  *
- * <p>Why two members never decide by different versions at one moment, but for the error of clocks: a version's moment lies
- * beyond the end of every lease that was given before it was decided, and a lease given later brings the decision. A member
- * that voted uses its old version only while its lease lasts, or until the moment if it knows that.
+ * <p>Why two members never decide by different versions at the same time, up to the error of their clocks: a
+ * version's activation time lies after the expiry of every lease that was granted before the decision, and a
+ * lease granted later carries the decision. A member that has voted uses its old version only until its lease
+ * expires, or until the activation time if it knows that.
  *
- * <p>Not thread-safe.
+ * <p>Free of I/O, clocks and threads. Not thread-safe.
  */
 public final class MemberCore {
-    /** What its owner is to do. */
+    /** What the owner has to do after a call. */
     public sealed interface Todo {
     }
 
-    /** Fetch this version's bundle, check it and build its table, then say so by {@link #prepared}. */
+    /**
+     * Fetch this version's bundle, check it, build its table, and report the result by {@link #prepared}.
+     */
     public record Prepare(Version version) implements Todo {
     }
 
-    /** A change that an operator wants to read. */
+    /** Log a change that operators care about. */
     public record Say(String event) implements Todo {
     }
 
-    /** Tables but for these numbers are not needed any more. */
+    /** Tables of versions other than these are no longer needed. */
     public record Keep(List<Long> numbers) implements Todo {
+        /** Copies the list, so that the record stays immutable. */
         public Keep {
             numbers = List.copyOf(numbers);
         }
     }
 
     /**
-     * By how much the moment of a switch may be wrong here, at the most. Who knows it less well refuses what differs for as long
-     * as it may or may not be past, and takes the new version when it surely is.
+     * The largest error, in nanoseconds, with which the activation time may be known here. With a larger
+     * error a member rejects requests on which the versions differ for as long as the switch may or may not
+     * have happened, and takes the new version when it surely has.
      */
     public static final long MOST_ERROR = 50_000_000L;
 
     private final String name;
     private final String incarnation;
     private final double drift;
-    /** How long a lease holds here, as stewards say. */
+    /** How long a lease may be used here, as the leader says. */
     private long leaseSpan;
     private final boolean fenceBeforeJoin;
     private final ClockEstimate clock;
@@ -52,9 +58,9 @@
     private boolean fenced;
     private long generation;
     private long leaseUntil = Long.MIN_VALUE;
-    /** Until when it can be sure that no version was decided that it has not heard of. */
+    /** Until when no version can have been decided without this member knowing it. */
     private long undecidedUntil = Long.MIN_VALUE;
-    /** The version that it serves by, or served by until {@code switchAt}. */
+    /** The version in use, or in use until {@code switchAt}. */
     private long current;
     private Version wanted;
     private boolean wantedPrepared;
@@ -64,15 +70,21 @@
     private long switchAt = Long.MAX_VALUE;
     private long switchError = Long.MAX_VALUE;
     private long lastError = Long.MAX_VALUE;
-    /** The version wanted is in force already: the one served by is past. */
+    /**
+     * Whether the target version is active already, so that {@code currentVersion} must not be used any more.
+     */
     private boolean past;
-    /** The answer by which it is. */
+    /** The response that reported the target version as active. */
     private MemberAnswer last;
 
     /**
-     * @param drift share by which clocks may run fast or slow
-     * @param fenceBeforeJoin whether it refuses requests until it has heard which version is in force; else it serves by
-     *     its own file
+     * Creates a member that has not joined yet and serves by its own file, version 0.
+     *
+     * @param name the member's name
+     * @param incarnation new with each start of the process
+     * @param drift fraction by which clocks may run fast or slow
+     * @param fenceBeforeJoin whether it rejects requests until it knows the active version; otherwise it
+     *     serves by its own file
      */
     public MemberCore(String name, String incarnation, double drift, boolean fenceBeforeJoin) {
         this.name = name;
@@ -82,25 +94,29 @@
         clock = new ClockEstimate(drift);
     }
 
-    /** What to tell a steward now. Its vote is cast by this, whether it arrives or not. */
+    /** The heartbeat to send now. This casts the member's vote, whether the heartbeat arrives or not. */
     public MemberCall call(long now) {
         settle(now);
         boolean votes = joined && wanted != null && outcome == null && !past && (wantedPrepared || !noes.isEmpty());
         if (votes && wantedPrepared && !voted) {
             voted = true;
-            // Whoever decides has this vote, and so decides later than it was sent: until then no word is needed.
+            // A decision that waits for this vote is made after it was sent, and its activation time leaves a
+            // full lease after that: until then the member needs no further message.
             undecidedUntil = Math.max(undecidedUntil, now + leaseSpan);
         }
         return new MemberCall(name, incarnation, generation, votes ? wanted.number() : 0, votes && wantedPrepared,
             votes ? noes : List.of(), leaving);
     }
 
-    /** The process ends as planned: further calls say so. */
+    /** Marks the member as shutting down: further heartbeats say so. */
     public void leave() {
         leaving = true;
     }
 
-    /** An answer to a call sent at {@code sentAt}; of a steward that does not lead only a decision counts. */
+    /**
+     * Handles the response to a heartbeat sent at {@code sentAt}; of a follower's response only a decision
+     * counts.
+     */
     public List<Todo> answered(long sentAt, long now, MemberAnswer a) {
         List<Todo> todo = new ArrayList<>();
         settle(now);
@@ -108,7 +124,8 @@
             return todo;
         }
         if (!a.leader()) {
-            // What was decided stays so, whoever tells it: a leader that died after its decision leaves nobody in doubt.
+            // A decision is final, whichever coordinator reports it: a leader that dies after its decision
+            // leaves no member in doubt.
             if (wanted != null && !past && a.outcome() != null && a.outcome().number() == wanted.number()) {
                 if (a.outcome().commit()) {
                     decided(a.outcome(), now, todo);
@@ -158,7 +175,7 @@
         }
     }
 
-    /** A version that it has to have; {@code wanted} stays as it is where it is this one. */
+    /** Makes this the target version; does nothing if it is already. */
     private void want(Version version, List<Todo> todo) {
         if (wanted != null && wanted.equals(version)) {
             return;
@@ -188,7 +205,7 @@
         if (said.clock().equals(clock.clock())) {
             long moment = clock.here(said.moment());
             long error = clock.error(now) + (long) (2 * drift * Math.max(0, moment - now));
-            // Once the moment is past it is no longer moved.
+            // Once the activation time has passed it is no longer moved.
             if (error < switchError && now < takesAt()) {
                 switchError = error;
                 switchAt = moment;
@@ -212,7 +229,11 @@
         todo.add(new Keep(List.of(current)));
     }
 
-    /** The table of a version is built, or can't be: {@code errors} say why, a line each. */
+    /**
+     * The table of a version is built, or cannot be built.
+     *
+     * @param errors why it cannot be built, a line each; empty on success
+     */
     public List<Todo> prepared(long now, long number, List<String> errors) {
         List<Todo> todo = new ArrayList<>();
         settle(now);
@@ -229,7 +250,7 @@
         return todo;
     }
 
-    /** The version wanted is in force for all; here it is from now on. */
+    /** Switches to the target version, which is already active in the fleet. */
     private void take(long now, List<Todo> todo) {
         current = wanted.number();
         forget();
@@ -237,23 +258,29 @@
         todo.add(new Keep(List.of(current)));
         todo.add(new Say("version " + current + " is in force here"));
         if (last != null) {
-            // Told together with the version in force: one after it may be decided already.
+            // The same response may carry the next version, which may be decided already.
             pending(last, now, todo);
         }
         last = null;
     }
 
-    /** When the new version is taken here: at the moment, or once that is surely past where it is not known well. */
+    /**
+     * When this member switches: at the activation time, or once that has surely passed if it is not known
+     * well enough.
+     */
     private long takesAt() {
         return switchAt == Long.MAX_VALUE || switchError <= MOST_ERROR ? switchAt : switchAt + switchError;
     }
 
-    /** From when on the moment may be past, where it is not known well; {@link Long#MAX_VALUE} where it is. */
+    /**
+     * From when on the activation time may have passed, if it is not known well enough; {@link
+     * Long#MAX_VALUE} if it is.
+     */
     private long mayBePastFrom() {
         return switchAt == Long.MAX_VALUE ? undecidedUntil : switchError <= MOST_ERROR ? Long.MAX_VALUE : switchAt - switchError;
     }
 
-    /** Past its moment a version prepared is the current one. */
+    /** Makes a prepared and committed version the current one once its activation time has passed. */
     private void settle(long now) {
         if (wanted != null && wantedPrepared && outcome != null && now >= takesAt()) {
             current = wanted.number();
@@ -261,7 +288,7 @@
         }
     }
 
-    /** What it serves by, from {@code now} on and without further word. */
+    /** The versions to serve by from {@code now} on, valid without further messages. */
     public Standing standing(long now) {
         settle(now);
         long fencedFrom = Long.MAX_VALUE;
@@ -275,33 +302,37 @@
         }
         if (outcome != null) {
             if (!wantedPrepared) {
-                // It takes effect, and can't be served by here: joined late, or its bundle is still being fetched.
+                // The version is committed but cannot be served here: the member joined late, or is still
+                // fetching the bundle.
                 return new Standing(current, null, Long.MAX_VALUE, Long.MAX_VALUE,
                     Math.min(fencedFrom, Math.min(switchAt, mayBePastFrom())));
             }
-            // Without a moment that it can tell, it is in doubt once its lease is over.
+            // Without a known activation time the member is in doubt once its lease has expired.
             return new Standing(current, wanted.number(), takesAt(), mayBePastFrom(), fencedFrom);
         }
         return new Standing(current, wantedPrepared ? wanted.number() : null, Long.MAX_VALUE,
             voted ? undecidedUntil : Long.MAX_VALUE, fencedFrom);
     }
 
-    /** Whether it is in the roster, as far as it has heard. */
+    /** Whether the member is registered, according to the latest response. */
     public boolean joined() {
         return joined;
     }
 
-    /** The last decision that it heard of. */
+    /** The generation of the latest decision that the member knows. */
     public long generation() {
         return generation;
     }
 
-    /** The version that a table is wanted of, or null. */
+    /** The version whose table has to be built, or null. */
     public Version wanted() {
         return wantedPrepared ? null : wanted;
     }
 
-    /** By how much the moment of the last switch may be wrong here, in nanoseconds; {@link Long#MAX_VALUE} before the first. */
+    /**
+     * By how much the time of the last switch may be wrong here, in nanoseconds; {@link Long#MAX_VALUE}
+     * before the first.
+     */
     public long switchError() {
         return lastError;
     }
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberReply.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberReply.java
@@ -3,10 +3,12 @@
 import weldhitch.fleet.locality.FleetView;
 
 /**
- * What a steward answers a {@link MemberRequest}.
+ * A coordinator's complete response to a {@link MemberRequest}. Immutable.
  *
- * @param zones where the member told of zones and the steward leads, what it knows of them and what it grants; else null
- * @param turnIn how long the member is to wait, from now, before it asks the list service, in nanoseconds; below 0 for no word
+ * @param answer the response to the heartbeat
+ * @param zones zone loads and quota grants, if the member reported zones and the responder leads; else null
+ * @param turnIn how long the member has to wait from now before it polls the discovery service, in
+ *     nanoseconds; below 0 if no poll slot was assigned
  */
 public record MemberReply(MemberAnswer answer, FleetView zones, long turnIn) {
 }
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberRequest.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberRequest.java
@@ -3,12 +3,14 @@
 import weldhitch.fleet.locality.NodeReport;
 
 /**
- * A member's call as it goes to a steward.
+ * A member's complete request to a coordinator: its heartbeat and what goes with it. Immutable.
  *
  * @param cluster the fleet's name
- * @param waitMillis how long the steward may wait for news before it answers
- * @param zones what the member has seen of zones; null where it goes by no locality rules
- * @param turnFrom where it wants a turn to ask the list service, how long from now on it would wait by itself, in nanoseconds; else below 0
+ * @param waitMillis how long the coordinator may wait for a change before it responds
+ * @param call the heartbeat
+ * @param zones the node's zone loads; null if it has no locality rules
+ * @param turnFrom if the member wants a poll slot for the discovery service: how long from now it would wait
+ *     by itself, in nanoseconds; else below 0
  */
 public record MemberRequest(String cluster, long waitMillis, MemberCall call, NodeReport zones, long turnFrom) {
 }
--- a/fleet/src/main/java/weldhitch/fleet/activation/Standing.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/Standing.java
@@ -1,7 +1,8 @@
 package weldhitch.fleet.activation;
 
 /**
- * What a member serves by, until it hears more. Immutable; a request is judged by the moment in which it arrives.
+ * The versions that a member serves by until the next update, made by {@link MemberCore#standing}. Immutable;
+ * a request is judged by the time at which it arrives.
  */
 public final class Standing {
     private final long current;
@@ -11,12 +12,14 @@
     private final long fencedFrom;
 
     /**
-     * @param current the version that it serves by before {@code switchAt}
-     * @param next the version from {@code switchAt} on, or the one that may come; null where there is none
-     * @param switchAt the moment, by this process's clock; {@link Long#MAX_VALUE} while it is not known
-     * @param doubtFrom from when on it can't say whether {@code next} is in force, and requests on which the two differ are
-     *     refused; {@link Long#MAX_VALUE} for never
-     * @param fencedFrom from when on it can't say what is in force at all, and all requests are refused
+     * Creates the state from its parts.
+     *
+     * @param current the version in use before {@code switchAt}
+     * @param next the version from {@code switchAt} on, or one that may be committed; null if there is none
+     * @param switchAt the activation time by this process's clock; {@link Long#MAX_VALUE} while it is unknown
+     * @param doubtFrom from when on the member cannot tell whether {@code next} is active, and rejects
+     *     requests on which the two differ; {@link Long#MAX_VALUE} for never
+     * @param fencedFrom from when on the member cannot tell what is active at all, and rejects all requests
      */
     public Standing(long current, Long next, long switchAt, long doubtFrom, long fencedFrom) {
         this.current = current;
@@ -26,29 +29,32 @@
         this.fencedFrom = fencedFrom;
     }
 
+    /** The version in use before {@link #switchAt}. */
     public long current() {
         return current;
     }
 
+    /** The version from {@link #switchAt} on, or one that may be committed; null if there is none. */
     public Long next() {
         return next;
     }
 
+    /** The activation time by this process's clock; {@link Long#MAX_VALUE} while it is unknown. */
     public long switchAt() {
         return switchAt;
     }
 
-    /** The version that holds at {@code now}. */
+    /** The version in use at {@code now}. */
     public long versionAt(long now) {
         return next != null && now >= switchAt ? next : current;
     }
 
-    /** Whether requests on which {@code current} and {@code next} differ are refused. */
+    /** Whether requests on which {@code current} and {@code next} differ are rejected. */
     public boolean doubtAt(long now) {
         return now >= doubtFrom && now < switchAt;
     }
 
-    /** Whether all requests are. */
+    /** Whether all requests are rejected. */
     public boolean fencedAt(long now) {
         return now >= fencedFrom;
     }
--- a/fleet/src/main/java/weldhitch/fleet/activation/Version.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/Version.java
@@ -1,10 +1,12 @@
 package weldhitch.fleet.activation;
 
 /**
- * A route version by name. Number 0 is what a member's own file says; the others are counted by the stewards.
+ * Identifies a route version. Immutable.
  *
+ * @param number 0 for a member's own file; the coordinators count the others
  * @param sha256 of its bundle, in hex; empty for number 0
  */
 public record Version(long number, String sha256) {
+    /** A member's own file. */
     public static final Version OWN_FILE = new Version(0, "");
 }
--- a/fleet/src/main/java/weldhitch/fleet/error/package-info.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/package-info.java
@@ -1,2 +1,2 @@
-/** What can be wrong with a fleet's shared state, each kind a type of its own. */
+/** The errors of the state that a fleet shares, each kind a type of its own. */
 package weldhitch.fleet.error;
--- a/fleet/src/main/java/weldhitch/fleet/locality/Ended.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Ended.java
@@ -1,11 +1,11 @@
 package weldhitch.fleet.locality;
 
-/** How an attempt ended, as far as its zone is concerned. */
+/** How an attempt ended, as far as it says something about its zone. */
 public enum Ended {
-    /** Answered, be it with an error of the application. */
+    /** Answered, even with an application error. */
     ANSWERED,
-    /** Turned away as full. */
+    /** Rejected for lack of capacity. */
     FULL,
-    /** No answer, or a connection that failed or broke. */
+    /** No answer, or a connection that could not be made or broke. */
     FAILED
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/Grant.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Grant.java
@@ -1,11 +1,12 @@
 package weldhitch.fleet.locality;
 
 /**
- * Leave for a node to send so much to a zone that is not its own.
+ * Permission for a node to send calls to a zone other than its own, with a lease. Immutable.
  *
- * @param perSecond calls a second
- * @param until when it ends, by the clock of who holds it
+ * @param perSecond calls per second
+ * @param until when it expires, by the clock of the node that has it
  */
 public record Grant(double perSecond, long until) {
+    /** No permission. */
     public static final Grant NONE = new Grant(0, Long.MIN_VALUE);
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/Leave.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Leave.java
@@ -4,12 +4,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What a node may send to zones that are not its own, by grants: a token bucket for each zone, which all of its rules share. */
+/**
+ * What a node may send to zones other than its own, by quota grants: one token bucket per zone, shared by all
+ * rules of the node. Owned by {@link Locality}; not thread-safe.
+ */
 final class Leave {
-    /** At most so much of a second's grant is saved up: a burst, not a debt. */
+    /** Capacity of a bucket in seconds of its grant: allows a burst, and never a debt. */
     private static final double SAVED_SECONDS = 0.25;
     private static final double NANOS = 1e9;
 
+    /** The token bucket of one zone, as of its last refill. */
     private static final class Bucket {
         Grant grant = Grant.NONE;
         double saved;
@@ -18,7 +22,7 @@
 
     private final Map<String, Bucket> zones = new TreeMap<>();
 
-    /** Leave to send to a zone; it replaces an older one. */
+    /** Replaces the grant for a zone; saved tokens stay, up to the new burst size. */
     void granted(String zone, Grant grant, long now) {
         Bucket bucket = zones.computeIfAbsent(zone, z -> new Bucket());
         fill(bucket, now);
@@ -39,7 +43,10 @@
         bucket.filledAt = Math.max(bucket.filledAt, now);
     }
 
-    /** Takes one call's worth of leave for the zone of these that has most of it, and returns that zone; null where none has any. */
+    /**
+     * Uses one token for that of the given zones which has most of them, and returns the zone; null if none
+     * has one.
+     */
     String spend(Set<String> of, long now) {
         String richest = null;
         double most = 1;
@@ -59,12 +66,12 @@
         return richest;
     }
 
-    /** Calls a second that may be sent to the zone now. */
+    /** The calls per second that may be sent to the zone now. */
     double perSecond(String zone, long now) {
         return answered(zone, now) ? zones.get(zone).grant.perSecond() : 0;
     }
 
-    /** Whether a grant for the zone holds now, be it of nothing. */
+    /** Whether the zone has a grant that has not expired, even one of rate 0. */
     boolean answered(String zone, long now) {
         Bucket bucket = zones.get(zone);
         return bucket != null && now < bucket.grant.until();
--- a/fleet/src/main/java/weldhitch/fleet/locality/Locality.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Locality.java
@@ -11,12 +11,13 @@
 import weldhitch.fleet.error.FleetError;
 
 /**
- * A node's placing of requests by locality rules: which zones a request may go to, what the node has seen of zones, and what it
- * would send to others. Which server of those zones takes it, the node's module draws. Free of I/O, clock and threads; times are
- * nanoseconds of the node's clock. Not thread-safe.
+ * Selects zones for a node's requests by locality rules. Owns what the node has observed of zones, the
+ * fleet's view and the quota grants, and reports what the node would send to other zones. The node's module
+ * picks the endpoint within those zones. Free of I/O, clocks and threads; times are nanoseconds of the node's
+ * clock. Not thread-safe.
  */
 public final class Locality {
-    /** From this age on a view of the fleet counts as none. */
+    /** The age from which on a view of the fleet is not used any more. */
     static final long STALE = 3_000_000_000L;
 
     private final String name;
@@ -25,25 +26,30 @@
     private final OwnView seen;
     private final Leave leave = new Leave();
     private final Map<LocalityRule, Spillover> states = new LinkedHashMap<>();
-    /** The same by the rules in force themselves: a request must not pay for comparing what a rule says. */
+    /**
+     * The same spillovers by identity of the active rules: a request must not pay for comparing rules by
+     * value.
+     */
     private final Map<LocalityRule, Spillover> inForce = new IdentityHashMap<>();
     private LocalityRules rules;
     private FleetView fleet = FleetView.NONE;
     private long fleetAt = Long.MIN_VALUE;
     private final boolean stewards;
     private boolean saidAlone;
-    /** From when on a view of the fleet is waited for. */
+    /** Since when a view of the fleet is expected. */
     private long waitsFrom;
     private final Set<LocalityRule> impossible = new HashSet<>();
 
     /**
-     * @param name the node's, for errors
-     * @param own its zone
-     * @param siblings nodes of the fleet; where nothing is heard of them, those of its zone are taken to be the zone's part
-     *     of them, and to do alike
-     * @param startCapacity share of its capacity that a server bears when it starts, 0 to 1
-     * @param coldSpan how long until it bears all of it
-     * @param stewards whether there are any to hear of the fleet from
+     * Creates a selector without rules.
+     *
+     * @param name the node's name, for errors
+     * @param own the node's zone
+     * @param siblings number of nodes of the fleet; without a view of the fleet, the nodes of this zone are
+     *     assumed to be an even part of them and to send the same load
+     * @param startCapacity fraction of its capacity that an endpoint bears when it starts, 0 to 1
+     * @param coldSpan slow start: how long until an endpoint bears its full capacity, in nanoseconds
+     * @param stewards whether there are coordinators to get a view of the fleet from
      */
     public Locality(String name, String own, int siblings, double startCapacity, long coldSpan, boolean stewards) {
         this.stewards = stewards;
@@ -53,7 +59,11 @@
         seen = new OwnView(startCapacity, coldSpan);
     }
 
-    /** News of the list, or all of it. */
+    /**
+     * Applies an update of the endpoint list, or the complete list.
+     *
+     * @param whole whether {@code changes} is the complete list
+     */
     public void servers(boolean whole, List<ZoneServer> news, long now) {
         Set<String> before = seen.there();
         seen.listed(whole, news);
@@ -63,7 +73,7 @@
         }
     }
 
-    /** These rules hold from now on; null for none. What is known of a rule that stays, stays. */
+    /** Replaces the rules; null for none. The state of a rule that remains is retained. */
     public void rules(LocalityRules next, long now) {
         if (next == rules) {
             return;
@@ -87,42 +97,54 @@
         states.forEach((rule, state) -> state.steps(rules.regions().steps(rule, own, seen.there()), now));
     }
 
-    /** Whether any rule holds. */
+    /** Whether there are rules. */
     public boolean on() {
         return rules != null;
     }
 
-    /** Whether a request's route has to be found out for {@link #arrived}. */
+    /** Whether {@link #arrived} needs a request's route. */
     public boolean asksForRoutes() {
         return rules != null && rules.asksForRoutes();
     }
 
     /**
-     * Where a request goes that arrives now; null where no rule matches, so that it may go anywhere.
+     * Selects zones for a request that arrives now; null if no rule matches, so that it may go to any zone.
      *
-     * @param chance drawn evenly from 0 to 1
+     * @param chance a uniform random number from 0 to 1
      */
     public Placed arrived(String requestClass, String tenant, String route, double chance, long now) {
         LocalityRule rule = rules == null ? null : rules.of(requestClass, tenant, route);
         return rule == null ? null : inForce.get(rule).arrived(chance, now);
     }
 
-    /** Where a request goes on to, as no server is left there that it has not tried; the same where nowhere else. */
+    /**
+     * Selects the next zones for a request that has tried all endpoints of its present ones; returns {@code
+     * from} if there are no others.
+     */
     public Placed further(Placed from, long now) {
         return from.by().further(from, now);
     }
 
-    /** An attempt went out; {@code placed} null where no rule matched its request. */
+    /**
+     * Records that an attempt was sent.
+     *
+     * @param placed the selection it was sent by; null if no rule matched its request
+     */
     public void sent(String server, Placed placed, long now) {
         seen.sent(server, placed != null && placed.pays(), now);
     }
 
-    /** An attempt that was sent at {@code sentAt} ended; {@code late}: past what its class aims at. */
+    /**
+     * Records how an attempt ended.
+     *
+     * @param late whether it exceeded the latency objective of its class
+     * @param sentAt when it was sent
+     */
     public void ended(String server, Ended how, boolean late, long sentAt, long now) {
         seen.ended(server, how, late, sentAt, now);
     }
 
-    /** What the leading steward answered to a call sent at {@code sentAt}. */
+    /** Handles the leading coordinator's response to a heartbeat sent at {@code sentAt}. */
     public void heard(FleetView view, long sentAt, long now) {
         fleet = view;
         fleetAt = sentAt;
@@ -132,7 +154,10 @@
         }
     }
 
-    /** Looks at all zones anew; to be called some times a second while rules hold. Returns what an operator wants to read. */
+    /**
+     * Evaluates all zones again; to be called several times a second while there are rules. Returns log lines
+     * for operators.
+     */
     public List<String> tick(long now) {
         List<String> news = new ArrayList<>();
         Map<Spillover, Integer> before = new LinkedHashMap<>();
@@ -159,7 +184,7 @@
         return news;
     }
 
-    /** Whether there is a view of the fleet's that is not stale. */
+    /** Whether there is a view of the fleet that is not stale. */
     public boolean granted(long now) {
         return fleetAt != Long.MIN_VALUE && !fleet.zones().isEmpty() && now - fleetAt <= STALE;
     }
@@ -171,8 +196,8 @@
     }
 
     /**
-     * The fleet's view of each zone where there is one that is not stale, but that this node's own failures count where they
-     * are worse: it may be cut off alone.
+     * The fleet's view of each zone if there is one that is not stale, else this node's own. The node's own
+     * failures count if they are worse than the fleet's: it may be the only node that is cut off.
      */
     Map<String, ZoneView> views(long now) {
         Map<String, ZoneView> views = new TreeMap<>();
@@ -190,7 +215,7 @@
         return views;
     }
 
-    /** What stewards are to know; null where no rule holds. */
+    /** The report for the coordinators; null if there are no rules. */
     public NodeReport report(long now) {
         if (rules == null) {
             return null;
@@ -200,7 +225,7 @@
         return new NodeReport(rules.target(), rules.mostLate(), seen.reports(rules.rate(), now), wants);
     }
 
-    /** How often steps have become short or ceased to be. */
+    /** How often priority levels have begun or ceased to spill over. */
     public int changes() {
         return states.values().stream().mapToInt(Spillover::changes).sum();
     }
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
@@ -4,21 +4,28 @@
 import java.util.Set;
 
 /**
- * Where requests of a kind go first, and where to when that is short.
+ * Which zones the requests of a kind go to first, and where they spill over to when those are short of
+ * capacity. Immutable.
  *
  * @param name of the rule, for logs
- * @param match the requests it is for
- * @param prefer steps in order: {@link #OWN_ZONE}, {@link #OWN_REGION}, {@link #ANY}, or the name of a region
- * @param never zones and regions that such a request never goes to, also where that means a refusal
- * @param spill when and how much goes on to the next step
- * @param panic whether, where the first step has no server that answers and there is no leave for any other, all zones that
- *     the rule permits take what comes; else that is refused. Where steps are merely short, the first one takes what has no leave
+ * @param match the requests that it applies to
+ * @param prefer priority levels in order: {@link #OWN_ZONE}, {@link #OWN_REGION}, {@link #ANY}, or the name
+ *     of a region
+ * @param never zones and regions that such a request never goes to, even if it has to be rejected instead
+ * @param spill when and how much spills over to the next priority level
+ * @param panic whether all zones that the rule permits receive the requests if the first priority level has
+ *     no responding endpoint and there is no token for another; otherwise these are rejected. If levels are
+ *     merely short, the first one receives the requests that get no token
  */
 public record LocalityRule(String name, Match match, List<String> prefer, Set<String> never, Spill spill, boolean panic) {
+    /** The priority level of the node's own zone. */
     public static final String OWN_ZONE = "own-zone";
+    /** The priority level of the zones of the node's region. */
     public static final String OWN_REGION = "own-region";
+    /** The priority level of all zones. */
     public static final String ANY = "any";
 
+    /** Copies the collections, so that the record stays immutable; requires at least one priority level. */
     public LocalityRule {
         prefer = List.copyOf(prefer);
         never = Set.copyOf(never);
@@ -27,8 +34,9 @@
         }
     }
 
-    /** The requests of a class, tenant and route; null for any. */
+    /** Matches the requests of a class, tenant and route; null matches any. Immutable. */
     public record Match(String requestClass, String tenant, String route) {
+        /** Matches all requests. */
         public static final Match ALL = new Match(null, null, null);
 
         boolean holds(String ofClass, String ofTenant, String ofRoute) {
@@ -37,20 +45,31 @@
         }
     }
 
-    /** A figure from which on a step is short, and one past which it no longer is: apart, or it would flap. */
+    /**
+     * Hysteresis: a threshold from which on a priority level is short, and another past which it no longer
+     * is, apart so that the state does not flap. Immutable.
+     */
     public record Band(double begin, double end) {
     }
 
     /**
-     * @param use share of what its healthy servers bear, 0 to 1: short from {@code begin} on, no longer below {@code end}
-     * @param healthy share of its servers' weight, 0 to 1: short below {@code begin}, no longer from {@code end} on
-     * @param late share of its attempts that were late or turned away, 0 to 1: short from {@code begin} on, no longer below {@code end}
-     * @param dwell how long a step stays short or not at least, in nanoseconds
-     * @param most share of the rule's requests that may go on to the next step, 0 to 1; all of them where no server is left
-     * @param growth by how much that share grows, and falls, a second
-     * @param alone the most that may go on where no steward says anything, as a share; {@code most} at most
+     * When a priority level spills over and how much. Immutable.
+     *
+     * @param use utilization, as a fraction of what its healthy endpoints bear, 0 to 1: short from {@code
+     *     begin} on, no longer below {@code end}
+     * @param healthy healthy fraction of its endpoints' weight, 0 to 1: short below {@code begin}, no longer
+     *     from {@code end} on
+     * @param late fraction of its attempts that were late or rejected, 0 to 1: short from {@code begin} on,
+     *     no longer below {@code end}
+     * @param dwell the minimum time between two changes of whether a level is short, in nanoseconds
+     * @param most largest fraction of the rule's requests that may spill over to the next level, 0 to 1; all
+     *     of them if no endpoint is left
+     * @param growth by how much that fraction grows or falls per second
+     * @param alone the largest fraction that may spill over without a view from the coordinators; at most
+     *     {@code maxFraction}
      */
     public record Spill(Band use, Band healthy, Band late, long dwell, double most, double growth, double alone) {
+        /** Rejects figures out of their range. */
         public Spill {
             require(use.begin > 0 && use.begin <= 1, "use.begin from 0 to 1");
             require(use.end >= 0 && use.end < use.begin, "use.end under use.begin, or it flaps");
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
@@ -4,12 +4,14 @@
 import java.util.Objects;
 
 /**
- * All locality rules of an operator file or route version. Immutable.
+ * All locality rules of a route configuration or route version. Immutable.
  *
- * @param rate what a server of weight 1 bears, in calls a second
- * @param rules in the order of the file: of those that match a request the first holds
+ * @param regions the regions that rules may name
+ * @param rate what an endpoint of weight 1 bears, in calls per second
+ * @param rules in the order of the file; the first that matches a request applies
  */
 public record LocalityRules(Regions regions, double rate, List<LocalityRule> rules) {
+    /** Copies the list, so that the record stays immutable; requires a positive and finite capacity. */
     public LocalityRules {
         rules = List.copyOf(rules);
         if (!(rate > 0) || Double.isInfinite(rate)) {
@@ -17,7 +19,7 @@
         }
     }
 
-    /** The rule of a request, or null. {@code route} may be null where {@link #asksForRoutes} is false. */
+    /** The rule for a request, or null. {@code route} may be null if {@link #asksForRoutes} is false. */
     public LocalityRule of(String requestClass, String tenant, String route) {
         for (LocalityRule rule : rules) {
             if (rule.match().holds(requestClass, tenant, route)) {
@@ -27,22 +29,32 @@
         return null;
     }
 
-    /** Whether any rule goes by a request's route. */
+    /** Whether any rule matches by route. */
     public boolean asksForRoutes() {
         return rules.stream().anyMatch(rule -> rule.match().route() != null);
     }
 
-    /** The use past which no zone is to be pushed by what comes from elsewhere: the least of what any rule calls short. */
+    /**
+     * The utilization above which traffic from other zones must not push a zone: the lowest at which any rule
+     * calls a level short.
+     */
     double target() {
         return rules.stream().mapToDouble(rule -> rule.spill().use().begin()).min().orElse(1);
     }
 
-    /** The share of late attempts from which on a zone takes nothing from elsewhere. */
+    /** The fraction of late attempts from which on a zone takes no traffic from other zones. */
     double mostLate() {
         return rules.stream().mapToDouble(rule -> rule.spill().late().begin()).min().orElse(1);
     }
 
-    /** Whether {@code here}, the rule of a request by {@code one}, is another than {@code there}; null for no rules at all. */
+    /**
+     * Whether a request is treated differently by two sets of rules.
+     *
+     * @param one the first set; null for no rules
+     * @param here the request's rule by the first set, or null
+     * @param other the second set; null for no rules
+     * @param there the request's rule by the second set, or null
+     */
     public static boolean differ(LocalityRules one, LocalityRule here, LocalityRules other, LocalityRule there) {
         return !Objects.equals(here, there) || here != null && !(one.regions.equals(other.regions) && one.rate == other.rate);
     }
--- a/fleet/src/main/java/weldhitch/fleet/locality/NodeReport.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/NodeReport.java
@@ -3,16 +3,18 @@
 import java.util.Map;
 
 /**
- * What a node tells stewards of zones with its calls.
+ * A node's report on zones, sent to the coordinators with its heartbeats. Immutable.
  *
- * @param target use past which no zone is to be pushed by what comes from elsewhere, by the node's rules; 0 to 1
- * @param mostLate share of late attempts from which on a zone takes nothing from elsewhere, 0 to 1
- * @param zones what it has seen, by zone
- * @param wants what it would send to zones that are not its own, in calls a second
+ * @param target utilization above which traffic from other zones must not push a zone, by the node's rules; 0
+ *     to 1
+ * @param mostLate fraction of late attempts from which on a zone takes no traffic from other zones, 0 to 1
+ * @param zones what the node has observed, by zone
+ * @param wants what the node would send to zones other than its own, in calls per second
  */
 public record NodeReport(double target, double mostLate, Map<String, ZoneReport> zones, Map<String, Double> wants) {
     static final int MOST_ZONES = 256;
 
+    /** Checks ranges and copies the maps; null counts as empty. At most {@code MAX_ZONES} zones in each. */
     public NodeReport {
         if (!(target > 0 && target <= 1 && mostLate > 0 && mostLate <= 1)) {
             throw new IllegalArgumentException("target and mostLate from 0 to 1: " + target + ", " + mostLate);
--- a/fleet/src/main/java/weldhitch/fleet/locality/OwnView.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/OwnView.java
@@ -6,24 +6,36 @@
 import java.util.TreeSet;
 import java.util.Set;
 
-/** What one node sees of zones by its own list and calls. Not thread-safe. */
+/**
+ * What one node observes of zones by its own endpoint list and calls. Owned by {@link Locality}; not
+ * thread-safe.
+ */
 final class OwnView {
     /**
-     * So many failures of a zone in a row, whichever of its servers they were, and no answer of it for so long, tell that all
-     * of it is silent. By the count alone, a zone of which half is dead would be given up by every sixty-fourth call.
+     * A zone counts as failing, with all its endpoints, after this many failures in a row, of whichever
+     * endpoints, and no answer for {@code ZONE_SILENCE_NANOS}. By the count only, one call in sixty-four
+     * would declare a zone failed of which half is dead.
      */
     private static final int ZONE_FAILS = 6;
-    /** So many of a server in a row tell that it is. No more, as who fails is drawn less: a dead one of many may not get a third call. */
+    /**
+     * An endpoint counts as failing after this many failures in a row. It is no more because a failing
+     * endpoint is picked less often: a dead one of many may not get a third call.
+     */
     private static final int SERVER_FAILS = 2;
+    /** How long a zone must have given no answer, in nanoseconds, to count as failing. */
     private static final long ZONE_SILENT = 500_000_000L;
-    /** How long a verdict on a zone stands without another failure: then it has to be tried again, or nobody ever would. */
+    /**
+     * How long a failed zone counts as failing without another failure: after that it has to be tried again,
+     * or no node ever would.
+     */
     private static final long FADES = 3_000_000_000L;
     /**
-     * And on a server of a zone that answers: the module draws it seldom after a failure, and it may be as dead after some
-     * seconds without a call as before.
+     * The same for a failing endpoint of a zone that answers: the node picks it rarely after a failure, and
+     * after some seconds without a call it is likely to be as dead as before.
      */
     private static final long FADES_WITHIN = 20_000_000_000L;
 
+    /** One endpoint: its list entry and its latest results. */
     private static final class Server {
         ZoneServer listed;
         int failures;
@@ -40,6 +52,7 @@
         }
     }
 
+    /** One zone: its rates and its latest results. */
     private static final class Zone {
         final Rate calls = new Rate();
         final Rate paid = new Rate();
@@ -59,11 +72,21 @@
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final Map<String, Zone> zones = new TreeMap<>();
 
+    /**
+     * Creates a view without endpoints.
+     *
+     * @param startCapacity fraction of its capacity that an endpoint bears when it starts, 0 to 1
+     * @param coldSpan how long until it bears all of it, in nanoseconds; 0 for no slow start
+     */
     OwnView(double startCapacity, long coldSpan) {
         this.startCapacity = startCapacity;
         this.coldSpan = coldSpan;
     }
 
+    /**
+     * Applies an update of the endpoint list, or the complete list. An endpoint that was started anew begins
+     * without results.
+     */
     void listed(boolean whole, Iterable<ZoneServer> news) {
         if (whole) {
             Set<String> left = new TreeSet<>(servers.keySet());
@@ -88,12 +111,13 @@
         return zones.computeIfAbsent(name, z -> new Zone());
     }
 
+    /** The zone of an endpoint, or null if it is not listed. */
     String zoneOf(String server) {
         Server known = servers.get(server);
         return known == null ? null : known.listed.zone();
     }
 
-    /** Zones that have a ready server by the list. */
+    /** The zones that have a ready endpoint by the list. */
     Set<String> there() {
         Set<String> there = new TreeSet<>();
         servers.values().forEach(s -> {
@@ -104,6 +128,11 @@
         return there;
     }
 
+    /**
+     * Records that an attempt was sent.
+     *
+     * @param paid whether a token of a quota grant paid for it
+     */
     void sent(String server, boolean paid, long now) {
         String zone = zoneOf(server);
         if (zone != null) {
@@ -111,6 +140,7 @@
         }
     }
 
+    /** Records how an attempt that was sent at {@code sentAt} ended. */
     void ended(String server, Ended how, boolean late, long sentAt, long now) {
         Server known = servers.get(server);
         if (known == null) {
@@ -118,7 +148,7 @@
         }
         boolean failed = how == Ended.FAILED;
         if (failed && known.answeredAt > sentAt) {
-            // It answers others: this one came late.
+            // The endpoint has answered another attempt since this one was sent: it is late rather than dead.
             failed = false;
         }
         Zone zone = zone(known.listed.zone());
@@ -145,7 +175,11 @@
         return s.listed.weight() * (startCapacity + (1 - startCapacity) * age);
     }
 
-    /** @param rate what a server of weight 1 bears, in calls a second */
+    /**
+     * The observations by zone.
+     *
+     * @param rate what an endpoint of weight 1 bears, in calls per second
+     */
     Map<String, ZoneReport> reports(double rate, long now) {
         Map<String, double[]> weights = new TreeMap<>();
         zones.keySet().forEach(zone -> weights.put(zone, new double[3]));
@@ -170,14 +204,18 @@
     }
 
     /**
-     * The share of late attempts, as far as there are any to go by: both figures fade alike, so that without the attempt a second
-     * beside them a zone that nothing goes to any more would stay late for good.
+     * The fraction of late attempts. One attempt per second is added to the total: as both rates decay alike,
+     * a zone that nothing is sent to any more would otherwise stay late forever.
      */
     static double lateShare(double late, double attempts) {
         return Math.min(1, late / (attempts + 1));
     }
 
-    /** What these reports say by themselves, where so many nodes are taken to do {@code alike}, this one among them. */
+    /**
+     * The state of a zone by this node's report only.
+     *
+     * @param alike number of nodes, with this one, that are assumed to send the same load
+     */
     static ZoneView alone(ZoneReport r, double alike, double rate, long now) {
         double failing = r.failing() * rate;
         double healthy = r.capacity() <= 0 ? 0 : Math.max(0, 1 - failing / r.capacity());
--- a/fleet/src/main/java/weldhitch/fleet/locality/Placed.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Placed.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Where a request may go by its rule. */
+/** The zones that a request may go to by its rule. Belongs to one request; not thread-safe. */
 public final class Placed {
     private final Spillover by;
     private final int step;
@@ -16,21 +16,25 @@
         this.paid = paid;
     }
 
+    /** The state of the rule that made this selection. */
     Spillover by() {
         return by;
     }
 
-    /** The step of its rule, counted from 0; below 0 where it goes nowhere, past the last where it goes to any of them. */
+    /**
+     * The priority level, counted from 0; below 0 if the request may go nowhere, past the last level if it
+     * may go to any zone of the rule.
+     */
     public int step() {
         return step;
     }
 
-    /** Those that it may be sent to; empty for none. */
+    /** The zones that the request may be sent to; empty for none. */
     public List<String> zones() {
         return zones;
     }
 
-    /** Whether the call that goes out now was paid for by leave: one is. */
+    /** Whether the attempt sent now is paid for by a token: true once, as the selection took one token. */
     boolean pays() {
         boolean pays = paid;
         paid = false;
--- a/fleet/src/main/java/weldhitch/fleet/locality/Quotas.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Quotas.java
@@ -7,12 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * Splits what a zone can take beyond its own over the nodes that want it, so that what all of them may send at once never
- * exceeds that, though grants are lost, doubled or late: a grant counts until it must have ended wherever it is, and one that
- * replaces it counts beside it until then. Kept by the leading steward. Not thread-safe.
+ * Splits the capacity that a zone has left over among the nodes that want it, so that what all of them may
+ * send at once never exceeds it, even if grants are lost, duplicated or late: a grant counts until it must
+ * have expired wherever it is, and one that replaces it counts beside it until then. Owned by the leading
+ * coordinator's {@link ZoneBoard}. Not thread-safe.
  */
 public final class Quotas {
-    /** Of one node for one zone: what it was given, and until when that may be used, as counted here. */
+    /** A grant to one node for one zone: calls per second, and its expiry by this clock. */
     private record Given(double perSecond, long until) {
     }
 
@@ -21,17 +22,22 @@
     private final Map<String, Map<String, List<Given>>> given = new TreeMap<>();
     private final Map<String, Map<String, Double>> wanted = new TreeMap<>();
 
-    /** @param lasts how long a grant may be used at the latest, in nanoseconds of this clock, from when it was given */
+    /**
+     * Creates an allocator without grants.
+     *
+     * @param lasts how long a grant may be used at the latest after it was issued, in nanoseconds of this
+     *     clock
+     */
     public Quotas(long lasts) {
         this.lasts = lasts;
     }
 
-    /** For tests that show what breaks where a grant that was replaced is not counted beside the one in its place. */
+    /** For tests that show what breaks if a replaced grant is not counted beside its replacement. */
     void forgetReplaced() {
         countsReplaced = false;
     }
 
-    /** A node wants to send so much to a zone, in calls a second; 0 for nothing any more. */
+    /** Sets what a node wants to send to a zone, in calls per second; 0 for nothing any more. */
     public void wants(String node, String zone, double perSecond) {
         Map<String, Double> of = wanted.computeIfAbsent(zone, z -> new TreeMap<>());
         if (perSecond > 0) {
@@ -41,16 +47,17 @@
         }
     }
 
-    /** A node is gone: what it was given ends by itself. */
+    /** Removes a node; what it was granted expires by itself. */
     public void gone(String node) {
         wanted.values().forEach(of -> of.remove(node));
     }
 
     /**
-     * What the node may send to the zone from now on, for {@link #lasts} at most.
+     * Issues a grant: what the node may send to the zone from now on, for {@code grantDuration} at most.
      *
-     * @param headroom what the zone can take beyond its own, of all nodes together, in calls a second
-     * @return calls a second, 0 for none
+     * @param headroom what the zone can take beyond its own load, from all nodes together, in calls per
+     *     second
+     * @return calls per second, 0 for none
      */
     public double grant(String node, String zone, double headroom, long now) {
         Map<String, List<Given>> of = given.computeIfAbsent(zone, z -> new TreeMap<>());
@@ -71,12 +78,15 @@
         return grant;
     }
 
-    /** A node uses one grant at a time: of those that may still be in use, the largest. */
+    /** A node uses one grant at a time: this is the largest of those that it may still be using. */
     private static double most(List<Given> some) {
         return some.stream().mapToDouble(Given::perSecond).max().orElse(0);
     }
 
-    /** Max-min fair: nobody gets more than it wants, and nobody less than another that wants more (Bertsekas and Gallager, 6.5.2). */
+    /**
+     * Max-min fairness: no node gets more than it wants, and none less than another that wants more
+     * (Bertsekas and Gallager, 6.5.2).
+     */
     private static double fair(String node, Map<String, Double> wanted, double headroom) {
         double left = Math.max(0, headroom);
         int count = wanted.size();
@@ -91,7 +101,9 @@
         return 0;
     }
 
-    /** What may be sent to the zone by all nodes together now, at the most. */
+    /**
+     * What all nodes together may be sending to the zone now by their grants, at most, in calls per second.
+     */
     public double outstanding(String zone, long now) {
         return given.getOrDefault(zone, Map.of()).values().stream()
             .mapToDouble(some -> most(some.stream().filter(g -> now < g.until).toList())).sum();
--- a/fleet/src/main/java/weldhitch/fleet/locality/Rate.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Rate.java
@@ -1,17 +1,22 @@
 package weldhitch.fleet.locality;
 
-/** How often something happens: a count that decays, as of one second ago by 1/e. */
+/**
+ * Events per second, as a count that decays exponentially: an event of one second ago counts 1/e. Not
+ * thread-safe.
+ */
 final class Rate {
     private static final double OVER = 1e9;
 
     private double count;
     private long at;
 
+    /** Counts one event. */
     void add(long now) {
         decay(now);
         count++;
     }
 
+    /** The rate at {@code now}. */
     double perSecond(long now) {
         decay(now);
         return count;
--- a/fleet/src/main/java/weldhitch/fleet/locality/Regions.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Regions.java
@@ -10,12 +10,16 @@
 import java.util.TreeSet;
 
 /**
- * Regions as named sets of zones; a zone is in one region at most.
+ * Regions as named sets of zones; a zone is in one region at most. Immutable.
  *
- * @param zones those of each region by its name
+ * @param zones the zones of each region, by its name
  */
 public record Regions(Map<String, Set<String>> zones) {
-    /** @throws IllegalArgumentException that names the zone which stands in two regions */
+    /**
+     * Copies the map in sorted order.
+     *
+     * @throws IllegalArgumentException if a zone is in two regions; the message names it
+     */
     public Regions {
         Map<String, String> taken = new TreeMap<>();
         Map<String, Set<String>> copy = new TreeMap<>();
@@ -37,10 +41,11 @@
     }
 
     /**
-     * The zones of each step of a rule as seen from {@code own}, each zone in the first step that names it. A step without any
-     * zone that {@code there} holds is left out, but the first always stands, so that a lost zone is not taken for the next one.
+     * The zones of each priority level of a rule as seen from {@code ownZone}; each zone is in the first
+     * level that names it. A level without an available zone is left out, except for the first, so that the
+     * level after a lost zone does not become the first.
      *
-     * @param there zones that have servers
+     * @param there zones that have endpoints
      */
     public List<Set<String>> steps(LocalityRule rule, String own, Set<String> there) {
         Set<String> seen = new LinkedHashSet<>();
--- a/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
@@ -7,11 +7,12 @@
 import java.util.TreeSet;
 
 /**
- * One node's state of one rule: for each request, the step whose zones it may go to. What goes beyond the first step is bounded
- * by leave, a call for each request; where no steward says anything, by a lesser share, stated in the rule. Not thread-safe.
+ * One node's state for one rule: it selects the priority level of each request. What goes beyond the first
+ * level is bounded by quota grants, a token for each request; without a view from the coordinators, by a
+ * smaller fraction that the rule states. Owned by {@link Locality}; not thread-safe.
  */
 final class Spillover {
-    /** What is asked for beyond what is wanted on average: requests come in bursts. */
+    /** Factor by which the requested quota exceeds the average demand, as requests come in bursts. */
     private static final double MARGIN = 1.1;
     private static final double NOTHING = 0.01;
 
@@ -19,26 +20,33 @@
     private final Leave leave;
     private final Rate arriving = new Rate();
     private List<Set<String>> steps = List.of();
-    /** Where a request goes that takes all of a step's zones. */
+    /** The zones of each level as lists, for requests that may go to all of them. */
     private List<List<String>> zones = List.of();
     private final List<StepState> states = new ArrayList<>();
     private Map<String, ZoneView> views = Map.of();
-    /** Whether stewards say what may be sent where. */
+    /** Whether the coordinators grant quotas now. */
     private boolean granting;
     private double alone;
 
-    /** @param steps of the rule as this node sees them ({@link Regions#steps}) */
+    /**
+     * Creates the state.
+     *
+     * @param steps the rule's priority levels as this node sees them ({@link Regions#steps})
+     */
     Spillover(LocalityRule rule, List<Set<String>> steps, Leave leave, long now) {
         this.rule = rule;
         this.leave = leave;
         steps(steps, now);
     }
 
+    /** The rule. */
     LocalityRule rule() {
         return rule;
     }
 
-    /** The rule's steps are others from now on, as zones came or went; what is known of a step that stays, stays. */
+    /**
+     * Replaces the priority levels after zones came or went; the state of a level that remains is retained.
+     */
     final void steps(List<Set<String>> next, long now) {
         if (next.equals(steps)) {
             return;
@@ -54,7 +62,11 @@
         states.addAll(kept);
     }
 
-    /** What is known of zones now, and whether stewards grant leave. */
+    /**
+     * Applies the present views of zones.
+     *
+     * @param stewards whether the coordinators grant quotas
+     */
     void seen(Map<String, ZoneView> known, boolean stewards, long now) {
         views = known;
         granting = stewards;
@@ -63,7 +75,10 @@
         }
     }
 
-    /** A step's view: what its zones have together; one that nothing is known of, as no list has named a server of it, is lost. */
+    /**
+     * The view of a priority level: its zones together. A level without any known zone, as no list has named
+     * an endpoint of it, counts as unavailable.
+     */
     private ZoneView of(Set<String> step) {
         double capacity = 0;
         double healthy = 0;
@@ -95,7 +110,9 @@
         return some;
     }
 
-    /** Adds what this node would send beyond its first step, in calls a second by zone. */
+    /**
+     * Adds the load that this node would send beyond its first priority level, in calls per second by zone.
+     */
     void wants(Map<String, Double> into, long now) {
         double rest = states.isEmpty() ? 0 : MARGIN * arriving.perSecond(now) * states.get(0).share(now);
         for (int i = 1; i < steps.size() && rest > NOTHING; i++) {
@@ -108,7 +125,7 @@
                 granted += leave.perSecond(zone, now);
             }
             if (!answered) {
-                // What the nearer step has room for is not known yet.
+                // The capacity that the nearer level has left is not known yet.
                 return;
             }
             rest -= granted;
@@ -116,9 +133,9 @@
     }
 
     /**
-     * Where a request goes that arrives now.
+     * Selects zones for a request that arrives now.
      *
-     * @param chance drawn evenly from 0 to 1
+     * @param chance a uniform random number from 0 to 1
      */
     Placed arrived(double chance, long now) {
         arriving.add(now);
@@ -143,8 +160,9 @@
     }
 
     /**
-     * Without leave and with no server at home: all zones together, as far as the rule permits them. To the nearest alone it would
-     * all go to one, which had no room for it.
+     * Panic mode, without tokens and without an endpoint in the first level: all responding zones that the
+     * rule permits together. If only the nearest took the load, one zone without the capacity for it would
+     * get all of it.
      */
     private Placed everywhere() {
         Set<String> all = new TreeSet<>();
@@ -158,7 +176,9 @@
         return new Placed(this, step, zones.get(step), false);
     }
 
-    /** To a zone of that step by leave, or alone; null where there is none. */
+    /**
+     * Selects a zone of that level by a token, or by the uncoordinated fraction; null if there is neither.
+     */
     private Placed beyond(int step, long now) {
         Set<String> some = answering(step);
         String zone = leave.spend(some, now);
@@ -172,7 +192,10 @@
         return null;
     }
 
-    /** Where the request of {@code from} goes on to, as no server is left there that it has not tried; where it is, if nowhere else. */
+    /**
+     * Selects the next zones for a request that has tried all endpoints of {@code previous}; returns that if
+     * there are no others.
+     */
     Placed further(Placed from, long now) {
         for (int i = from.step() + 1; i < steps.size(); i++) {
             Placed placed = states.get(i).lost() ? null : beyond(i, now);
@@ -187,17 +210,17 @@
         return all.zones().isEmpty() ? from : all;
     }
 
-    /** Whether no step has a server that answers. */
+    /** Whether no priority level has a responding endpoint. */
     boolean nowhere() {
         return states.stream().allMatch(StepState::lost);
     }
 
-    /** How often any step has become short or ceased to be. */
+    /** How often any priority level has begun or ceased to spill over. */
     int changes() {
         return states.stream().mapToInt(StepState::changes).sum();
     }
 
-    /** In words, for a log. */
+    /** Describes the state, for a log line. */
     String told(long now) {
         StringBuilder text = new StringBuilder("rule " + rule.name());
         for (int i = 0; i < steps.size(); i++) {
--- a/fleet/src/main/java/weldhitch/fleet/locality/StepState.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/StepState.java
@@ -3,13 +3,15 @@
 import weldhitch.fleet.locality.LocalityRule.Spill;
 
 /**
- * Whether one step of a rule is short, and what share of its requests goes on to the next one. The share grows while the step
- * is past its begin, falls while it is under its end, and stays between the two: where what goes on is just enough, nothing
- * moves. All of it goes on at once from a step that has no server left, and comes back by and by.
+ * Whether one priority level of a rule is short, and what fraction of its requests spills over to the next.
+ * The fraction grows while the level is past its upper threshold, falls while it is under its lower one, and
+ * stays in between, so that nothing moves while the spillover is just enough. From a level without a
+ * responding endpoint everything spills over at once, and returns gradually. Owned by {@link Spillover}; not
+ * thread-safe.
  */
 final class StepState {
     private static final double NANOS = 1e9;
-    /** A step of less than this healthy has no server that answers. */
+    /** A level whose healthy fraction is below this counts as one without a responding endpoint. */
     static final double LOST = 0.02;
 
     private final Spill spill;
@@ -21,13 +23,14 @@
     private long at;
     private int changes;
 
+    /** Creates the state of a level that is not short and may change at once. */
     StepState(Spill spill, long now) {
         this.spill = spill;
         since = now - spill.dwell();
         at = now;
     }
 
-    /** What is known of the step now. */
+    /** Applies the present view of the level. */
     void seen(ZoneView view, long now) {
         move(now);
         lost = view.healthy() < LOST;
@@ -39,7 +42,8 @@
         if (lost) {
             share = 1;
         }
-        // That servers are gone is no matter of a threshold: nothing flaps while it waits for the dwell.
+        // The loss of all endpoints is not a matter of thresholds, so it cannot flap and need not wait for the
+        // dwell time.
         boolean mayChange = now - since >= spill.dwell() || lost;
         boolean next = isShort ? direction >= 0 || share > 0 : past;
         if (next != isShort && mayChange) {
@@ -61,22 +65,23 @@
         }
     }
 
+    /** Whether the level is short of capacity, so that it spills over. */
     boolean isShort() {
         return isShort;
     }
 
-    /** Whether no server of it answers. */
+    /** Whether the level has no responding endpoint. */
     boolean lost() {
         return lost;
     }
 
-    /** The share of requests that goes on to the next step, before any leave. */
+    /** The fraction of requests that spills over to the next level, before quota grants limit it. */
     double share(long now) {
         move(now);
         return share;
     }
 
-    /** How often it became short or was no longer so. */
+    /** How often the level has become short or ceased to be. */
     int changes() {
         return changes;
     }
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneBoard.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneBoard.java
@@ -7,21 +7,27 @@
 import weldhitch.fleet.locality.FleetView.ZoneWord;
 
 /**
- * What the leading steward knows of zones: the last report of each node, merged, and what each zone's headroom was granted to.
- * None of it is kept on disk: reports come again within a second, and grants end by themselves. Not thread-safe; times are
- * nanoseconds of the steward's clock.
+ * Merges the nodes' reports on zones and grants quotas; owned by the leading coordinator. In memory only:
+ * reports arrive again within a second, and grants expire by themselves. Not thread-safe; times are
+ * nanoseconds of the coordinator's clock.
  */
 public final class ZoneBoard {
-    /** From this age on a report does not count. */
+    /** The age from which on a report does not count. */
     static final long FRESH = 2_000_000_000L;
     /** How long a grant may be used at the latest. */
     public static final long GRANT = 2_000_000_000L;
+    /** How long merged reports are reused, instead of being merged again for each response. */
     private static final long MERGED_FOR = 20_000_000L;
 
+    /** A node's latest report, and when it arrived. */
     private record Heard(NodeReport report, long at) {
     }
 
-    /** A zone by all fresh reports; {@code calls} those that no leave paid for, of all nodes. */
+    /**
+     * A zone by all fresh reports.
+     *
+     * @param calls calls per second of all nodes that no quota paid for
+     */
     private record Merged(ZoneWord word, double calls) {
     }
 
@@ -36,20 +42,23 @@
     private double mostLate = 1;
 
     /**
-     * @param ledSince when this steward's lead began: what a leader before it granted may be used for {@link #GRANT} from then on
-     * @param drift share by which clocks may run fast or slow
+     * Creates an aggregator without reports.
+     *
+     * @param ledSince when this coordinator began to lead: grants of the leader before may be used for up to
+     *     {@link #GRANT} from then on, so none are issued until then
+     * @param drift fraction by which clocks may run fast or slow
      */
     public ZoneBoard(long ledSince, double drift) {
         grantsFrom = ledSince + GRANT;
         this.drift = drift;
     }
 
-    /** For tests that show what breaks without it. */
+    /** For tests that show what breaks without counting replaced grants. */
     void forgetReplaced() {
         quotas.forgetReplaced();
     }
 
-    /** A node's report; null where it has none. */
+    /** Records a node's report; null if it has none any more. */
     public void heard(String node, NodeReport report, long now) {
         if (report == null) {
             gone(node);
@@ -66,10 +75,10 @@
     }
 
     /**
-     * What to tell a node now.
+     * The view to send to a node now, with its quota grants.
      *
-     * @param members nodes in the roster: by fewer than half of them nothing is merged, and by fewer than all their calls count
-     *     for those of the others
+     * @param members number of registered nodes: if fewer than half of them have reported, nothing is merged;
+     *     if not all have, the calls of the others are extrapolated
      */
     public FleetView answer(String node, int members, long now) {
         merge(members, now);
@@ -88,7 +97,10 @@
         return new FleetView(zones, grants, (long) (GRANT * (1 - 2 * drift)), reporters, members);
     }
 
-    /** What a zone can take beyond the calls that no leave paid for, up to the target; less and less as its answers come late. */
+    /**
+     * What a zone can take beyond the calls that no quota paid for, up to the target utilization; the less,
+     * the more of its answers are late.
+     */
     private double headroom(Merged of) {
         double bears = target * of.word.capacity() * of.word.healthy();
         return Math.max(0, bears - of.calls) * Math.max(0, 1 - of.word.late() / mostLate);
@@ -122,7 +134,7 @@
     private Merged merge(String zone, double scale, long now) {
         double[] capacities = heard.values().stream().map(h -> h.report.zones().get(zone)).mapToDouble(r -> r == null ? 0 : r.capacity())
             .sorted().toArray();
-        // One node with a list of its own must not move what the others know.
+        // The median: one node with a different list must not move the figure.
         double capacity = capacities[capacities.length / 2];
         double tried = sum(zone, ZoneReport::tried);
         double attempts = sum(zone, ZoneReport::attempts);
@@ -130,7 +142,7 @@
         double calls = scale * sum(zone, ZoneReport::calls);
         double bears = capacity * healthy;
         double use = bears <= 0 ? 0 : calls / bears;
-        // Who is not heard has no leave either, so this part is not scaled.
+        // A node that does not report has no grant either, so this part is not extrapolated.
         double load = bears <= 0 ? 0 : use + sum(zone, ZoneReport::paid) / bears;
         long oldest = heard.values().stream().mapToLong(h -> now - h.at).max().orElse(0);
         return new Merged(new ZoneWord(healthy, use, load, OwnView.lateShare(sum(zone, ZoneReport::late), attempts), capacity, oldest),
@@ -141,7 +153,7 @@
         return heard.values().stream().map(h -> h.report.zones().get(zone)).mapToDouble(r -> r == null ? 0 : part.applyAsDouble(r)).sum();
     }
 
-    /** Zones as they are known now, for people; empty where too few nodes have reported. */
+    /** The present load of zones, for display; empty if too few nodes have reported. */
     public Map<String, ZoneWord> zones(int members, long now) {
         merge(members, now);
         Map<String, ZoneWord> zones = new TreeMap<>();
@@ -149,7 +161,9 @@
         return zones;
     }
 
-    /** What all nodes together may be sending to the zone by leave now, at the most, in calls a second. */
+    /**
+     * What all nodes together may be sending to the zone now by their grants, at most, in calls per second.
+     */
     public double outstanding(String zone, long now) {
         return quotas.outstanding(zone, now);
     }
--- a/fleet/src/main/java/weldhitch/fleet/member/Bundles.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/Bundles.java
@@ -4,7 +4,10 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** The texts of versions, as members and stewards name them. */
+/**
+ * Digests of bundles, by which members and coordinators identify the contents of a version. Stateless and
+ * thread-safe.
+ */
 public final class Bundles {
     private Bundles() {
     }
--- a/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
@@ -20,39 +20,52 @@
 import weldhitch.fleet.table.Tables.Table;
 
 /**
- * A member at work: one thread that calls stewards, builds the tables of versions and publishes what holds; requests enter
- * {@link #tables} from any other. Where no steward answers, what is in force stays so.
+ * A running fleet member. One thread calls the coordinators, builds the tables of versions and publishes the
+ * active ones; requests enter {@link #tables} from any thread. If no coordinator responds, the active version
+ * stays active.
  *
- * @param <T> what a version's table holds
+ * @param <T> the contents of a version's table
  */
 public final class FleetMember<T> implements AutoCloseable {
-    /** Makes a version's table, or says why it can't, a line each; blocks. */
+    /** Builds the tables of versions; called on the member's thread. */
     public interface Builder<T> {
-        /** @param file what the bundle is called in errors */
+        /**
+         * Builds a version's table; may block.
+         *
+         * @param file the name of the bundle in errors
+         * @param errors receives the reasons why the table cannot be built, a line each
+         * @return the table; may be null if there were errors
+         */
         T build(String file, byte[] bundle, Consumer<String> errors);
     }
 
-    /** What a member tells of zones and hears of them; called on the member's thread. */
+    /** Supplies zone load reports and receives the fleet's view of zones; called on the member's thread. */
     public interface Zones {
-        /** What stewards are to know now; null where no locality rules hold. */
+        /** The report to send now; null if there are no locality rules. */
         NodeReport report();
 
-        /** What they answered to a call sent at {@code sentAt} of {@link System#nanoTime}. */
+        /**
+         * Handles the coordinators' response to a heartbeat sent at {@code sentAt} of {@link
+         * System#nanoTime}.
+         */
         void heard(FleetView view, long sentAt);
     }
 
-    /** Who asks a list service that all nodes share; called on the member's thread. */
+    /** Polls a discovery service that all nodes share, in assigned slots; called on the member's thread. */
     public interface ListTurns {
-        /** Where it waits to ask for a list, for how long it still will by itself, in nanoseconds; else below 0. */
+        /** If it waits to poll: how long it would still wait by itself, in nanoseconds; else below 0. */
         long wantedIn();
 
-        /** When to ask, by {@link System#nanoTime}. */
+        /** Assigns the poll slot, by {@link System#nanoTime}. */
         void turn(long at);
     }
 
     private static final long MILLI = 1_000_000L;
     private static final long WATCH_MS = 500;
-    /** Where what may be sent where hangs on it, news is told and heard more often. */
+    /**
+     * Shorter than {@code LONG_POLL_MILLIS}: with locality rules, quota grants depend on how often reports
+     * and views are exchanged.
+     */
     private static final long ZONES_WATCH_MS = 200;
     private static final long SHORTEST_ROUND = 40 * MILLI;
     private static final long PAUSE = 150 * MILLI;
@@ -72,15 +85,22 @@
     private long heardAt = System.nanoTime();
     private long nextWord = FIRST_WORD;
     private boolean saidDoubt;
-    /** The version that was found unfit last: it is not built again for each answer that names it. */
+    /**
+     * The number of the version that was rejected last: it is not built again for each response that names
+     * it.
+     */
     private long refused;
 
     /**
-     * Begins to call stewards.
+     * Starts the member's thread, which begins to call the coordinators.
      *
-     * @param member the name that stewards know this process by
-     * @param incarnation new with each start
-     * @param first the table of version 0, this process's own file
+     * @param member the name that identifies this node to the coordinators
+     * @param incarnation new with each start of the process
+     * @param first the table of version 0, the node's own file
+     * @param builder builds the tables of the other versions
+     * @param zones exchanges zone loads
+     * @param turns polls the discovery service
+     * @param log receives log lines; called on the member's thread
      */
     public FleetMember(FleetSettings settings, String member, String incarnation, T first, Builder<T> builder, Zones zones,
             ListTurns turns, Consumer<String> log) {
@@ -99,12 +119,15 @@
         thread.start();
     }
 
-    /** What requests enter. */
+    /** The tables that requests enter. */
     public Tables<T> tables() {
         return tables;
     }
 
-    /** The table of version 0 is another from now on; versions that the fleet decided stay in force. Not for an event loop. */
+    /**
+     * Replaces the table of version 0; versions that the fleet has committed stay active. Blocks on a lock,
+     * so it must not be called on an event loop.
+     */
     public void own(T next) {
         synchronized (this) {
             built.put(0L, new Table<>(0, next));
@@ -120,7 +143,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
-                // Nothing here may cost requests: what is in force stays so.
+                // A failure here must not affect requests: the active version stays active.
                 log.accept("fleet: " + e);
                 LockSupport.parkNanos(PAUSE);
             }
@@ -212,7 +235,7 @@
             }
             content = builder.build(file, bundle, errors::add);
         } catch (IOException e) {
-            // Asked for again in the next round.
+            // Requested again in the next round.
             log.accept("fleet: " + e.getMessage());
             return;
         } catch (RuntimeException e) {
@@ -228,7 +251,7 @@
         }
     }
 
-    /** Under this object's lock. */
+    /** Carries out the effects. The caller holds this object's lock. */
     private void todo(List<MemberCore.Todo> todo) {
         for (MemberCore.Todo each : todo) {
             if (each instanceof MemberCore.Say say) {
@@ -247,7 +270,10 @@
         tables.publish(standing, current, next);
     }
 
-    /** Strikes this member off the roster, as far as a steward can be reached in a second, and ends its calls. */
+    /**
+     * Ends the member's thread, waiting up to a second for it, then reports to the leading coordinator, if
+     * one can be reached, that this member leaves. Blocks.
+     */
     @Override
     public void close() {
         ending = true;
@@ -261,7 +287,8 @@
                         return;
                     }
                 } catch (IOException e) {
-                    // The next one; where none can be reached, stewards name it as absent.
+                    // Try the next one; if none can be reached, the coordinators will report this member as
+                    // absent.
                 }
                 stewards.another();
             }
--- a/fleet/src/main/java/weldhitch/fleet/member/FleetSettings.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/FleetSettings.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * How a member takes part in what its fleet shares.
+ * How a node takes part in its fleet; read from the route configuration. Immutable.
  *
- * @param cluster the fleet's name, as its stewards have it
- * @param stewards where they answer, 1 or more
- * @param fenceBeforeJoin whether requests are refused until a steward has said which version is in force
- * @param tellVersion whether answers say by which version their request was decided
+ * @param cluster the fleet's name, as its coordinators have it
+ * @param stewards addresses of the coordinators, at least one
+ * @param fenceBeforeJoin whether requests are rejected until a coordinator has reported the active version
+ * @param tellVersion whether responses name the version by which their request was decided
  */
 public record FleetSettings(String cluster, List<InetSocketAddress> stewards, boolean fenceBeforeJoin, boolean tellVersion) {
+    /** Copies the list, so that the record stays immutable. */
     public FleetSettings {
         stewards = List.copyOf(stewards);
     }
--- a/fleet/src/main/java/weldhitch/fleet/member/Stewards.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/Stewards.java
@@ -16,7 +16,11 @@
 import weldhitch.fleet.activation.MemberRequest;
 import weldhitch.fleet.locality.NodeReport;
 
-/** Calls to stewards over HTTP/1.1. Blocks, so not for an event loop. */
+/**
+ * Client of the coordinators over HTTP/1.1; {@link FleetMember} owns one. Its calls block, so it must not be
+ * used on an event loop. Not thread-safe: it belongs to the member's thread, and after that has ended to
+ * whoever closes the member.
+ */
 final class Stewards {
     private static final int MOST_BYTES = 512 << 10;
     static final ObjectMapper JSON = new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
@@ -27,27 +31,37 @@
     private final List<InetSocketAddress> addresses;
     private int at;
 
+    /** Creates a client that starts with the coordinator at position {@code first}, modulo their number. */
     Stewards(String cluster, List<InetSocketAddress> addresses, int first) {
         this.cluster = cluster;
         this.addresses = addresses;
         at = first % addresses.size();
     }
 
-    /** The next call goes to another one. */
+    /** Makes further calls go to the next coordinator. */
     void another() {
         at = (at + 1) % addresses.size();
     }
 
+    /** The address of the coordinator that calls go to now, as host:port. */
     String address() {
         InetSocketAddress address = addresses.get(at);
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
+    /** The number of coordinators. */
     int count() {
         return addresses.size();
     }
 
-    /** @throws IOException where no answer came in time, or none that can be read; the message says what was seen */
+    /**
+     * Sends a heartbeat and what goes with it.
+     *
+     * @param waitMillis how long the coordinator may wait for a change before it responds
+     * @param zones the node's zone loads, or null
+     * @param turnFrom as in {@link MemberRequest}
+     * @throws IOException if no readable response came in time; the message says what was received instead
+     */
     MemberReply call(MemberCall call, long waitMillis, NodeReport zones, long turnFrom) throws IOException, InterruptedException {
         HttpResponse<InputStream> response = client.send(HttpRequest.newBuilder(URI.create("http://" + address() + "/v1/member"))
             .timeout(Duration.ofMillis(waitMillis + 800)).header("Content-Type", "application/json")
@@ -65,7 +79,11 @@
         return reply;
     }
 
-    /** The text of a version, from whichever steward has it. */
+    /**
+     * The bundle of a version, from the current coordinator.
+     *
+     * @throws IOException if no response came in time, or the coordinator does not have the version
+     */
     byte[] bundle(long number) throws IOException, InterruptedException {
         HttpResponse<InputStream> response = client.send(HttpRequest.newBuilder(URI.create("http://" + address() + "/v1/bundle/" + number))
             .timeout(Duration.ofMillis(2000)).GET().build(), HttpResponse.BodyHandlers.ofInputStream());
--- a/fleet/src/main/java/weldhitch/fleet/member/package-info.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/package-info.java
@@ -1,2 +1,5 @@
-/** A member at work: its calls to stewards on a thread of its own, and the tables that requests enter. */
+/**
+ * A running fleet member: its calls to the coordinators on a thread of its own, and the route tables that
+ * requests read.
+ */
 package weldhitch.fleet.member;
--- a/fleet/src/main/java/weldhitch/fleet/table/Tables.java
+++ b/fleet/src/main/java/weldhitch/fleet/table/Tables.java
@@ -8,38 +8,46 @@
 import weldhitch.fleet.activation.Standing;
 
 /**
- * The tables that requests are decided by. Any thread enters one by a load and a count and leaves it when its request has
- * ended; one thread publishes what holds from then on, and sees when an old table has lost its last reader (read-copy-update;
- * McKenney and Slingwine, 1998, with a count for each table as its epoch).
+ * The route tables that requests are decided by. Any thread enters a table by a load and a count and leaves
+ * it when its request has ended; one thread publishes new tables and detects when an old one has lost its
+ * last reader (read-copy-update; McKenney and Slingwine, 1998, with a count for each table as its epoch).
  *
- * <p>Which of two tables holds, and whether either does, is judged at the moment of a request, not at that of a publication:
- * a process that stood still across a moment goes on by the right one.
+ * <p>Which of two tables is valid, and whether either is, is judged at the time of a request, not of a
+ * publication: a process that was suspended across an activation time still uses the right one.
+ *
+ * @param <T> the contents of a table
  */
 public final class Tables<T> {
-    /** How many may be alive at once: the one in force, the next one, and one that old requests still read. */
+    /**
+     * The largest number of tables alive at once: the active one, the next one, and one that old requests
+     * still read.
+     */
     public static final int MOST = 3;
 
-    /** One version's table. */
+    /** One version's table and the count of its readers. Thread-safe. */
     public static final class Table<T> {
         private final long version;
         private final T content;
         private final AtomicInteger readers = new AtomicInteger();
 
+        /** Creates a table without readers. */
         public Table(long version, T content) {
             this.version = version;
             this.content = content;
         }
 
+        /** The number of the route version. */
         public long version() {
             return version;
         }
 
+        /** What requests are decided by. */
         public T content() {
             return content;
         }
     }
 
-    /** What holds until the next publication; immutable. */
+    /** The tables that are valid until the next publication. Immutable. */
     public static final class View<T> {
         private final Standing standing;
         private final Table<T> current;
@@ -51,15 +59,17 @@
             this.next = next;
         }
 
+        /** The versions and the times by which one of the tables is chosen. */
         public Standing standing() {
             return standing;
         }
 
+        /** The table of the current version. */
         public Table<T> current() {
             return current;
         }
 
-        /** The table of the standing's next version, or null. */
+        /** The table of the next version, or null. */
         public Table<T> next() {
             return next;
         }
@@ -84,31 +94,33 @@
     }
 
     private volatile View<T> view;
-    /** Of the publishing thread alone. */
+    /** Belongs to the publishing thread. */
     private final List<Table<T>> alive = new ArrayList<>();
 
+    /** Creates the tables with one that is active. */
     public Tables(Standing standing, Table<T> first) {
         view = new View<>(standing, first, null);
         alive.add(first);
     }
 
-    /** What holds now. */
+    /** The latest publication. */
     @SuppressWarnings("unchecked")
     public View<T> view() {
         return (View<T>) VIEW.getAcquire(this);
     }
 
     /**
-     * Enters the table that holds at {@code now}; it stays alive until it is left.
+     * Enters the table that is valid at {@code now}; the table stays alive until it is left.
      *
-     * @param now nanoseconds of the clock that the standing is of
+     * @param now nanoseconds of the clock that the published times refer to
      */
     public Table<T> enter(long now) {
         while (true) {
             View<T> seen = view();
             Table<T> table = seen.at(now);
             count(table);
-            // Where it went out of force before it was counted, its last reader may be taken to have gone.
+            // If the table was retired before it was counted, the publisher may already have seen it without
+            // readers.
             if (view == seen || view.holds(table)) {
                 return table;
             }
@@ -121,12 +133,12 @@
         return table;
     }
 
-    /** The request that entered this table has ended. */
+    /** Releases a table, as the request that entered it has ended. */
     public void leave(Table<T> table) {
         table.readers.decrementAndGet();
     }
 
-    /** From here on this holds. By one thread alone. */
+    /** Makes these tables the valid ones from now on. For the publishing thread only. */
     public void publish(Standing standing, Table<T> current, Table<T> next) {
         add(current);
         if (next != null) {
@@ -142,19 +154,22 @@
         }
     }
 
-    /** Forgets tables out of force that nobody reads any more; returns how many are alive. By the publishing thread alone. */
+    /**
+     * Drops tables that are neither valid nor read any more, and returns how many are alive. For the
+     * publishing thread only.
+     */
     public int retire() {
         View<T> now = view;
         alive.removeIf(table -> !now.holds(table) && table.readers.get() == 0);
         return alive.size();
     }
 
-    /** Tables that are in force or still read. By the publishing thread alone. */
+    /** The tables that are valid or still read. For the publishing thread only. */
     List<Table<T>> alive() {
         return List.copyOf(alive);
     }
 
-    /** Whether a further table may be made. By the publishing thread alone. */
+    /** Whether a further table may be made. For the publishing thread only. */
     public boolean room() {
         return retire() < MOST;
     }
--- a/fleet/src/main/java/weldhitch/fleet/table/package-info.java
+++ b/fleet/src/main/java/weldhitch/fleet/table/package-info.java
@@ -1,2 +1,2 @@
-/** Tables that many requests read while one thread puts others in their place: read-copy-update. */
+/** Tables that many requests read while one thread replaces them: read-copy-update. */
 package weldhitch.fleet.table;
--- a/fleet/src/main/java/weldhitch/fleet/turns/package-info.java
+++ b/fleet/src/main/java/weldhitch/fleet/turns/package-info.java
@@ -1,2 +1,5 @@
-/** Turns that stewards hand out, so that what all nodes do at once stays bounded as a sum. Free of I/O, clock and threads. */
+/**
+ * Poll slots that the coordinators assign, so that the rate of what all nodes do at once stays bounded. Free
+ * of I/O, clocks and threads.
+ */
 package weldhitch.fleet.turns;
--- a/fleet/src/test/java/weldhitch/fleet/activation/MemberCoreTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/activation/MemberCoreTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One member's decisions, answer by answer. */
+/** Tests one member's state response by response, with given times. */
 class MemberCoreTest {
     private static final long MILLI = 1_000_000L;
     private static final long LEASE = 3000 * MILLI;
@@ -34,7 +34,7 @@
         assertFalse(member.standing(12 * MILLI).fencedAt(12 * MILLI));
     }
 
-    /** Brings it to where it has voted at {@code at}. */
+    /** Brings the member to the state where it has voted at {@code at}. */
     private void votes(long at) {
         member.answered(at - 20 * MILLI, at - 18 * MILLI, answer(3, true, true, at - 19 * MILLI, Version.OWN_FILE, ONE, null));
         member.prepared(at - 10 * MILLI, 1, List.of());
@@ -82,11 +82,14 @@
         assertEquals(0, standing.versionAt(4598 * MILLI));
         assertEquals(1, standing.versionAt(4602 * MILLI));
         assertFalse(standing.doubtAt(4500 * MILLI), "it knows the moment and needs no lease");
-        // The same standing, looked at much later by a process that stood still: the new version.
+        // The same versions, read much later by a process that was suspended: the new one.
         assertEquals(1, standing.versionAt(9000 * MILLI));
     }
 
-    /** The clock of the moment is lost with all stewards: a lease given now says nothing of when the moment is. */
+    /**
+     * The clock of the activation time is lost with all coordinators: a lease granted now says nothing about
+     * the activation time.
+     */
     @Test
     void leasesAfterACommitDoNotExtendTheOldVersion() {
         votes(1000 * MILLI);
@@ -119,7 +122,10 @@
         assertTrue(member.standing(2002 * MILLI).doubtAt(1000 * MILLI + LEASE));
     }
 
-    /** The leader died with its word: another steward knows what was decided, and the member the clock of it. */
+    /**
+     * The leader died before it could report its decision; another coordinator knows the decision, and the
+     * member knows the clock that it refers to.
+     */
     @Test
     void aCommitCountsWhoeverTellsIt() {
         votes(1000 * MILLI);
@@ -129,7 +135,10 @@
         assertEquals(1, standing.versionAt(4602 * MILLI));
     }
 
-    /** Heard by a slow way, from 400 ms ago or now: it may not take the new version early, nor keep the old one late. */
+    /**
+     * With round trips of 400 ms the member must neither take the new version early nor keep the old one too
+     * long.
+     */
     @Test
     void whoKnowsTheMomentBadlyRefusesWhatDiffersAroundIt() {
         MemberCore slow = new MemberCore("m2", "m2#1", 0, true);
@@ -149,7 +158,10 @@
         assertEquals(1, slow.standing(902 * MILLI).versionAt(4602 * MILLI));
     }
 
-    /** Joined after the moment's decision, with the version not built yet: it may not serve the old one past the moment. */
+    /**
+     * A member that joined after the commit and has not built the version yet must not serve the old one past
+     * the activation time.
+     */
     @Test
     void whoJoinsLateServesNothingFromTheMomentOnUntilItHasTheVersion() {
         member.answered(1100 * MILLI, 1102 * MILLI, answer(4, true, true, 1101 * MILLI, Version.OWN_FILE, ONE, commit(4600 * MILLI)));
--- /dev/null
+++ b/fleet/src/test/java/weldhitch/fleet/error/FleetErrorTest.java
@@ -0,0 +1,70 @@
+package weldhitch.fleet.error;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Function;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+
+/** The names of the kinds are data: other processes' responses, logs and the state on disk contain them. */
+class FleetErrorTest {
+    private static final Map<String, FleetError> BY_TYPE = List.<FleetError>of(
+                    new FleetError.MemberAbsent(1, List.of("n1", "n2")),
+                    new FleetError.InDoubt(1, "n1"),
+                    new FleetError.NotJoined("n1"),
+                    new FleetError.NoMajority("s1", 1, 3),
+                    new FleetError.StewardUnreachable("n1", List.of("127.0.0.1:1")),
+                    new FleetError.LogSuspect("f"),
+                    new FleetError.DiskRefused("f", "full"),
+                    new FleetError.ClockErrorTooLarge("n1", 70, 50),
+                    new FleetError.MessageRefused("127.0.0.1:1", "no"),
+                    new FleetError.BundleUnusable("f", 3, "no"),
+                    new FleetError.StaleView("n1", 3000),
+                    new FleetError.RuleImpossible("n1", "all"),
+                    new FleetError.SettingUnusable("f", 3, "key", "found", "expected"))
+            .stream()
+            .collect(Collectors.toMap(error -> error.describe().type(), Function.identity()));
+
+    @Test
+    void eachKindHasItsRecordedName() {
+        assertEquals(
+                Set.of(
+                        "member-absent",
+                        "in-doubt",
+                        "not-joined",
+                        "no-majority",
+                        "steward-unreachable",
+                        "log-suspect",
+                        "disk-refused",
+                        "clock-error-too-large",
+                        "message-refused",
+                        "bundle-unusable",
+                        "stale-view",
+                        "rule-impossible",
+                        "setting-unusable"),
+                BY_TYPE.keySet());
+        assertTrue(BY_TYPE.get("member-absent") instanceof FleetError.MemberAbsent);
+        assertTrue(BY_TYPE.get("message-refused") instanceof FleetError.MessageRefused);
+        assertTrue(BY_TYPE.get("disk-refused") instanceof FleetError.DiskRefused);
+    }
+
+    @Test
+    void everyKindIsNamed() {
+        Set<Class<?>> kinds =
+                Arrays.stream(FleetError.class.getPermittedSubclasses()).collect(Collectors.toSet());
+        assertEquals(kinds, BY_TYPE.values().stream().map(Object::getClass).collect(Collectors.toSet()));
+    }
+
+    @Test
+    void aLineSaysKindPlaceProblemAndRemedy() {
+        assertEquals(
+                "disk-refused: f: cannot write what was decided: full; nothing was answered and nothing is changed;"
+                        + " make room on the disk, or mend it",
+                BY_TYPE.get("disk-refused").text());
+    }
+}
--- a/fleet/src/test/java/weldhitch/fleet/locality/GrantsTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/GrantsTest.java
@@ -13,9 +13,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The promise of grants: all nodes together never have leave for more than a zone had room for within the last span of a grant,
- * whoever leads, however late, lost or doubled words are, and with clocks that run apart by the stated drift. By seeded schedules;
- * each safeguard taken out is found.
+ * The safety property of quota grants: all nodes together never have permission for more than a zone had room
+ * for within the last duration of a grant, whoever leads, however late, lost or duplicated messages are, and
+ * with clocks that drift apart by the stated bound. Tested with seeded schedules; each safeguard that is
+ * disabled is detected.
  */
 class GrantsTest {
     private static final long MS = 1_000_000L;
@@ -23,12 +24,14 @@
     private static final double CAPACITY = 1000;
     private static final double TARGET = 0.85;
 
+    /** The safeguard that a schedule runs without. */
     private enum Without { NOTHING, SENDING_TIME, REPLACED, WAIT_OF_A_NEW_LEADER, END_OF_A_GRANT }
 
+    /** An action scheduled for a time; actions of one time run in the order of their numbers. */
     private record Due(long at, long number, Runnable what) {
     }
 
-    /** One schedule; what was found broken, or null. */
+    /** One simulated schedule of nodes, messages and leaders. */
     private static final class World {
         final SplittableRandom random;
         final Without without;
@@ -66,6 +69,7 @@
             return random.nextInt(8) == 0 ? random.nextLong(2500 * MS) : random.nextLong(60 * MS);
         }
 
+        /** Runs the schedule; returns the violation found, or null. */
         String play() {
             lead();
             change();
@@ -81,7 +85,7 @@
             return broken;
         }
 
-        /** A new leader: the one before it has ended by then, and its grants may still be on their way. */
+        /** Starts a new leader: the previous one has ended, and its grants may still be on their way. */
         void lead() {
             leader = new ZoneBoard(without == Without.WAIT_OF_A_NEW_LEADER ? now - ZoneBoard.GRANT : now, DRIFT);
             if (without == Without.REPLACED) {
@@ -129,7 +133,8 @@
             for (int n = 0; n < nodes.size(); n++) {
                 sum += nodes.get(n).perSecond("z", clock(n));
             }
-            // A merged view is some milliseconds old, and rests on reports that took up to their time to be heard.
+            // A merged view is some milliseconds old, and is based on reports that took up to the longest
+            // delay to arrive.
             long since = now - ZoneBoard.GRANT - ZoneBoard.FRESH - 2600 * MS;
             double most = rooms.tailMap(since).values().stream().mapToDouble(d -> d).max().orElse(Double.MAX_VALUE);
             Map.Entry<Long, Double> before = rooms.floorEntry(since);
@@ -166,7 +171,7 @@
         }
     }
 
-    /** Two nodes, words of three delays and every moment of a change of leader, on a grid: all of them. */
+    /** All combinations on a grid of two nodes, three message delays and the time of a change of leader. */
     @Test
     void everyPlaceOfAChangeOfLeaderOnAGrid() {
         int played = 0;
@@ -185,7 +190,10 @@
         System.out.println("changes of leader: " + played);
     }
 
-    /** Each of two nodes wants all of a room of 200, one of the former leader, then both of the next. */
+    /**
+     * The largest total grant when each of two nodes wants all of a headroom of 200: one from the former
+     * leader, then both from the next.
+     */
     private static double mostLeave(long firstDelay, long secondDelay, long deposed, long gap) {
         ZoneBoard board = new ZoneBoard(-ZoneBoard.GRANT, 0);
         List<Leave> nodes = List.of(new Leave(), new Leave());
@@ -205,7 +213,7 @@
                 board = new ZoneBoard(now, 0);
             }
             for (int n = 0; n < 2 && board != null; n++) {
-                // Before the change the first node alone wants it, after it both do.
+                // Before the change only the first node wants it, after it both do.
                 boolean wants = n == 0 || now > deposed;
                 board.heard("n" + n, wants ? asks : idle, now);
                 FleetView view = board.answer("n" + n, 2, now);
--- a/fleet/src/test/java/weldhitch/fleet/locality/LocalityTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/LocalityTest.java
@@ -16,7 +16,7 @@
 import weldhitch.fleet.locality.LocalityRule.Match;
 import weldhitch.fleet.locality.LocalityRule.Spill;
 
-/** Where requests go, what spills, and what all nodes together may spill. */
+/** Tests zone selection, spillover, and the bound on what all nodes together may spill over. */
 class LocalityTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Spill SPILL = spill(0.85, 0.7, 0.5, 0.8, 1, 0.02);
@@ -38,7 +38,8 @@
         assertEquals(List.of(Set.of("c"), Set.of("d"), Set.of("a", "b")), REGIONS.steps(rule(SPILL, false), "c", there));
         assertEquals(List.of(Set.of("a"), Set.of("b")), REGIONS.steps(rule(SPILL, false, "east"), "a", there));
         assertEquals(List.of(Set.of("a"), Set.of("c")), REGIONS.steps(rule(SPILL, false, "b", "d"), "a", there));
-        // A lost zone stays the first step, so that the next one is not taken for it and filled without any bound.
+        // A lost zone remains the first level; otherwise the next one would take its place and be filled
+        // without a bound.
         assertEquals(List.of(Set.of("a"), Set.of("b"), Set.of("c", "d")), REGIONS.steps(rule(SPILL, false), "a", Set.of("b", "c", "d")));
         // A zone that no region names is a region of its own.
         assertEquals(List.of(Set.of("x"), Set.of("a")), REGIONS.steps(rule(SPILL, false), "x", Set.of("x", "a")));
@@ -52,7 +53,10 @@
         assertThrows(IllegalArgumentException.class, () -> spill(0.8, 0.7, 0.5, 0.8, 0.5, 0.6));
     }
 
-    /** Load that hovers at the threshold, seen ten times a second: at most one change a dwell. */
+    /**
+     * Load that fluctuates around the threshold, evaluated ten times a second: at most one change per dwell
+     * time.
+     */
     @Test
     void hoveringChangesAStepAtMostOnceADwell() {
         StepState state = new StepState(SPILL, 0);
@@ -64,7 +68,7 @@
         assertTrue(state.changes() <= 600 / 5 && state.changes() > 10, "" + state.changes());
     }
 
-    /** Between its end and its begin a step's share stays where it is: what goes on is just enough. */
+    /** Between its thresholds a level's spill fraction stays constant: the spillover is just enough. */
     @Test
     void betweenItsThresholdsAShareStays() {
         StepState state = new StepState(SPILL, 0);
@@ -105,7 +109,7 @@
         assertTrue(node.nowhere());
     }
 
-    /** A lost zone: what has no leave is refused, or, with panic, goes where servers are. */
+    /** A lost zone: requests without a token are rejected, or in panic mode go where there are endpoints. */
     @Test
     void aLostZoneSpillsByLeaveAndPanicIsTheRules() {
         for (boolean panic : new boolean[] {false, true}) {
@@ -125,7 +129,10 @@
         }
     }
 
-    /** Where stewards answer that there is no room, nothing goes beyond; the lesser share is for their silence. */
+    /**
+     * If the coordinators report no spare capacity, nothing spills over; the uncoordinated fraction is only
+     * for the absence of reports.
+     */
     @Test
     void theLesserShareIsForSilenceAlone() {
         Map<String, ZoneView> views = Map.of("a", view(1, 2), "b", view(1, 0.2));
@@ -140,7 +147,10 @@
         }
     }
 
-    /** A further attempt goes on by leave, back to the own zone, or stays where it is; never to a zone that is forbidden. */
+    /**
+     * A further attempt goes on by a token, returns to the own zone, or stays where it is; it never goes to a
+     * forbidden zone.
+     */
     @Test
     void aFurtherAttemptNeedsLeaveToo() {
         Leave leave = new Leave();
@@ -157,7 +167,10 @@
         assertEquals(List.of("c"), node.further(next, 2 * SECOND).zones());
     }
 
-    /** The fleet's view goes before the node's own while it is fresh, but what the node itself can't reach is lost to it. */
+    /**
+     * The fleet's view takes precedence over the node's own while it is fresh, but a zone that the node
+     * itself cannot reach is lost to it.
+     */
     @Test
     void aViewThatIsStaleGivesWayToTheNodesOwn() {
         Locality node = new Locality("n", "a", 10, 0.3, 5 * SECOND, true);
@@ -180,7 +193,7 @@
         }
         assertEquals(0, node.views(10 * SECOND).get("a").healthy(), "cut off alone");
         assertEquals(1, node.views(10 * SECOND).get("b").healthy());
-        // The verdict has an end: else nobody would ever look again.
+        // The verdict expires: otherwise the zone would never be tried again.
         assertEquals(1, node.views(14 * SECOND).get("a").healthy());
     }
 
@@ -188,7 +201,10 @@
         return new ZoneServer(name, zone, 1, 0, true, false);
     }
 
-    /** A zone with one server: one failure may be chance, two tell that the zone is gone; it is tried again, and is home again by and by. */
+    /**
+     * A zone with one endpoint: one failure may be chance, two mean that the zone is lost; it is tried again,
+     * and its load returns gradually.
+     */
     @Test
     void aZoneOfOneServerIsLostWithItAndReturnedTo() {
         Locality node = new Locality("n", "a", 1, 0.3, 5 * SECOND, false);
@@ -240,7 +256,10 @@
         return LocalityRules.differ(one, one == null ? null : one.of(requestClass, tenant, null), other, other.of(requestClass, tenant, null));
     }
 
-    /** Grants lost, late or doubled, nodes that come and go: what is outstanding stays within what the zone had room for. */
+    /**
+     * With grants lost, late or duplicated and nodes that come and go, the outstanding grants stay within the
+     * zone's headroom.
+     */
     @Test
     void grantsNeverAddUpToMoreThanTheHeadroom() {
         SplittableRandom random = new SplittableRandom(7);
@@ -261,7 +280,8 @@
                 } else {
                     quotas.wants(node, "z", random.nextInt(60));
                     double grant = quotas.grant(node, "z", headroom, now);
-                    // Its word comes late, twice or never; it may be used until a second after it was given.
+                    // The response arrives late, twice or never; the grant may be used until a second after it
+                    // was issued.
                     if (random.nextInt(4) > 0) {
                         inUse.computeIfAbsent(node, n -> new ArrayList<>()).add(new double[] {grant, now + SECOND});
                     }
--- a/fleet/src/test/java/weldhitch/fleet/locality/SpillFleet.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/SpillFleet.java
@@ -10,7 +10,10 @@
 import java.util.function.DoubleUnaryOperator;
 import java.util.function.IntPredicate;
 
-/** Nodes of some zones with their rules, a leading steward and the way between them, in steps of 5 ms; servers are what a zone bears. */
+/**
+ * A simulated fleet for tests: nodes in zones with their rules, a leading coordinator and the network between
+ * them, in ticks of 5 ms. Endpoints are simulated as the capacity of their zone. Not thread-safe.
+ */
 final class SpillFleet {
     static final long MS = 1_000_000L;
     static final long SECOND = 1000 * MS;
@@ -18,14 +21,17 @@
     private static final long STEP = 5 * MS;
     private static final long REPORTS_EVERY = 200 * MS;
 
-    /** A zone: what it bears, and what callers of its nodes ask for, by seconds since the beginning. */
+    /**
+     * A zone: its capacity, and the calls per second that clients send to its nodes, as a function of the
+     * seconds since the start.
+     */
     static final class Zone {
         final String name;
         final int servers;
         final int nodes;
         final DoubleUnaryOperator asked;
         boolean dead;
-        /** What its servers bear as a share of what they should. */
+        /** The actual capacity of its endpoints as a fraction of the nominal one. */
         double speed = 1;
         final int[] lastSecond = new int[200];
         final int[] servedLastSecond = new int[200];
@@ -51,6 +57,7 @@
         }
     }
 
+    /** An action scheduled for a time; actions of one time run in the order of their numbers. */
     private record Due(long at, long number, Runnable what) {
     }
 
@@ -62,11 +69,11 @@
     private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
     private long numbers;
     ZoneBoard leader = new ZoneBoard(-ZoneBoard.GRANT, 0.002);
-    /** Share of calls to stewards, and of their answers, that are lost. */
+    /** Fraction of the calls to the coordinator, and of its responses, that are lost. */
     double loss;
-    /** Nodes that stewards do not hear. */
+    /** Nodes whose calls never reach the coordinator. */
     IntPredicate unheard = n -> false;
-    /** From when on peaks count. */
+    /** Peaks are recorded from this time on. */
     long peaksFrom;
     long now;
     long asked;
@@ -180,7 +187,7 @@
         });
     }
 
-    /** Most changes of steps at any node. */
+    /** The largest number of priority level transitions at any node. */
     int changes() {
         return nodes.stream().mapToInt(Locality::changes).max().orElse(0);
     }
--- a/fleet/src/test/java/weldhitch/fleet/locality/SpillFleetTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/SpillFleetTest.java
@@ -13,10 +13,13 @@
 import weldhitch.fleet.locality.LocalityRule.Spill;
 import weldhitch.fleet.locality.SpillFleet.Zone;
 
-/** What a fleet does together: a hundred nodes in three zones of two regions, stewards that are there, gone, half deaf or anew. */
+/**
+ * Tests what a fleet does together: a hundred nodes in three zones of two regions, with coordinators that are
+ * up, down, reachable for half of the nodes, or newly elected.
+ */
 class SpillFleetTest {
     private static final double TARGET = 0.85;
-    /** By how much the zone that is spilled to may be pushed past its threshold. */
+    /** By how much the zone that is spilled to may exceed its threshold. */
     private static final double OVER = 1.05;
     private static final Regions REGIONS = new Regions(Map.of("west", Set.of("a", "b"), "east", Set.of("c")));
 
@@ -26,7 +29,7 @@
             LocalityRule.OWN_REGION, LocalityRule.ANY), Set.of(never), spill, false)));
     }
 
-    /** Zone a is asked for 1.7 of what it bears from 5 s to 25 s; b and c have loads of their own. */
+    /** Zone a gets 1.7 of its capacity from 5 s to 25 s; b and c have loads of their own. */
     private static SpillFleet overload(long seed, double alone, double b, double c) {
         SpillFleet fleet = new SpillFleet(seed, rules(alone), new Zone("a", 20, 60, s -> s >= 5 && s < 25 ? 3400 : 1200),
             new Zone("b", 20, 20, s -> b * 2000), new Zone("c", 20, 20, s -> c * 2000));
@@ -52,7 +55,8 @@
                 + "; alone: peaks " + alone.peaks() + ", served " + alone.servedShare() + ", changes " + alone.changes());
             withinTarget(fleet);
             assertTrue(fleet.changes() <= 3 * 35 / 5, "changes " + fleet.changes());
-            // The share takes 2 s to grow, which is a tenth of this overload, and leave another half.
+            // The spill fraction takes 2 s to grow, which is a tenth of this overload, and quota grants take
+            // another half second.
             assertTrue(fleet.servedShare() >= alone.servedShare() - 0.02, fleet.servedShare() + " against " + alone.servedShare());
         }
         assertTrue(alone.peaks().get("b") > 1.1, "each for itself: " + alone.peaks());
@@ -66,7 +70,10 @@
         assertTrue(fleet.peaks().get("b") <= 0.95 * OVER && fleet.peaks().get("c") <= 0.95 * OVER, fleet.peaks().toString());
     }
 
-    /** The leader dies twice in the midst of the spill; nobody grants for 1.5 s, then another that knows nothing of what was granted. */
+    /**
+     * The leader dies twice during a spillover. No grants are issued for 1.5 s, then a new leader starts that
+     * does not know the earlier ones.
+     */
     @Test
     void aChangeOfLeaderDoesNotGrantTwice() {
         SpillFleet fleet = overload(3, 0.02, 0.6, 0.5);
@@ -79,7 +86,10 @@
         withinTarget(fleet);
     }
 
-    /** Zone a is gone from 5 s to 15 s and comes back: all of it goes on at once, by leave; back it comes by and by. */
+    /**
+     * Zone a is down from 5 s to 15 s: all its load spills over at once, by quota grants, and returns
+     * gradually.
+     */
     @Test
     void aLostZoneIsReturnedToWithoutARush() {
         SpillFleet fleet = new SpillFleet(4, rules(0.02), new Zone("a", 20, 20, s -> 700), new Zone("b", 20, 20, s -> 1000),
@@ -104,7 +114,10 @@
         assertTrue(a.calls() > 650, "all of it comes back: " + a.calls());
     }
 
-    /** Half of all nodes are not heard by stewards: the others' reports count for them, and they spill the lesser share. */
+    /**
+     * Half of the nodes do not reach the coordinator: the reports of the others are extrapolated, and the
+     * cut-off ones spill only the uncoordinated fraction.
+     */
     @Test
     void reportsOfHalfOfTheNodesCountForAll() {
         SpillFleet fleet = overload(5, 0.02, 0.6, 0.5);
@@ -114,7 +127,10 @@
         withinTarget(fleet);
     }
 
-    /** A cut shows two halves two different views, and comes and goes: a node on either side changes a step once a dwell at most. */
+    /**
+     * A network partition that comes and goes shows two parts of the fleet different views: a node on either
+     * side changes a priority level at most once per dwell time.
+     */
     @Test
     void aViewThatComesAndGoesDoesNotMakeStepsFlap() {
         SpillFleet fleet = overload(6, 0.02, 0.6, 0.5);
@@ -128,18 +144,24 @@
         assertTrue(fleet.changes() <= 3 * 35 / 5, "changes " + fleet.changes());
     }
 
-    /** The target's servers do half of what the rule says of them: its late answers take the leave away. */
+    /**
+     * The target zone's endpoints bear half of what the rule says: its late answers take quota grants away
+     * from it.
+     */
     @Test
     void aZoneThatBearsLessThanToldIsSpared() {
         SpillFleet fleet = overload(7, 0.02, 0.45, 0.2);
         fleet.at(2 * SECOND, () -> fleet.zones.get("b").speed = 0.5);
         fleet.runUntil(22 * SECOND);
         System.out.println("b bears half: peaks " + fleet.peaks() + ", served " + fleet.servedShare());
-        // 0.45 is its own; without a look at late answers it would be filled to 0.85.
+        // 0.45 is its own load; if late answers did not count it would be filled to 0.85.
         assertTrue(fleet.peaks().get("b") < 0.7, fleet.peaks().toString());
     }
 
-    /** Other regions are laid in during a spill: a zone that the new version forbids gets nothing from the next request on. */
+    /**
+     * Rules are replaced during a spillover: a zone that the new version forbids gets nothing from the next
+     * request on.
+     */
     @Test
     void aVersionWithOtherRegionsHoldsFromTheNextRequestOn() {
         SpillFleet fleet = overload(8, 0.02, 0.3, 0.3);
--- a/fleet/src/test/java/weldhitch/fleet/table/TablesTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/table/TablesTest.java
@@ -15,13 +15,16 @@
 import weldhitch.fleet.activation.Standing;
 import weldhitch.fleet.table.Tables.Table;
 
-/** No reader holds a table that was retired, whatever the threads do; shown by Lincheck, and missed where the second look is left out. */
+/**
+ * Checks with Lincheck that no reader holds a retired table in any interleaving, and that this fails without
+ * the second check in {@link Tables#enter}.
+ */
 class TablesTest {
     static Standing now(long version) {
         return new Standing(version, null, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
     }
 
-    /** What a table holds: whether it was retired. */
+    /** The operations for Lincheck; a table's content is whether it was retired. */
     static class Readers {
         final Tables<AtomicBoolean> tables = new Tables<>(now(0), new Table<>(0, new AtomicBoolean()));
         private long version;
@@ -49,7 +52,7 @@
         }
     }
 
-    /** The same without the second look at what holds. */
+    /** Without the second check. */
     public static final class OneLook extends Readers {
         @Override
         Table<AtomicBoolean> enter() {
@@ -58,17 +61,18 @@
         }
     }
 
+    /** With the second check. */
     public static final class TwoLooks extends Readers {
     }
 
-    /** Nothing that is read was retired. */
+    /** The sequential specification: no table that is read was retired. */
     public static final class Never {
         public boolean readsRetired() {
             return false;
         }
 
         public void publish() {
-            // Readers see no retired table, whatever is published.
+            // Readers never see a retired table, whatever is published.
         }
     }
 
--- a/fleet/src/test/java/weldhitch/fleet/turns/TurnsTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/turns/TurnsTest.java
@@ -8,6 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Tests that poll slots are spaced, stable and evenly spread. */
 class TurnsTest {
     private static final long MS = 1_000_000L;
 
@@ -20,7 +21,10 @@
         assertEquals(0, turns.turn("d", 900 * MS, 0));
     }
 
-    /** Who would wait by itself gets the first turn that is free after that, and leaves those before it to others. */
+    /**
+     * A node that would wait by itself gets the first free slot after that, and leaves those before it to
+     * others.
+     */
     @Test
     void aTurnIsNeverEarlierThanANodeWouldAskByItself() {
         Turns turns = new Turns();
@@ -30,7 +34,9 @@
         assertEquals(870 * MS, turns.turn("d", 0, 850 * MS));
     }
 
-    /** A word that was lost is asked for again; a call that failed is another turn's. */
+    /**
+     * A node whose response was lost requests again and keeps its slot; after a failed poll it gets another.
+     */
     @Test
     void whoAsksAgainAtOnceKeepsItsTurn() {
         Turns turns = new Turns();
@@ -41,7 +47,10 @@
         assertEquals(Turns.SPACING, turns.turn("c", 600 * MS, 0));
     }
 
-    /** Ten thousand that ask within a second: none waits too long, and no tenth of a second has more than its even share and a half. */
+    /**
+     * Ten thousand nodes that ask within a second: none waits too long, and no tenth of a second has more
+     * than one and a half times its even share.
+     */
     @Test
     void moreNodesThanTurnsAreSpreadEvenly() {
         Turns turns = new Turns();
@@ -58,7 +67,7 @@
         assertTrue(most <= 1.5 * 10_000 / 80, "most in 100 ms: " + most);
     }
 
-    /** At any size that fits, no tenth of a second has more than four. */
+    /** For any number of nodes that fits, no tenth of a second has more than four polls. */
     @Test
     void aTenthOfASecondHasFourAtTheMost() {
         for (int nodes : new int[] {12, 20, 60, 200, 260}) {
--- a/lab/src/main/java/weldhitch/lab/package-info.java
+++ b/lab/src/main/java/weldhitch/lab/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The laboratory. {@code scenario} reads what is to be played, {@code site} plays it in virtual time with the real
- * decisions, {@code report} makes figures, plots and comparisons of it. Nothing here is on a node's class path.
+ * The simulator. {@code scenario} reads scenario files, {@code cluster} runs them in virtual time with the
+ * balancer's real decision code, {@code report} writes statistics, plots and comparisons. Nothing here is on a
+ * node's class path.
  */
 package weldhitch.lab;
--- a/lab/src/main/java/weldhitch/lab/report/CaptureTap.java
+++ b/lab/src/main/java/weldhitch/lab/report/CaptureTap.java
@@ -17,7 +17,10 @@
 import weldhitch.decision.Snapshot;
 import weldhitch.lab.site.Tap;
 
-/** Captures a node of the laboratory as a node in service would be, with nothing left out. */
+/**
+ * Writes a capture of one simulated node in the format of a real node, complete and without dropped events.
+ * Single-threaded; blocks on the files.
+ */
 public final class CaptureTap implements Tap, Closeable {
     private static final long SNAPSHOT_EVERY = 60_000_000_000L;
     private static final long SEGMENT = 64L << 20;
@@ -33,7 +36,11 @@
     private long events;
     private long content;
 
-    /** @param directory must hold no capture yet */
+    /**
+     * Begins a capture.
+     *
+     * @param directory created if missing; must not contain a capture yet
+     */
     public CaptureTap(Path directory) throws IOException {
         Files.createDirectories(directory);
         segment = CaptureFiles.first(directory, BEGUN_MS);
@@ -87,11 +94,12 @@
         }
     }
 
+    /** Events written so far. */
     public long events() {
         return events;
     }
 
-    /** Bytes of the records before compression; all of them once closed. */
+    /** Size of the records in bytes before compression; of all of them only once closed. */
     public long content() {
         return content;
     }
--- a/lab/src/main/java/weldhitch/lab/report/Comparison.java
+++ b/lab/src/main/java/weldhitch/lab/report/Comparison.java
@@ -12,13 +12,13 @@
 import java.util.stream.Stream;
 
 /**
- * Two sets of plays over the same seeds, of two builds or two settings: what the second changed, seed by seed, with a
- * confidence interval of the mean.
+ * Compares two sets of runs over the same seeds, of two builds or two settings: the mean change by seed, with a
+ * confidence interval. Stateless.
  */
 public final class Comparison {
     private static final List<String> FIGURES = List.of("goodput", "inTimeShare", "refused", "failed", "attempts", "p50Ms", "p99Ms");
 
-    /** What became of a figure. */
+    /** The change of one metric. */
     public record Change(String figure, Paired.Change is) {
     }
 
@@ -26,8 +26,10 @@
     }
 
     /**
-     * @param confidence between 0 and 1
-     * @throws IOException where a directory can't be read, or fewer than two seeds are in both
+     * Reads the {@code seed-N.json} files of two directories and compares the seeds that both have.
+     *
+     * @param confidence level of the intervals, between 0 and 1
+     * @throws IOException if a directory can't be read, or fewer than two seeds are in both
      */
     public static List<Change> of(Path before, Path after, double confidence) throws IOException {
         Map<Long, JsonNode> one = plays(before);
--- a/lab/src/main/java/weldhitch/lab/report/Paired.java
+++ b/lab/src/main/java/weldhitch/lab/report/Paired.java
@@ -3,11 +3,20 @@
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
-/** A figure before and after, seed by seed: its mean change, with a confidence interval (Student's t over paired differences). */
+/**
+ * The mean change of a metric over paired samples, with a confidence interval (Student's t over paired
+ * differences). Stateless.
+ */
 public final class Paired {
-    /** The means, and the interval in which the mean change lies. */
+    /**
+     * The two means, and the confidence interval of the mean change.
+     *
+     * @param low lower bound of the change
+     * @param high upper bound of the change
+     * @param seeds number of pairs
+     */
     public record Change(double before, double after, double low, double high, int seeds) {
-        /** Whether the interval leaves out 0. */
+        /** Whether the interval excludes 0. */
         public boolean differs() {
             return low > 0 || high < 0;
         }
@@ -16,7 +25,11 @@
     private Paired() {
     }
 
-    /** @param confidence between 0 and 1; the arrays are of one length, two or more */
+    /**
+     * Compares two arrays of one length, two or more, pair by pair.
+     *
+     * @param confidence between 0 and 1
+     */
     public static Change change(double[] before, double[] after, double confidence) {
         SummaryStatistics had = new SummaryStatistics();
         SummaryStatistics has = new SummaryStatistics();
--- a/lab/src/main/java/weldhitch/lab/report/Report.java
+++ b/lab/src/main/java/weldhitch/lab/report/Report.java
@@ -24,25 +24,33 @@
 import weldhitch.lab.site.Figures;
 import weldhitch.lab.site.Figures.Counts;
 
-/** Writes a play's figures: JSON, CSV by second, and one page with plots that needs nothing beside it. */
+/**
+ * Writes the statistics of one run: as JSON, as CSV by second, and as one self-contained HTML page with plots.
+ * Single-threaded.
+ */
 public final class Report {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final int WIDTH = 860;
     private static final int HEIGHT = 300;
-    /** More servers than this are drawn as a spread, not one by one. */
+    /** More servers than this are plotted as percentiles instead of one bar each. */
     private static final int MOST_BARS = 100;
 
     private final String name;
     private final long seed;
     private final Figures figures;
 
+    /**
+     * A report of a finished run.
+     *
+     * @param name of the scenario
+     */
     public Report(String name, long seed, Figures figures) {
         this.name = name;
         this.seed = seed;
         this.figures = figures;
     }
 
-    /** Figures as they are compared: all of the play, by class, by cause. */
+    /** The statistics that {@link Comparison} reads: totals, by class, by reason. */
     public ObjectNode json() {
         ObjectNode all = JsonNodeFactory.instance.objectNode().put("scenario", name).put("seed", seed);
         counts(all.putObject("all"), figures.all);
@@ -127,14 +135,14 @@
         return to == 0 ? 0 : (double) of / to;
     }
 
-    /** A line of a plot. */
+    /** One series of a plot. */
     private record Line(String label, ToDoubleFunction<Counts> of) {
     }
 
     private Chart<?, ?> lines(String title, String unit, Line... series) {
         XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle("s").yAxisTitle(unit).build();
         chart.getStyler().setYAxisMin(0.0);
-        // Of a long play a point for each so many seconds: a page is looked at, not measured.
+        // About 600 points at most: more than that cannot be seen in a plot, and they make the page large.
         int step = Math.max(1, figures.seconds.size() / 600);
         for (Line line : series) {
             List<Double> x = new ArrayList<>();
--- a/lab/src/main/java/weldhitch/lab/scenario/Draws.java
+++ b/lab/src/main/java/weldhitch/lab/scenario/Draws.java
@@ -7,17 +7,17 @@
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
 /**
- * A distribution by its name and parameters, to be drawn from with whatever randomness it is given. Figures are
- * nanoseconds where they are spans, plain numbers elsewhere.
+ * A probability distribution, sampled with a generator that the caller passes. Immutable. Durations are in
+ * nanoseconds, other values plain numbers.
  */
 public sealed interface Draws {
-    /** One draw. */
+    /** Draws one sample. */
     double draw(UniformRandomProvider random);
 
     /** The expected value. */
     double mean();
 
-    /** Always the same. */
+    /** Always the same value. */
     record Constant(double mean) implements Draws {
         @Override
         public double draw(UniformRandomProvider random) {
@@ -25,8 +25,13 @@
         }
     }
 
-    /** Evenly from {@code low} to {@code high}. */
+    /** Uniform between {@code low} and {@code high}. */
     record Uniform(double low, double high) implements Draws {
+        /**
+         * Checks that the bounds are in order.
+         *
+         * @throws IllegalArgumentException if {@code high} is below {@code low}
+         */
         public Uniform {
             require(high >= low, "high at least low");
         }
@@ -42,7 +47,7 @@
         }
     }
 
-    /** Of a Poisson process's gaps. */
+    /** Exponential, as the gaps of a Poisson process. */
     record Exponential(double mean) implements Draws {
         @Override
         public double draw(UniformRandomProvider random) {
@@ -50,7 +55,7 @@
         }
     }
 
-    /** With this mean and coefficient of variation. */
+    /** Log-normal with this mean and coefficient of variation. */
     record Lognormal(double mean, double cv) implements Draws {
         @Override
         public double draw(UniformRandomProvider random) {
@@ -60,7 +65,7 @@
         }
     }
 
-    /** Heavy-tailed, with this mean; the smaller the shape (above 1), the heavier. */
+    /** Heavy-tailed, with this mean; the smaller the shape (above 1), the heavier the tail. */
     record Pareto(double mean, double shape) implements Draws {
         @Override
         public double draw(UniformRandomProvider random) {
--- a/lab/src/main/java/weldhitch/lab/scenario/ScenarioFile.java
+++ b/lab/src/main/java/weldhitch/lab/scenario/ScenarioFile.java
@@ -22,7 +22,9 @@
 import weldhitch.decision.Balancing.RequestClass;
 import weldhitch.lab.scenario.Scenario.*;
 
-/** Reads a scenario: TOML, held against the published schema and then against itself. */
+/**
+ * Reads a scenario file: TOML, validated against the published JSON schema and then for consistency. Stateless.
+ */
 public final class ScenarioFile {
     private static final Pattern SPAN = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)(us|ms|s|m|h)");
     private static final Map<String, Double> UNITS = Map.of("us", 1e3, "ms", 1e6, "s", 1e9, "m", 60e9, "h", 3600e9);
@@ -32,7 +34,7 @@
     private ScenarioFile() {
     }
 
-    /** What is wrong with a file, all of it, each with file, key and what was expected. */
+    /** Lists all problems of a scenario file, each with file, key and expected value. */
     public static final class InvalidScenarioException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient List<String> problems;
@@ -42,17 +44,22 @@
             this.problems = List.copyOf(problems);
         }
 
+        /** All problems, one message each. */
         public List<String> problems() {
             return problems;
         }
     }
 
-    /** Blocks on the file. */
+    /** Reads and validates a file; blocks on it. */
     public static Scenario read(Path file) throws IOException, InvalidScenarioException {
         return parse(file.toString(), Files.readString(file));
     }
 
-    /** @param file what problems call it */
+    /**
+     * Validates the text of a scenario.
+     *
+     * @param file name of the file in problem messages
+     */
     public static Scenario parse(String file, String text) throws InvalidScenarioException {
         JsonNode root;
         try {
@@ -80,7 +87,7 @@
         throw new InvalidScenarioException(problems);
     }
 
-    /** The schema that every scenario is held against. */
+    /** The JSON schema of scenario files; the caller closes the stream. */
     public static InputStream schemaText() {
         return ScenarioFile.class.getResourceAsStream("/weldhitch/lab/scenario.schema.json");
     }
--- a/lab/src/main/java/weldhitch/lab/site/Box.java
+++ b/lab/src/main/java/weldhitch/lab/site/Box.java
@@ -2,14 +2,17 @@
 
 import weldhitch.decision.Balancing.Outcome;
 
-/** A modelled server, as a node sees it. */
+/** An endpoint as a simulated node sees it. */
 public interface Box {
-    /** Hears how an attempt ended; never called for one of which nothing is heard. */
+    /** Receives the outcome of an attempt; never called if the node hears nothing of it. */
     interface Reply {
+        /** Called at most once for each attempt. */
         void ended(Outcome outcome);
     }
 
+    /** The zone that it is in. */
     String zone();
 
+    /** Handles an attempt. */
     void take(Call call, Reply reply);
 }
--- a/lab/src/main/java/weldhitch/lab/site/Figures.java
+++ b/lab/src/main/java/weldhitch/lab/site/Figures.java
@@ -7,36 +7,50 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What a play came to: by second of the first tries' arrival, by class, by server, and refusals and failures by cause. */
+/**
+ * Statistics of one run: by second of the arrival of first tries, by class, by server, and rejections and
+ * failures by reason. Filled by the cluster, single-threaded; read when the run is over.
+ */
 public final class Figures {
     private static final long LONGEST_US = 120_000_000L;
 
-    /** What became of some first tries. */
+    /** What became of a set of first tries. */
     public static final class Counts {
+        /** First tries. */
         public long offered;
+        /** Answered within the latency objective. */
         public long inTime;
+        /** Answered after it. */
         public long late;
         public long refused;
         public long failed;
+        /** Ended without a node that would accept the last try. */
         public long unreached;
-        /** Tries of callers, the first included, and attempts of nodes for them. */
+        /** Tries of clients, the first included. */
         public long tries;
+        /** Attempts of nodes for them. */
         public long attempts;
+        /** Priority weight of all first tries. */
         public double worthOffered;
+        /** Priority weight of those answered, with late weight for late ones. */
         public double worthServed;
         /** Microseconds from a first try to its answer, of those served. */
         public final Histogram latency = new Histogram(LONGEST_US, 2);
 
-        /** The part of the worth asked for that was served, late worth included; 1 where none was asked for. */
+        /**
+         * The fraction of the offered priority weight that was served, late weight included; 1 if none was
+         * offered.
+         */
         public double goodput() {
             return worthOffered == 0 ? 1 : worthServed / worthOffered;
         }
 
-        /** The part of first tries that was answered within its aim. */
+        /** The fraction of first tries that was answered within the latency objective; 1 if there were none. */
         public double inTimeShare() {
             return offered == 0 ? 1 : (double) inTime / offered;
         }
 
+        /** Latency in milliseconds at a percentile (0 to 100); 0 if nothing was served. */
         public double latencyMs(double percentile) {
             return latency.getTotalCount() == 0 ? 0 : latency.getValueAtPercentile(percentile) / 1000.0;
         }
@@ -50,12 +64,12 @@
     public final List<Counts> seconds = new ArrayList<>();
     public final Map<String, Counts> classes = new LinkedHashMap<>();
     public final Map<String, Long> servers = new TreeMap<>();
-    /** Final answers of nodes that were no service, by the module's reason. */
+    /** Final answers of nodes other than success, by the reason of the balancer. */
     public final Map<String, Long> causes = new TreeMap<>();
     /** Attempts that went to another zone. */
     public long crossings;
     /** Attempts by the zone that they went to, by second. */
     public final Map<String, long[]> zones = new TreeMap<>();
-    /** Most changes of a step of a locality rule at any node. */
+    /** The largest number of priority level changes of a locality rule at any node. */
     public int stepChanges;
 }
--- a/lab/src/main/java/weldhitch/lab/site/Network.java
+++ b/lab/src/main/java/weldhitch/lab/site/Network.java
@@ -5,7 +5,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import weldhitch.lab.scenario.Scenario;
 
-/** Carries messages between zones: late by a draw, lost now and then, and not at all where a zone is cut off. */
+/**
+ * Carries messages between zones with a random delay and loss, and drops all that enter or leave a partitioned
+ * zone. Single-threaded, on the event scheduler.
+ */
 final class Network implements SimNode.Links {
     private final Clockwork clock;
     private final Scenario scenario;
@@ -18,6 +21,7 @@
         this.random = random;
     }
 
+    /** Cuts a zone off from the others, or reconnects it. */
     void cut(String zone, boolean off) {
         if (off) {
             cut.add(zone);
@@ -26,7 +30,11 @@
         }
     }
 
-    /** What arrives does so later; what does not is never heard of. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>The delay is drawn for lost messages too.
+     */
     @Override
     public void carry(String from, String to, Runnable arrives) {
         boolean near = from.equals(to);
--- a/lab/src/main/java/weldhitch/lab/site/SimNode.java
+++ b/lab/src/main/java/weldhitch/lab/site/SimNode.java
@@ -17,7 +17,11 @@
 import weldhitch.fleet.locality.Placed;
 import weldhitch.fleet.locality.ZoneServer;
 
-/** The module with the sockets left out: what the node's dispatcher does, in virtual time. */
+/**
+ * A node without its sockets: hands events to a real {@link RatioBalancer} and carries out its actions in
+ * virtual time, as the dispatcher of a node does. It also asserts that a request that must not run twice is
+ * neither sent again nor rejected once it may have run. Single-threaded, on the event scheduler.
+ */
 public final class SimNode {
     private final Clockwork clock;
     private final Links links;
@@ -29,31 +33,44 @@
     private final Map<String, Held> requests = new LinkedHashMap<>();
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private RatioBalancer module;
-    /** Says which zones requests may go to; null where nothing does. */
+    /** Decides which zones a request may go to; null without zone routing. */
     private Locality locality;
     private UniformRandomProvider chances;
     private int life;
     private boolean delivering;
-    /** Whether the front deals new requests to it. */
+    /** Whether the front end sends new requests to this node. */
     boolean open;
 
-    /** Hears of each attempt. */
+    /** Notified of each attempt as it is sent. */
     public interface Sends {
+        /**
+         * Called once for each attempt.
+         *
+         * @param otherZone whether the endpoint is in another zone than the node
+         */
         void sent(String server, boolean otherZone);
     }
 
-    /** Carries what goes between two zones; what does not arrive is never heard of. */
+    /** Carries messages between two zones; a message may be lost without notice. */
     public interface Links {
+        /** Runs {@code arrives} when the message arrives; never if it is lost. */
         void carry(String from, String to, Runnable arrives);
     }
 
+    /** How a node answered a request, finally. */
     public enum Answered { SERVED, REFUSED, FAILED }
 
-    /** Hears of a request's final answer; {@code retryAfter}: nanoseconds, 0 for no advice. */
+    /** Receives the final answer of a request. */
     public interface Answer {
+        /**
+         * Called once.
+         *
+         * @param retryAfter nanoseconds; 0 for no advice
+         */
         void given(Answered how, long retryAfter);
     }
 
+    /** One attempt that was sent. */
     private static final class Sent {
         final String server;
         final long at;
@@ -65,18 +82,18 @@
         }
     }
 
-    /** A request at this node, until its final answer is given and no attempt is out. */
+    /** A request at this node, until its final answer is given and no attempt is in flight. */
     private static final class Held {
         final String id;
         final Call call;
         final long deadline;
         final Answer answer;
         final List<Sent> sent = new ArrayList<>();
-        /** Those it may be sent to; null for any. */
+        /** Zones that it may be sent to; null for any. */
         final List<String> zones;
         Placed placed;
         final boolean unsafe;
-        /** Attempts that ran or may have. */
+        /** Attempts that were executed or may have been. */
         int mayHaveRun;
         boolean over;
 
@@ -91,9 +108,11 @@
     }
 
     /**
-     * @param servers by name; one that is asked for is there
-     * @param watch told why, or null
-     * @param tap told of all that the module is told, or null
+     * A node that is not started yet.
+     *
+     * @param servers endpoint by id; must know every id that the balancer is given
+     * @param watch receives the reasons of decisions; null for none
+     * @param tap receives every event of the balancer; null for none
      */
     public SimNode(Clockwork clock, Links links, Function<String, ? extends Box> servers, Settings settings, Watch watch, Tap tap,
             Sends sends) {
@@ -110,7 +129,7 @@
         return settings.zone();
     }
 
-    /** A fresh start: nothing of what the one before had learned is left. */
+    /** Starts a new incarnation: nothing that the one before had learned is left. */
     void start(long seed, Routes routes, List<ServerEntry> known) {
         begin(new RatioBalancer(settings, seed).snapshot());
         if (routes != null) {
@@ -129,8 +148,8 @@
     }
 
     /**
-     * Goes on from what a node knew, with the requests that it had. Attempts that were out then end as {@link #ended} says,
-     * or at their request's deadline.
+     * Continues from a snapshot, with the requests in it. Attempts that were in flight end as {@link #ended}
+     * says, or at the deadline of their request.
      */
     public void resume(Snapshot snapshot, Answer answer) {
         begin(snapshot);
@@ -156,7 +175,7 @@
         }
     }
 
-    /** How an attempt ended that was out when this node went on from a snapshot. */
+    /** Reports the outcome of an attempt that was in flight when this node continued from a snapshot. */
     public void ended(String request, int attempt, Outcome outcome) {
         Held held = requests.get(request);
         if (held != null && attempt < held.sent.size()) {
@@ -164,12 +183,12 @@
         }
     }
 
-    /** News of the list or of routes. */
+    /** Delivers an update of the endpoint list or of the routes. */
     public void told(Event news) {
         tell(news);
     }
 
-    /** Ends; what it still held has gone with it. */
+    /** Stops; all requests in flight are lost with it. */
     void stop() {
         life++;
         module = null;
@@ -177,17 +196,22 @@
         requests.clear();
     }
 
-    /** From here on this says which zones requests may go to, told of all that {@link #told} brings. */
+    /**
+     * From now on this locality decides which zones requests may go to; it also receives every endpoint list
+     * update.
+     */
     void placesBy(Locality by, UniformRandomProvider random) {
         locality = by;
         chances = random;
     }
 
+    /** Converts endpoint list entries for the locality rules. */
     static List<ZoneServer> servers(List<ServerEntry> entries) {
         return entries.stream().map(e -> new ZoneServer(e.server(), e.zone(), e.weight(), e.startedAt(), e.state() == ServerState.READY,
             e.state() == ServerState.GONE)).toList();
     }
 
+    /** Delivers changes of the endpoint list, to the zone routing even while the node is stopped. */
     void told(List<ServerEntry> changes) {
         if (locality != null) {
             locality.servers(false, servers(changes), clock.now());
@@ -197,7 +221,11 @@
         }
     }
 
-    /** @param unsafe whether it must never run twice */
+    /**
+     * Handles a request of a client.
+     *
+     * @param unsafe whether it must never run twice
+     */
     public void ask(Arrival arrival, boolean unsafe, Call call, Answer answer) {
         if (requests.containsKey(arrival.request())) {
             tell(arrival);
@@ -218,7 +246,7 @@
         tell(bound);
     }
 
-    /** The caller has given up. */
+    /** The client has given up on the request. */
     public void left(String id) {
         Held held = requests.get(id);
         if (held != null && !held.over) {
--- a/lab/src/main/java/weldhitch/lab/site/SimServer.java
+++ b/lab/src/main/java/weldhitch/lab/site/SimServer.java
@@ -5,9 +5,10 @@
 import weldhitch.decision.Balancing.Outcome;
 
 /**
- * A server of one core that shares it evenly among the requests it works on: each waits on others for a while first
- * and holds its slot meanwhile. Beyond its slots a few wait; beyond those it turns requests away. What is called off
- * is worked on all the same. One that has just started does a part of its work, and more with time.
+ * A modelled server of one core, which its running requests share evenly (processor sharing). Each request
+ * first waits on others for a while and occupies its slot meanwhile. Beyond its slots a few requests queue;
+ * beyond those it rejects. Cancelled attempts run to their end all the same. A server that has just started
+ * works at part of its speed, rising linearly. Single-threaded, on the event scheduler.
  */
 final class SimServer implements Box {
     final String id;
@@ -22,21 +23,22 @@
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     private final PriorityQueue<Job> working = new PriorityQueue<>();
     private int held;
-    /** Work done for each request on the core since the start, in nanoseconds of the usual speed. */
+    /** Work done for each request on the core since the start, in nanoseconds of a core of speed 1. */
     private double done;
     private long doneAt;
     private int tick;
     private double slower = 1;
     private boolean stalled;
     boolean draining;
-    /** Turns all away. */
+    /** Rejects every request. */
     boolean full;
     boolean gone;
     /** Answers with an error at once, as a server with a broken disk would. */
     boolean broken;
-    /** Its machine has vanished: nothing is heard of it. */
+    /** Its machine has vanished: nothing more comes from it. */
     boolean silent;
 
+    /** One request, queued or running; ordered by when the shared core will have done its work. */
     private final class Job implements Comparable<Job> {
         final double work;
         final long elsewhere;
@@ -78,7 +80,11 @@
         return zone;
     }
 
-    /** {@code call.work()}: nanoseconds of a core of the usual speed. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>{@code call.work()} is in nanoseconds of a core of speed 1.
+     */
     @Override
     public void take(Call call, Reply reply) {
         if (silent) {
@@ -96,21 +102,21 @@
         }
     }
 
-    /** Stands still: takes requests in and does nothing for them. */
+    /** Stalls or goes on: a stalled server accepts requests and does no work. */
     void stall(boolean still) {
         catchUp();
         stalled = still;
         plan();
     }
 
-    /** Works so many times slower than it can. */
+    /** Works this many times slower than its own speed. */
     void slow(double factor) {
         catchUp();
         slower = factor;
         plan();
     }
 
-    /** Nothing is heard of it any more, nor of what it had. */
+    /** Becomes silent: neither new nor running requests are ever answered. */
     void vanish() {
         silent = true;
         waiting.clear();
--- a/lab/src/main/java/weldhitch/lab/site/SimStewards.java
+++ b/lab/src/main/java/weldhitch/lab/site/SimStewards.java
@@ -6,7 +6,11 @@
 import weldhitch.fleet.locality.NodeReport;
 import weldhitch.fleet.locality.ZoneBoard;
 
-/** The leading steward of a site and its nodes' calls: a report five times a second, words some milliseconds on their way. */
+/**
+ * The leading coordinator of a simulated cluster and the heartbeats of its nodes: one report from each node
+ * five times a second, messages some milliseconds under way and lost with a given probability. Single-threaded,
+ * on the event scheduler.
+ */
 final class SimStewards {
     private static final long MS = 1_000_000L;
     private static final long EVERY = 200 * MS;
@@ -26,7 +30,7 @@
         board = new ZoneBoard(clock.now() - ZoneBoard.GRANT, 0.002);
     }
 
-    /** From here on this node calls. */
+    /** From now on this node sends heartbeats. */
     void joins(String node, Locality locality) {
         clock.after(random.nextLong(EVERY), () -> call(node, locality));
     }
--- a/lab/src/main/java/weldhitch/lab/site/Site.java
+++ b/lab/src/main/java/weldhitch/lab/site/Site.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
@@ -16,16 +15,17 @@
 import weldhitch.lab.site.SimNode.Answered;
 
 /**
- * A site in virtual time: nodes that each run the module, servers and links that are modelled, callers that retry. All of
- * it hangs on one seed. What a request brings (its class, its work, its caller's ways) hangs on the seed and the request's
- * number alone, so that two builds or settings are compared over the same requests.
+ * A simulated cluster in virtual time: nodes that each run the real balancer, modelled endpoints and links, and
+ * clients that retry. Single-threaded; one seed determines the whole run. What a request brings (its class, its
+ * work, its client's behaviour) depends on the seed and the request's number alone, so that two builds or
+ * settings are compared over the same requests.
  */
 public final class Site {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1000 * MS;
     private static final long TICK = 2 * MS;
     private static final long LOOK = 100 * MS;
-    /** How long a drained server works on, and a node that is told to end answers on. */
+    /** How long a draining server goes on working, and a node that shuts down goes on answering. */
     private static final long DRAIN = 3 * SECOND;
 
     private final Scenario scenario;
@@ -51,20 +51,32 @@
     private long names;
     private long asked;
 
-    /** Without routes. */
+    /**
+     * A cluster without routes and without zone routing.
+     *
+     * @param tap receives every event of the first node; null for none
+     */
     public Site(Scenario scenario, long seed, Tap tap) {
         this(scenario, seed, null, tap);
     }
 
     /**
-     * @param routes in force at every node from its start; null for none
-     * @param tap told of all that the first node is told, or null
+     * A cluster without zone routing.
+     *
+     * @param routes active at every node from its start; null for none
+     * @param tap receives every event of the first node; null for none
      */
     public Site(Scenario scenario, long seed, Routes routes, Tap tap) {
         this(scenario, seed, routes, null, tap);
     }
 
-    /** @param spill how nodes place requests by zone; null for not at all */
+    /**
+     * Builds the cluster and schedules its faults and its first arrival.
+     *
+     * @param routes active at every node from its start; null for none
+     * @param spill how nodes route requests by zone; null for no zone routing
+     * @param tap receives every event of the first node; null for none
+     */
     public Site(Scenario scenario, long seed, Routes routes, Spill spill, Tap tap) {
         this.routes = routes;
         this.scenario = scenario;
@@ -128,7 +140,7 @@
         return RandomSource.SPLIT_MIX_64.create(seed * 0x9E3779B97F4A7C15L + stream * 0xD1342543DE82EF95L);
     }
 
-    /** Plays to the end, and until what was open then has ended. */
+    /** Runs to the end of the scenario and on until every request in flight then has ended. */
     public Figures play() {
         long longest = scenario.kinds().stream().mapToLong(k -> k.about().deadline()).max().orElse(0);
         clock.runUntil(end + 2 * longest + SECOND);
@@ -175,6 +187,10 @@
         return figures.seconds.get((int) Math.min(figures.seconds.size() - 1, (clock.now() - start) / SECOND));
     }
 
+    /**
+     * Records for each request the last reason that was not an admission; read when the request is rejected or
+     * fails.
+     */
     private final class Causes implements Watch {
         @Override
         public void drawn(Drawn draw) {
@@ -233,7 +249,7 @@
         clock.after(t.span(), () -> hit.forEach(ends));
     }
 
-    /** Another in its place, cold, of its kind and zone. */
+    /** Replaces a server by a new one of its group and zone, which starts with slow start. */
     private void replace(SimServer old) {
         old.gone = true;
         listed.remove(old);
@@ -243,7 +259,10 @@
         tell(next, ServerState.READY);
     }
 
-    /** One after another: told to drain, gone after a while, another there {@code span} after the drain began. */
+    /**
+     * Rolls the servers one after another: each is told to drain, is removed {@link #DRAIN} later, and its
+     * replacement starts {@code span} after the drain began.
+     */
     private void release(Trouble t) {
         List<SimServer> hit = hit(t);
         for (int i = 0; i < hit.size(); i++) {
@@ -265,7 +284,10 @@
         }
     }
 
-    /** The front deals requests of a zone to its open nodes, and to all open ones where it has none (key null). */
+    /**
+     * The front end distributes the requests of a zone over its open nodes, and over all open nodes (key null)
+     * where the zone has none.
+     */
     private void deal() {
         front.clear();
         front.put(null, nodes.stream().filter(n -> n.open).toList());
@@ -274,7 +296,7 @@
         }
     }
 
-    /** Takes nothing more, answers what it has, ends, and starts anew knowing nothing. */
+    /** Accepts nothing more, answers what is in flight, stops, and starts again without any state. */
     private void restart(SimNode node, long awayFor) {
         node.open = false;
         deal();
@@ -288,7 +310,10 @@
 
     // ---- callers ----
 
-    /** How many times the usual a class is asked for now; on a line between the points around it. */
+    /**
+     * Load factor of a class now, or of all classes for null; interpolated linearly between the curve points
+     * around this time.
+     */
     private double factor(String requestClass) {
         long at = clock.now() - start;
         Point before = null;
@@ -319,7 +344,7 @@
         }
         double perNano = Math.max(1e-9, rate) * perSecond / SECOND;
         long gap = (long) (-Math.log(1 - arrivals.nextDouble()) / perNano);
-        // Where nothing is asked for now, look again soon.
+        // At a load near 0 the gap is very long: look again after a second, as the load may have risen.
         long step = Math.min(gap, SECOND);
         clock.after(step, () -> {
             if (clock.now() < end) {
@@ -349,6 +374,7 @@
         new Client(chosen, own).ask();
     }
 
+    /** The client of one request: sends it, retries with backoff, and counts what became of it. */
     private final class Client {
         final Kind kind;
         final List<Figures.Counts> counted;
@@ -360,7 +386,7 @@
         final long elsewhere;
         final long pause;
         final String zone;
-        /** Whether it waits as long as a refusal asks for. */
+        /** Whether it waits as long as the Retry-After of a rejection asks for. */
         final boolean honours;
         long wait;
         int tries;
@@ -402,7 +428,7 @@
                 Watch.Why why = whys.remove(id);
                 if (how != Answered.SERVED) {
                     figures.causes.merge((how == Answered.REFUSED ? "refused: " : "failed: ") + (why == null ? "unknown"
-                        : why.name().toLowerCase(Locale.ROOT).replace('_', ' ')), 1L, Long::sum);
+                        : why.label()), 1L, Long::sum);
                 }
                 if (thisTry == tries && !done) {
                     answered(how, retryAfter);
--- a/lab/src/main/java/weldhitch/lab/site/Spill.java
+++ b/lab/src/main/java/weldhitch/lab/site/Spill.java
@@ -3,10 +3,11 @@
 import weldhitch.fleet.locality.LocalityRules;
 
 /**
- * How nodes of a site place requests by zone.
+ * How the nodes of a simulated cluster route requests by zone. Immutable.
  *
- * @param stewards whether a leading steward merges reports and grants leave; else each node goes by its own view
- * @param loss share of reports, and of answers to them, that are lost
+ * @param stewards whether a leading coordinator merges reports and grants quotas; otherwise each node uses only
+ *     its local view
+ * @param loss fraction of reports, and of answers to them, that are lost; 0 to 1
  */
 public record Spill(LocalityRules rules, boolean stewards, double loss) {
 }
--- a/lab/src/main/java/weldhitch/lab/start/ColdStart.java
+++ b/lab/src/main/java/weldhitch/lab/start/ColdStart.java
@@ -7,8 +7,9 @@
 import weldhitch.lab.site.Clockwork;
 
 /**
- * Many nodes that start within a second and ask one list service for the list, by the decisions that a node takes
- * ({@link ListCalls}); the service may be away at first, and a second start may follow the first.
+ * Simulates many nodes that start within a second and poll one discovery service for the endpoint list, by the
+ * decisions of a real node ({@link ListCalls}); the service may be down at first, and a second start may follow
+ * the first. Single-threaded.
  */
 public final class ColdStart {
     private static final long SECOND = 1_000_000_000L;
@@ -16,43 +17,48 @@
     private static final long SHORTEST_WATCH = 2 * SECOND;
     private static final long ASK_EVERY = 10 * SECOND;
     private static final long SHARE_OF_ONE = 50 * MILLI;
-    /** How long a steward's word takes: at the start, and where a call of the node's is held. */
+    /** Longest time until the first answer of a coordinator at the start. */
     private static final long FIRST_WORD = 50 * MILLI;
+    /** Longest time until a coordinator answers later, when a heartbeat may be held open. */
     private static final long WORD = 500 * MILLI;
 
-    /** How nodes pace their calls. */
+    /** How nodes pace their polls. */
     public enum Pace {
-        /** As of a service that all share. */
+        /** Paced for a service that all nodes share. */
         SHARED,
-        /** As of an agent of each node's own, which is how nodes asked a shared service too before they knew it. */
+        /** Paced for a local agent of each node; nodes once polled a shared service in this way too. */
         AGENT,
-        /** As of a service that all share, by turns that stewards hand out. */
+        /** Paced for a shared service, by poll slots that coordinators grant. */
         TURNS
     }
 
     /**
-     * @param callsPerSecond what the service bears of calls that bring no list
-     * @param linesPerSecond lines of lists that it writes a second while it does nothing else
-     * @param longestQueue calls that wait at most before one is refused
-     * @param awayFor seconds from the first start on in which the service is away; 0 for none
-     * @param silent whether it is silent while it is away, or refuses connections
-     * @param restartAt seconds after which all nodes start once more; 0 for never
-     * @param lasts seconds
+     * The parameters of a simulation. Immutable.
+     *
+     * @param callsPerSecond polls that bring no list which the service can answer a second
+     * @param linesPerSecond lines of lists that it can write a second if it does nothing else
+     * @param longestQueue queued polls beyond which it rejects
+     * @param awayFor seconds from the first start in which the service is down; 0 for none
+     * @param silent whether it is unresponsive while it is down, instead of refusing connections
+     * @param restartAt seconds after which all nodes restart; 0 for never
+     * @param lasts length of the simulation in seconds
      */
     public record Plan(int nodes, int servers, double callsPerSecond, double linesPerSecond, int longestQueue,
             double awayFor, boolean silent, double restartAt, double lasts) {
     }
 
     /**
-     * @param peakCalls the most calls in any tenth of a second
-     * @param peakAfter the same, once the service was back
-     * @param peakLists the most calls for a whole list in any tenth of a second
-     * @param calls all of them
-     * @param lines all lines written
-     * @param heldAfter seconds from the later of the last start and the service's return until every node held a list;
-     *     infinite where some never did
-     * @param quietCalls calls a second over the last five seconds
-     * @param longestQueue the most calls that waited at the service
+     * The measurements of a simulation. Immutable.
+     *
+     * @param peakCalls maximum number of polls in any tenth of a second
+     * @param peakAfter the same, after the service was back
+     * @param peakLists maximum number of polls for a complete list in any tenth of a second
+     * @param calls total number of polls
+     * @param lines total number of lines written
+     * @param heldAfter seconds from the later of the last start and the service's return until every node had a
+     *     list; infinite if some never did
+     * @param quietCalls polls a second over the last five seconds
+     * @param longestQueue maximum number of polls queued at the service
      */
     public record Outcome(long peakCalls, long peakAfter, long peakLists, long calls, long lines, double heldAfter, double quietCalls, int longestQueue) {
     }
@@ -79,7 +85,7 @@
         members = new Member[plan.nodes];
     }
 
-    /** The same plan, pace and seed give the same outcome. */
+    /** Runs a simulation; deterministic in plan, pacing and seed. */
     public static Outcome run(Plan plan, Pace pace, long seed) {
         return new ColdStart(plan, pace, seed).play();
     }
@@ -101,7 +107,7 @@
             service.calls.between(end - 5 * SECOND, end) / 5.0, service.longestSeen);
     }
 
-    /** All nodes begin anew within a second, knowing nothing. */
+    /** Restarts all nodes within a second, without any state. */
     private void start() {
         holding = 0;
         heldAt = -1;
@@ -115,7 +121,7 @@
         }
     }
 
-    /** One node's calls, as its discovery makes them. */
+    /** The polls of one node, as its discovery client makes them. */
     private final class Member {
         final ListCalls calls;
         private final String name = "n" + names++;
@@ -132,7 +138,7 @@
                 clock.after((long) (random.nextDouble() * FIRST_WORD), () -> inTurn(0));
                 return;
             }
-            // As the module spreads the first subscriptions of a fleet.
+            // The same spread as the first polls of the nodes of a real fleet have.
             clock.after((long) (random.nextDouble() * Math.min(0.4 * ASK_EVERY, plan.nodes * SHARE_OF_ONE)), this::call);
         }
 
--- a/lab/src/main/java/weldhitch/lab/start/ListService.java
+++ b/lab/src/main/java/weldhitch/lab/start/ListService.java
@@ -6,31 +6,43 @@
 import weldhitch.lab.site.Clockwork;
 
 /**
- * A list service of fixed capacity: works through calls in turn, also through those whose callers have gone, and turns
- * away what finds too long a queue. While it is down connections are refused, or, cut off, all stays silent.
+ * A discovery service of fixed capacity: answers polls one after another, also those whose callers have given
+ * up, and rejects polls that find the queue full. While it is down, connections are refused or, in a network
+ * outage, nothing answers at all. Single-threaded, on the event scheduler.
  */
 final class ListService {
-    /** What one call came to. */
+    /** The result of one poll. */
     enum Result { LIST, NOTHING_NEW, REFUSED, BROKEN }
 
+    /** Receives the result of a poll; never called if the service went silent meanwhile. */
     interface Answer {
         void is(Result result);
     }
 
-    /** How it fails while it is away: new connections are refused, or never come up and what is open stays silent. */
+    /**
+     * How it fails while it is down: connections are refused, or new ones time out and open ones stay silent.
+     */
     enum Away { REFUSES, SILENT }
 
-    /** How long a node waits for a connection that never comes up. */
+    /** Connect timeout of a node, in nanoseconds. */
     private static final long DIAL = 1_000_000_000L;
 
     /**
-     * @param callCost work of one call in nanoseconds
+     * The capacity of the service. Immutable.
+     *
+     * @param callCost work of one poll in nanoseconds
      * @param lineCost work of one line of an answer in nanoseconds
-     * @param longestQueue calls that wait at most; one more is refused
+     * @param longestQueue polls that can be queued; further ones are rejected
      */
     record Capacity(long callCost, long lineCost, int longestQueue) {
     }
 
+    /**
+     * A poll that is queued or waits for an update.
+     *
+     * @param whole whether it asks for the complete list
+     * @param watch nanoseconds that it may wait for an update; 0 for not at all
+     */
     private record Waiting(boolean whole, long watch, Answer answer) {
     }
 
@@ -43,8 +55,9 @@
     private boolean up = true;
     private boolean working;
     private long generation;
-    /** Calls, and lines written, by tenth of a second since the start. */
+    /** Polls by tenth of a second since the start. */
     final Tally calls = new Tally();
+    /** Lines written by tenth of a second since the start. */
     final Tally linesWritten = new Tally();
     int longestSeen;
 
@@ -55,7 +68,9 @@
         this.away = away;
     }
 
-    /** Everything open ends; until {@link #back} nothing is answered. */
+    /**
+     * Drops every open poll, with an error unless the outage is silent; until {@link #back} none is answered.
+     */
     void down() {
         up = false;
         generation++;
@@ -69,11 +84,12 @@
         }
     }
 
+    /** Answers polls again. */
     void back() {
         up = true;
     }
 
-    /** The list changes: every watch is answered, one after the other. */
+    /** The list changes: every waiting poll is answered, one after the other. */
     void change() {
         List<Waiting> told = new ArrayList<>(watches);
         watches.clear();
@@ -81,6 +97,12 @@
         work();
     }
 
+    /**
+     * Handles a poll.
+     *
+     * @param whole whether it asks for the complete list
+     * @param watch nanoseconds that it may wait for an update; 0 for not at all
+     */
     void call(boolean whole, long watch, Answer answer) {
         calls.add(clock.now(), 1);
         if (!up) {
--- a/lab/src/main/java/weldhitch/lab/start/Tally.java
+++ b/lab/src/main/java/weldhitch/lab/start/Tally.java
@@ -2,13 +2,16 @@
 
 import java.util.Arrays;
 
-/** Counts by tenth of a second of virtual time. */
+/**
+ * A counter in buckets of a tenth of a second of virtual time. Not thread-safe; times are nanoseconds from 0.
+ */
 final class Tally {
     private static final long TENTH = 100_000_000L;
 
     private long[] counts = new long[64];
     private int used;
 
+    /** Adds to the bucket of this time. */
     void add(long at, long count) {
         int tenth = (int) (at / TENTH);
         if (tenth >= counts.length) {
@@ -18,12 +21,15 @@
         used = Math.max(used, tenth + 1);
     }
 
-    /** The most in any tenth of a second from the one that holds {@code from} on. */
+    /** The maximum of all buckets from the one that contains {@code from} on; 0 if there are none. */
     long peak(long from) {
         return Arrays.stream(counts, Math.min(used, (int) (from / TENTH)), used).max().orElse(0);
     }
 
-    /** The sum over tenths that begin from {@code from} on and before {@code to}. */
+    /**
+     * The sum of the buckets from the one that contains {@code from} up to, not including, the one that
+     * contains {@code to}.
+     */
     long between(long from, long to) {
         return Arrays.stream(counts, Math.min(used, (int) (from / TENTH)), Math.min(used, (int) (to / TENTH))).sum();
     }
--- a/lab/src/main/java/weldhitch/lab/start/package-info.java
+++ b/lab/src/main/java/weldhitch/lab/start/package-info.java
@@ -1,2 +1,4 @@
-/** Many nodes before one list service that all of them share, in virtual time. */
+/**
+ * Simulation of a cold start: many nodes poll one discovery service that all of them share, in virtual time.
+ */
 package weldhitch.lab.start;
--- a/lab/src/main/java/weldhitch/lab/whatif/Attempts.java
+++ b/lab/src/main/java/weldhitch/lab/whatif/Attempts.java
@@ -9,19 +9,23 @@
 import weldhitch.decision.Balancing.*;
 import weldhitch.decision.Snapshot;
 
-/** The attempts of a stretch, each with how many its server had from this node when it was sent. Times are nanoseconds. */
+/**
+ * The attempts of a contiguous segment of a capture, each with the number of attempts that this node had in
+ * flight at its server when it was sent. Built once by the server model and read only afterwards. Times are
+ * nanoseconds.
+ */
 final class Attempts {
-    /** In which servers' ways are looked at as one. */
+    /** Length of the windows in which the behaviour of a server counts as constant, in nanoseconds. */
     static final long WINDOW = 1_000_000_000L;
 
-    /** {@code outcome} null: none until the stretch ended. */
+    /** One attempt. {@code outcome} is null if it had none when the segment ended. */
     static final class Try {
         final String server;
         final String requestClass;
         final long sentAt;
-        /** Attempts out at the server, this one among them. */
+        /** Attempts of this node in flight at the server, including this one. */
         final int out;
-        /** Whether it was sent within the stretch. */
+        /** Whether it was sent within the segment. */
         final boolean whole;
         long took;
         Outcome outcome;
@@ -35,7 +39,7 @@
         }
     }
 
-    /** How many attempts were out at a server over time. */
+    /** Attempts in flight at one server over time, as nanoseconds of attempts by window. */
     private static final class Load {
         final TreeMap<Long, Double> outNanos = new TreeMap<>();
         int out;
@@ -117,7 +121,7 @@
         }
     }
 
-    /** Attempts out at the server in the window of this time, on average. */
+    /** The mean number of attempts in flight at the server in the window of this time. */
     double meanOut(String server, long at) {
         long window = Math.floorDiv(at, WINDOW);
         Load load = loads.get(server);
