--- a/lab/src/main/java/weldhitch/lab/whatif/Callers.java
+++ b/lab/src/main/java/weldhitch/lab/whatif/Callers.java
@@ -9,24 +9,31 @@
 import weldhitch.decision.Balancing.*;
 
 /**
- * How callers come again, by a stretch of a capture. A retry can't be told to which request it belongs, and may come to
- * another node; as the front deals evenly, as many come here as go elsewhere. By the captured rules the captured retries
- * come. By others, as many fewer as fewer requests in that second got no service, and more where more did: each request
- * beyond the number by the captured rules is asked again with one probability, retries by requests without service, by class,
- * and over all classes where a class had few. So what the model gets wrong in both plays cancels out. How long a caller
- * waits is not in a capture: evenly up to 200 ms is taken. Requests that must not run twice are asked again after a refusal
- * alone.
+ * The retry behaviour of clients, estimated from a segment of a capture. A capture does not tell to which
+ * request a retry belongs, and it may come to another node; as the front end distributes evenly, as many come
+ * here as go elsewhere. In the rerun with the captured rules the captured retries arrive. With other rules
+ * fewer of them arrive, in proportion, if fewer requests in that second were unserved, and more if more were:
+ * each request beyond the number with the captured rules is retried with one probability, the ratio of retries
+ * to unserved requests, by class, and over all classes if a class had few. So the errors that the model makes
+ * in both reruns cancel out. The backoff of clients is not in a capture: it is assumed to be uniform up to
+ * 200 ms. Requests that must not run twice are retried only after a rejection. Read only once built.
  */
 final class Callers {
+    /** With fewer unserved requests than this a class uses the ratio over all classes. */
     private static final int FEW = 30;
+    /** Upper bound of the assumed backoff, in nanoseconds. */
     private static final double LONGEST_WAIT = 200e6;
-    /** A caller that asks on and on would never be done; the users' ask up to three times more. */
+    /**
+     * Maximum number of retries of one request, as unlimited retries would never end; real clients make up to
+     * three.
+     */
     private static final int MOST = 3;
 
+    /** Unserved requests and retries of one class, or of all. */
     private static final class Count {
         long unserved;
         long retries;
-        /** Nanoseconds that retries left to answer in. */
+        /** Time from the arrival of each retry to its deadline, in nanoseconds. */
         final List<Long> spans = new ArrayList<>();
 
         double again() {
@@ -78,19 +85,20 @@
         return safe.getOrDefault(String.valueOf(requestClass), false);
     }
 
-    /** How likely a request of the class that got no service is asked again. */
+    /** The probability that an unserved request of the class is retried. */
     double again(String requestClass) {
         Count of = classes.get(String.valueOf(requestClass));
         return of == null || of.unserved < FEW ? all.again() : of.again();
     }
 
     /**
-     * What a caller does that got no service.
+     * Draws whether, and when, the client of an unserved request retries.
      *
-     * @param tries so far
-     * @param left nanoseconds of the request's own time
-     * @param random the request's own
-     * @return nanoseconds to wait and to leave for the answer; null where it asks no more
+     * @param refused whether it was rejected; otherwise it failed or was abandoned
+     * @param tries sent so far
+     * @param left nanoseconds until the deadline of the request
+     * @param random the generator of this request alone
+     * @return nanoseconds to wait, and nanoseconds from then to the deadline; null for no retry
      */
     long[] next(String requestClass, boolean refused, int tries, long left, UniformRandomProvider random) {
         double chance = random.nextDouble();
--- a/lab/src/main/java/weldhitch/lab/whatif/FittedServer.java
+++ b/lab/src/main/java/weldhitch/lab/whatif/FittedServer.java
@@ -10,11 +10,15 @@
 import weldhitch.lab.whatif.ServerModel.State;
 
 /**
- * A server as the model has it: a core shared evenly by the calls of this node and those of the others, who are taken to
- * have as many there as this one has had over the last second. What is called off is worked on all the same.
+ * A server as the fitted model describes it: a core shared evenly by the attempts of this node and those of the
+ * other nodes, which are assumed to have as many there as this one had over the last second. Cancelled attempts
+ * run to their end all the same. Single-threaded, on the event scheduler.
  */
 final class FittedServer implements Box {
-    /** Over which this node's calls stand for the others', nanoseconds. */
+    /**
+     * Time constant, in nanoseconds, of the mean of this node's attempts that stands for those of the other
+     * nodes.
+     */
     private static final double MEMORY = Attempts.WINDOW;
 
     private final Clockwork clock;
@@ -25,11 +29,12 @@
     private final PriorityQueue<Job> working = new PriorityQueue<>();
     private int own;
     private double meanOwn;
-    /** Work done for each call since the start, in nanoseconds of a core of its own. */
+    /** Work done for each attempt since the start, in nanoseconds of a core of its own. */
     private double done;
     private long doneAt;
     private int plan;
 
+    /** One running attempt; ordered by the work at which it completes. */
     private record Job(double doneWhen, Reply reply) implements Comparable<Job> {
         @Override
         public int compareTo(Job other) {
@@ -52,7 +57,11 @@
         return zone;
     }
 
-    /** {@code call.work()}: how many times as much as usual its class asks for. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>{@code call.work()} is a multiple of the mean work of the class.
+     */
     @Override
     public void take(Call call, Reply reply) {
         catchUp();
--- a/lab/src/main/java/weldhitch/lab/whatif/Rerun.java
+++ b/lab/src/main/java/weldhitch/lab/whatif/Rerun.java
@@ -21,7 +21,10 @@
 import weldhitch.lab.site.Tap;
 import weldhitch.replay.Summary;
 
-/** One stretch once more: its arrivals and lists as they came, its servers as the model has them. */
+/**
+ * One rerun of a contiguous segment of a capture: the captured arrivals and endpoint lists, with modelled
+ * servers and a real balancer. Used once, single-threaded.
+ */
 final class Rerun {
     private static final long SECOND = 1_000_000_000L;
 
@@ -29,7 +32,7 @@
     private final ServerModel model;
     private final Callers callers;
     private final long end;
-    /** What got no service by the captured rules; null where those are played. */
+    /** Unserved requests of the rerun with the captured rules; null in that rerun itself. */
     private final Unserved usual;
     final Unserved unserved = new Unserved();
     private final UniformRandomProvider retries;
@@ -41,12 +44,14 @@
     private final Map<String, FittedServer> servers = new LinkedHashMap<>();
     private final Map<String, RequestClass> classes = new LinkedHashMap<>();
     private final Map<String, Open> open = new LinkedHashMap<>();
-    /** Attempts that were out when the stretch began, as request and number. */
+    /** Attempts in flight when the segment began, as request id and attempt number. */
     private final Set<String> before = new LinkedHashSet<>();
 
     /**
-     * @param usual what got no service when the captured rules were played; null while they are
-     * @param summary told of all that comes of it
+     * Prepares a rerun.
+     *
+     * @param usual unserved requests of the rerun with the captured rules; null in that rerun itself
+     * @param summary receives every event and action
      */
     Rerun(Stretch stretch, ServerModel model, Callers callers, Unserved usual, long seed, Summary summary) {
         this.stretch = stretch;
@@ -73,9 +78,11 @@
             (server, otherZone) -> { });
     }
 
+    /** A request in flight. */
     private record Open(Arrival arrival, UniformRandomProvider own, Call call, int tries) {
     }
 
+    /** Passes every event and its actions to the summary. */
     private final class Counting implements Tap {
         private long number;
 
@@ -102,7 +109,11 @@
         return RandomSource.SPLIT_MIX_64.create(seed * 0x9E3779B97F4A7C15L + stream * 0xD1342543DE82EF95L);
     }
 
-    /** @param instead whether {@code routes} (none where null) are in force in place of the captured ones */
+    /**
+     * Runs the segment to its end, and on until its requests have ended.
+     *
+     * @param instead whether {@code routes} (none if null) replace the captured ones
+     */
     void play(boolean instead, Routes routes) {
         node.resume(stretch.begin().snapshot(), (how, retryAfter) -> { });
         if (instead) {
@@ -132,7 +143,7 @@
         clock.runUntil(clock.now() + Math.min(longest, 600 * SECOND) + SECOND);
     }
 
-    /** Whether a captured retry comes where other rules are played. */
+    /** Whether a captured retry arrives in this rerun. */
     private boolean comes(Arrival retry) {
         int before = usual == null ? 0 : usual.lately(retry.requestClass(), clock.now());
         return before == 0 || retries.nextDouble() * before < unserved.lately(retry.requestClass(), clock.now());
@@ -140,7 +151,7 @@
 
     private Call call(Arrival arrival, UniformRandomProvider own) {
         double spread = model.of(arrival.requestClass()).spread();
-        // Of mean 1, so that the classes keep their means.
+        // Log-normal with mean 1, so that the classes keep their means.
         double work = spread > 0 ? LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(own), -spread * spread / 2, spread).sample() : 1;
         return new Call(arrival.requestClass(), work, 0);
     }
@@ -168,7 +179,8 @@
         Arrival a = request.arrival;
         unserved.add(a.requestClass(), clock.now());
         int now = unserved.lately(a.requestClass(), clock.now());
-        // Those beyond the usual number bring retries of their own; the others' are captured.
+        // Only unserved requests beyond the number with the captured rules make retries: those of the others
+        // are captured.
         if (usual == null || request.own.nextDouble() * now >= now - usual.lately(a.requestClass(), clock.now())) {
             return;
         }
--- a/lab/src/main/java/weldhitch/lab/whatif/ServerModel.java
+++ b/lab/src/main/java/weldhitch/lab/whatif/ServerModel.java
@@ -11,30 +11,51 @@
 import weldhitch.lab.whatif.Attempts.Try;
 
 /**
- * What a stretch of a capture says of its servers. The node sees its own calls alone; the other nodes are taken to call each
- * server as it does on average (a mean field). So where {@code x} = its own calls out at the server + (nodes - 1) times their mean in that
- * second, a served call of a class takes {@code slowness * (fixed + each * x)}: what it waits elsewhere, and a core shared
- * evenly. {@code fixed} and {@code each} are least squares over all servers, {@code slowness} the server's in that second,
- * drawn towards its usual one as by five calls. Failures are shares in that second; "full" begins at the {@code x} that as
- * many calls of that second reached as were turned away.
+ * A model of the servers, fitted to a segment of a capture. The node sees only its own calls; the other nodes
+ * are assumed to call each server as this one does on average (a mean field). So with {@code x} = its own calls
+ * in flight at the server + (nodes - 1) times their mean in that second, a served call of a class takes {@code
+ * slowness * (fixed + each * x)}: time spent waiting elsewhere, and a core shared evenly. {@code fixed} and
+ * {@code each} are least-squares estimates over all servers; {@code slowness} is that of the server in that
+ * second, shrunk towards its overall value with the weight of five calls. Failures are fractions in that
+ * second; rejection as "full" begins at the {@code x} that as many calls of that second reached as were
+ * rejected. Read only once built.
  */
 final class ServerModel {
-    /** Calls that a server's usual way counts for against what is seen in one second. */
+    /** Weight, in calls, of a server's overall slowness against that of one second. */
     private static final double PRIOR = 5;
-    /** So many windows after the last call what it showed still holds; after that it is as usual. */
+    /** For so many windows after the last call its state holds; after that the overall state does. */
     private static final long HOLDS = 5;
-    /** A call that overstays so many times what it should take, in a second in which nobody got a word, is lost. */
+    /**
+     * A call that exceeds its expected time by this factor, in a second in which no call was answered, counts
+     * as lost.
+     */
     private static final double LOST = 3;
 
-    /** Nanoseconds; {@code spread}: the standard deviation of the logarithm of what is left unexplained. */
+    /**
+     * Service time of a class, in nanoseconds.
+     *
+     * @param fixed part that does not depend on load
+     * @param each part for each call that shares the core
+     * @param spread standard deviation of the logarithm of the residuals
+     * @param samples calls that it was fitted to
+     */
     record OfClass(double fixed, double each, double spread, long samples) {
+        /** Expected service time in nanoseconds at a load of {@code x}, at slowness 1. */
         double at(double x) {
             return fixed + each * x;
         }
     }
 
-    /** A server in a window; {@code capacity}: the x from which it turns away, infinite where it did not. */
+    /**
+     * The state of a server in one window.
+     *
+     * @param slowness multiple of the service time
+     * @param capacity the x from which it rejects; infinite if it did not
+     * @param errors fraction of calls, as the two that follow
+     * @param silent whether no call was answered
+     */
     record State(double slowness, double capacity, double errors, double connectFailed, double resets, boolean silent) {
+        /** A state without failures. */
         static State usual(double slowness) {
             return new State(slowness, Double.POSITIVE_INFINITY, 0, 0, 0, false);
         }
@@ -47,7 +68,7 @@
     private final Attempts attempts;
     private final long begin;
     final int others;
-    /** How long a server takes to say that it can't, nanoseconds. */
+    /** Median time until a rejection or error arrives, in nanoseconds; 1 ms if there was none. */
     final long turnAway;
 
     ServerModel(Stretch stretch) {
@@ -79,7 +100,10 @@
         return each.out + others * attempts.meanOut(each.server, each.sentAt);
     }
 
-    /** Least squares, with nothing below 0: a line through the origin, or one that does not rise, where it would be. */
+    /**
+     * Least squares without negative parameters: a line through the origin, or a constant, if a parameter would
+     * be.
+     */
     private OfClass line(List<Try> served) {
         SimpleRegression both = new SimpleRegression();
         SimpleRegression origin = new SimpleRegression(false);
@@ -99,6 +123,7 @@
             : new OfClass(0, origin.getSlope(), 0, served.size());
     }
 
+    /** The service time of a class; that over all classes if it was not in the capture. */
     OfClass of(String requestClass) {
         return classes.getOrDefault(String.valueOf(requestClass), unknown);
     }
@@ -121,7 +146,10 @@
         return Math.max(1, unknown.at(1));
     }
 
-    /** What calls took and should have taken; one given up counts where it was out for longer than it should have been. */
+    /**
+     * Adds the actual and the expected times of a call; an abandoned one counts only if it took longer than
+     * expected.
+     */
     private void add(double[] sums, Try each, double slowness) {
         double should = of(each.requestClass).at(x(each));
         boolean givenUp = each.outcome == Outcome.TIMED_OUT || each.outcome == Outcome.CANCELLED;
@@ -172,7 +200,7 @@
         return Math.sqrt(Arrays.stream(left).map(l -> (l - mean) * (l - mean)).average().orElse(0));
     }
 
-    /** How the server is at this time. */
+    /** The state of the server at this time. */
     State state(String server, long at) {
         long window = Math.floorDiv(at, Attempts.WINDOW);
         TreeMap<Long, State> known = states.get(server);
@@ -183,7 +211,9 @@
         return last.getValue();
     }
 
-    /** Attempts of one node that were out at the server when the stretch began, on average. */
+    /**
+     * The mean number of attempts of one node in flight at the server in the window in which the segment began.
+     */
     double outAtFirst(String server) {
         return attempts.meanOut(server, begin);
     }
--- a/lab/src/main/java/weldhitch/lab/whatif/Stretch.java
+++ b/lab/src/main/java/weldhitch/lab/whatif/Stretch.java
@@ -5,10 +5,13 @@
 import java.util.function.Consumer;
 import weldhitch.capture.format.Entry;
 
-/** Events of a capture with nothing missing between them, and what the module knew before the first. */
+/**
+ * A contiguous segment of a capture: events without gaps, and the snapshot before the first. The list of events
+ * grows while the capture is read.
+ */
 record Stretch(Entry.Known begin, List<Entry.Told> events) {
 
-    /** Parts a capture into its stretches. */
+    /** Splits a capture into contiguous segments. Not thread-safe. */
     static final class Collector implements Consumer<Entry> {
         private final List<Stretch> stretches = new ArrayList<>();
         private boolean broken = true;
--- a/lab/src/main/java/weldhitch/lab/whatif/Unserved.java
+++ b/lab/src/main/java/weldhitch/lab/whatif/Unserved.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** When requests of each class got no service; told in the order of time. */
+/**
+ * The times at which requests of each class ended unserved, added in order of time. Not thread-safe; times are
+ * nanoseconds.
+ */
 final class Unserved {
     private final Map<String, List<Long>> times = new LinkedHashMap<>();
 
@@ -13,7 +16,9 @@
         times.computeIfAbsent(String.valueOf(requestClass), c -> new ArrayList<>()).add(at);
     }
 
-    /** How many within the second up to this time: those who come again now are among them. */
+    /**
+     * How many there were in the second up to this time: the requests whose retries arrive now are among them.
+     */
     int lately(String requestClass, long at) {
         List<Long> of = times.getOrDefault(String.valueOf(requestClass), List.of());
         return upTo(of, at) - upTo(of, at - Attempts.WINDOW);
--- a/lab/src/main/java/weldhitch/lab/whatif/WhatIf.java
+++ b/lab/src/main/java/weldhitch/lab/whatif/WhatIf.java
@@ -13,23 +13,37 @@
 import weldhitch.replay.Summary;
 
 /**
- * What other routes, or this build, would have made of a capture. Measured: where decisions part, on the captured events.
- * Modelled: what came of it, by servers fitted to the capture; beside it the captured rules by the same model, whose distance
- * to the captured outcomes is the model's error.
+ * Estimates what other routes, or this build, would have made of a capture. Measured on the captured events:
+ * where decisions differ. Modelled, with servers fitted to the capture: the outcome; beside it the captured
+ * rules with the same model, whose distance to the captured outcome is the error of the model. Reads a capture
+ * as a consumer of its entries; single-threaded.
  */
 public final class WhatIf implements Consumer<Entry> {
-    /** The figures of a class, in their order: requests with their retries, shares of them, attempts for each, milliseconds. */
+    /**
+     * The metrics of a class, in order: requests including retries, fractions of them, attempts for each,
+     * milliseconds.
+     */
     public static final List<String> FIGURES = List.of("arrived", "in time", "late", "refused", "failed", "gone", "attempts", "p50 ms", "p99 ms");
     public static final String ALL = "all";
     private static final long SECOND = 1_000_000_000L;
 
-    /** {@code captured} and {@code other} are modelled, means over the seeds; {@code change} the second less the first. */
+    /**
+     * One metric of a class.
+     *
+     * @param measured in the capture
+     * @param captured modelled with the captured rules, mean over the seeds
+     * @param other modelled with the other rules, mean over the seeds
+     * @param change {@code other} less {@code captured}
+     */
     public record Line(String requestClass, String figure, double measured, double captured, double other, Paired.Change change) {
     }
 
     /**
-     * @param stretches with nothing missing inside
-     * @param classes how the model has each class: nanoseconds without and for each call that shares its server
+     * The result of the model.
+     *
+     * @param stretches number of contiguous segments
+     * @param classes a description of the fitted model of each class: nanoseconds fixed, and for each call that
+     *     shares the server
      */
     public record Result(List<Line> lines, int stretches, int seeds, List<String> classes) {
     }
@@ -40,7 +54,12 @@
     private final boolean instead;
     private final Routes routes;
 
-    /** @param instead whether {@code routes} (none where null) stand in for the captured ones; else this build is tried */
+    /**
+     * An analysis that has read nothing yet.
+     *
+     * @param instead whether {@code routes} (none if null) replace the captured ones; otherwise this build is
+     *     evaluated
+     */
     public WhatIf(boolean instead, Routes routes) {
         this.instead = instead;
         this.routes = routes;
@@ -51,7 +70,7 @@
     public void accept(Entry entry) {
         collector.accept(entry);
         parting.accept(entry);
-        // By the captured decisions, whatever this build makes of them.
+        // The measured values come from the captured decisions, not from those of this build.
         if (entry instanceof Entry.Told told) {
             measured.played(0, told, told.actions());
         } else if (entry instanceof Entry.Known known) {
@@ -59,21 +78,21 @@
         }
     }
 
-    /** Where decisions part, by the captured events: once a snapshot at most. */
+    /** Where decisions differ on the captured events; one for each snapshot at most. */
     public List<Player.Difference> partings() {
         return parting.differences();
     }
 
-    /** Snapshots from which the captured events were played. */
+    /** Number of snapshots from which captured events were replayed. */
     public long beginnings() {
         return parting.beginnings();
     }
 
     /**
-     * Plays every stretch by the model, once a seed with the captured rules and once with the others.
+     * Reruns every segment for each seed, once with the captured rules and once with the others.
      *
-     * @param seeds two or more, for an interval
-     * @param confidence of the intervals, between 0 and 1
+     * @param seeds two or more, for a confidence interval
+     * @param confidence level of the intervals, between 0 and 1
      */
     public Result model(int seeds, double confidence) {
         List<Stretch> stretches = collector.stretches();
--- a/lab/src/main/java/weldhitch/lab/whatif/package-info.java
+++ b/lab/src/main/java/weldhitch/lab/whatif/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What another operator file or another build would have made of a captured stretch: servers' answers are modelled by what
- * the capture says of them, arrivals and lists are the captured ones. Free of I/O, clock and threads.
+ * Estimates what other routes or another build would have made of a capture: the answers of servers come from a
+ * model fitted to the capture, arrivals and endpoint lists are the captured ones. Free of I/O, clocks and
+ * threads.
  */
 package weldhitch.lab.whatif;
--- a/lab/src/test/java/weldhitch/lab/ColdStartTest.java
+++ b/lab/src/test/java/weldhitch/lab/ColdStartTest.java
@@ -12,11 +12,14 @@
 import weldhitch.lab.start.ColdStart.Pace;
 import weldhitch.lab.start.ColdStart.Plan;
 
-/** What a fleet's start costs a list service that all nodes share: as nodes ask now, against as they asked before. */
+/**
+ * What the start of a fleet costs a shared discovery service, with the present pacing of polls and the former
+ * one.
+ */
 class ColdStartTest {
     private static final int SEEDS = 10;
 
-    /** A service that writes a hundred lists of 1,000 servers a second. */
+    /** A service that writes a hundred lists of 1,000 endpoints a second. */
     private static Plan plan(int nodes, double awayFor, boolean silent, double restartAt) {
         return new Plan(nodes, 1000, 500, 100_000, 100, awayFor, silent, restartAt, 40);
     }
@@ -29,7 +32,10 @@
         return sum / SEEDS;
     }
 
-    /** Ten times the nodes, at most thrice the peak: what is left of the growth are the watches themselves, one a node in 2 to 4 s. */
+    /**
+     * Ten times the nodes, at most three times the peak: the remaining growth is the long polls, one a node in
+     * 2 to 4 s.
+     */
     @ParameterizedTest
     @CsvSource({"0, false, 0", "8, false, 0", "8, true, 0", "0, false, 6"})
     void peakOfListCallsHardlyGrowsWithTheFleet(double away, boolean silent, double restartAt) {
@@ -46,18 +52,20 @@
     void allSoonHoldAListAndAskForItOnce(int nodes, double away, boolean silent, double restartAt) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             Outcome o = ColdStart.run(plan(nodes, away, silent, restartAt), Pace.SHARED, seed);
-            // 400 lists alone are 4 s of the service's work, and a first refusal costs a node up to 5 s.
+            // 400 lists alone are 4 s of the service's work, and a first rejection costs a node up to 5 s.
             assertTrue(o.heldAfter() < (nodes > 200 ? 15 : 10), seed + ": " + o);
             int starts = restartAt > 0 ? 2 : 1;
-            // A call of a node that holds a list and asks for no wait is a line, a list a thousand.
+            // A poll by a node that has a list, without waiting, costs a line; a complete list costs a
+            // thousand.
             assertTrue(o.lines() < (nodes * starts + 1) * 1000L, "no list written in vain: " + o);
             assertTrue(o.quietCalls() < 75, o.toString());
         }
     }
 
     /**
-     * A service that bears five lists a second and twenty other calls: as nodes asked before, calls given up kept it busy
-     * for good; now all hold a list in about the time that it needs to write them.
+     * A service that can write five lists a second and answer twenty other polls: with the former pacing,
+     * abandoned polls kept it busy for good; now all nodes have a list in about the time that it needs to write
+     * them.
      */
     @Test
     void overloadEndsWithItsCause() {
@@ -73,8 +81,9 @@
     }
 
     /**
-     * By turns of stewards the peak of calls for whole lists, which are what a list service works for, does not grow with the fleet, and
-     * all hold a list as soon; the peak of all calls grows less than by chance, as watches come besides.
+     * With poll slots granted by coordinators the peak of polls for complete lists, which are most of the
+     * service's work, does not grow with the fleet, and all nodes have a list as soon; the peak of all polls
+     * grows less than with random spreading, as the long polls add to it.
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "8, 0", "0, 6"})
@@ -102,7 +111,10 @@
         assertEquals(ColdStart.run(plan, Pace.SHARED, 5), ColdStart.run(plan, Pace.SHARED, 5));
     }
 
-    /** The table of docs/design/cold-start.md: {@code mvn -pl lab -am test -Dtest=ColdStartTest -Dcoldstart.table=true}. */
+    /**
+     * The table of docs/design/cold-start.md: {@code mvn -pl simulator -am test -Dtest=ColdStartTest
+     * -Dcoldstart.table=true}.
+     */
     @Test
     @org.junit.jupiter.api.condition.EnabledIfSystemProperty(named = "coldstart.table", matches = "true")
     void table() {
--- a/lab/src/test/java/weldhitch/lab/LabTest.java
+++ b/lab/src/test/java/weldhitch/lab/LabTest.java
@@ -29,6 +29,7 @@
 import weldhitch.replay.Player;
 import weldhitch.replay.Verify;
 
+/** Runs the shipped scenarios, and checks scenario files, reports and captures of the simulator. */
 class LabTest {
     private static final Path SCENARIOS = Path.of("lab/scenarios");
     private static final long SECOND = 1_000_000_000L;
@@ -48,7 +49,10 @@
         return figures.seconds.subList(fromS, toS).stream().mapToDouble(Figures.Counts::goodput).min().orElseThrow();
     }
 
-    /** Each plays, adds up, and has what is captured of it played to the same decisions with all rules kept. */
+    /**
+     * Each scenario runs, its counts add up, and its capture replays to the same decisions without a violated
+     * invariant.
+     */
     @TestFactory
     Stream<DynamicTest> shippedScenariosPlayAndTheirCapturesToo() throws IOException {
         try (Stream<Path> files = Files.list(SCENARIOS)) {
@@ -94,7 +98,9 @@
         assertTrue(least(grey, 45, 59) > 0.98, "after the grey failure: " + least(grey, 45, 59));
     }
 
-    /** Seven times the enrolments are more than the servers can do: most are served, and all once it is over. */
+    /**
+     * Seven times the enrolments exceed the capacity: most are served, and all of them once the surge is over.
+     */
     @Test
     void aCampaignIsServedWhileItLastsAndAllIsWellAfterIt() throws Exception {
         Figures figures = play(shipped("campaign"), 4);
--- a/lab/src/test/java/weldhitch/lab/RecoveryTest.java
+++ b/lab/src/test/java/weldhitch/lab/RecoveryTest.java
@@ -25,9 +25,9 @@
 import weldhitch.lab.site.Tap;
 
 /**
- * Sites in virtual time after a trigger: does service come back when the trigger has gone, or do the retries of
- * what was turned away keep the overload alive (Bronson et al., "Metastable Failures in Distributed Systems", 2021)?
- * Each seed plays the same each time, so the verdict is the same too.
+ * Simulated clusters after a trigger: does the service recover when the trigger is over, or do the retries of
+ * rejected requests sustain the overload (Bronson et al., "Metastable Failures in Distributed Systems", 2021)?
+ * Runs are deterministic in their seed, so the result is too.
  */
 class RecoveryTest {
     private static final Path RESOURCES = Path.of("lab/src/test/resources/weldhitch/lab");
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The part of the worth that each second served, by seeds. */
+    /** The fraction of the priority weight that was served in each second, by seed. */
     private static List<double[]> play(int seeds, LongFunction<Scenario> of) {
         return LongStream.range(0, seeds).parallel().mapToObj(seed -> {
             Figures figures = new Site(of.apply(seed), seed, null).play();
@@ -59,7 +59,10 @@
         }
     }
 
-    /** The control: where all is let in, as in a tier that knows no admission, the site stays down by itself. */
+    /**
+     * The control: if everything is admitted, as in a tier without admission control, the cluster stays
+     * overloaded.
+     */
     @Test
     void withoutAdmissionRetriesKeepTheOverloadAliveAfterItsTrigger() {
         Scenario full = scenario("full-tier-1");
@@ -93,7 +96,7 @@
         return new Report("r", seed, new Site(scenario("release"), seed, null).play()).json().toString();
     }
 
-    /** All that the first node decides. */
+    /** Records all decisions of the first node. */
     private static final class DigestTap implements Tap {
         private long digest;
 
@@ -112,8 +115,9 @@
     }
 
     /**
-     * Every decision of a node in 1,000 plays, held against digests written by an earlier build; {@code
-     * -DargLine=-Dweldhitch.digests=write} writes them anew, which a change of a rule or of the laboratory does and says.
+     * Compares every decision of a node in 1,000 runs with digests written by an earlier build; {@code
+     * -DargLine=-Dweldhitch.digests=write} rewrites them, which a change of a rule or of the simulator does and
+     * states.
      */
     @Test
     void decisionsAreThoseOfTheBuildThatWroteTheDigests() throws Exception {
--- a/lab/src/test/java/weldhitch/lab/SpillTest.java
+++ b/lab/src/test/java/weldhitch/lab/SpillTest.java
@@ -24,20 +24,25 @@
 import weldhitch.lab.site.Site;
 
 /**
- * Locality rules at a site that runs the whole module: leave by stewards, against each node by its own view, against the price of
- * crossing that nodes go by without rules. Three zones of two regions; what befalls one of them.
+ * Locality rules in a cluster that runs the complete balancer: quotas granted by coordinators, against the
+ * local view of each node, against the cross-zone price that nodes use without rules. Three zones in two
+ * regions; faults in one.
  */
 class SpillTest {
     private static final long SECOND = 1_000_000_000L;
     private static final double TARGET = 0.85;
-    /** What a server bears: its core, and 20 ms of work a call. */
+    /** Capacity of a server: one core, and 20 ms of work a request. */
     private static final double RATE = 50;
 
     @TempDir
     Path directory;
 
+    /**
+     * How zones are chosen: by cross-zone price, by the local view, by quotas, or by quotas with message loss.
+     */
     private enum How { PRICE, ALONE, LEAVE, LEAVE_LOSSY }
 
+    /** The measurements of one run. */
     private record Told(double worth, double crossings, Map<String, Double> peaks, int changes) {
         @Override
         public String toString() {
@@ -134,7 +139,7 @@
         "all of a vanishes", "kind = \"silent\"\nshare = 1.0\nfor = \"15s\"", "a is four times slower", "kind = \"slow\"\nshare = 1.0\nfactor = 4\nfor = \"15s\"",
         "a is cut off", "kind = \"cut-zone\"\nfor = \"8s\"");
 
-    /** By hand: {@code -Dspill.nodes=200 -Dspill.servers=1000}. */
+    /** Run manually: {@code -Dspill.nodes=200 -Dspill.servers=1000}. */
     @Test
     @EnabledIfSystemProperty(named = "spill.nodes", matches = "[0-9]+")
     void compared() throws Exception {
@@ -157,7 +162,7 @@
         Told leave = play(scenario, 1, How.LEAVE);
         System.out.println("price of crossing: " + price + "\nalone: " + alone + "\nleave: " + leave);
         assertTrue(leave.worth >= alone.worth, leave + " against " + alone);
-        // Ten servers: a second's calls are 500, of which a tenth is chance.
+        // Ten servers: 500 requests a second, of which a tenth is random variation.
         assertTrue(leave.peaks.get("b") <= TARGET + 0.1 && leave.peaks.get("c") <= TARGET + 0.1, leave.toString());
         assertTrue(alone.peaks.get("b") > TARGET + 0.1 || alone.peaks.get("c") > TARGET + 0.1, alone.toString());
         assertTrue(leave.changes <= 2 * 35 / 5, leave.toString());
--- a/lab/src/test/java/weldhitch/lab/WhatIfTest.java
+++ b/lab/src/test/java/weldhitch/lab/WhatIfTest.java
@@ -26,12 +26,15 @@
 import weldhitch.lab.site.Tap;
 import weldhitch.lab.whatif.WhatIf;
 
-/** The laboratory is the truth that the model must foretell: the same site and seed, played by the other rules. */
+/**
+ * The simulator is the ground truth that the model must predict: the same cluster and seed, run with the other
+ * rules.
+ */
 class WhatIfTest {
     private static final int SEEDS = 4;
     private static final long SECOND = 1_000_000_000L;
 
-    /** What a capture of the first node holds, without a file. */
+    /** Keeps the entries of a capture of the first node in memory. */
     private static final class Memory implements Tap {
         final List<Entry> entries = new ArrayList<>();
         private Settings settings;
@@ -81,7 +84,7 @@
         return new Routes(List.of(new Routes.Route("r", 0, new RoutePattern("view-slots", null, List.of(), true), rules)));
     }
 
-    /** One attempt of 250 ms, where callers leave the most. */
+    /** One attempt with a timeout of 250 ms, less than clients allow it. */
     private static Routes strict() {
         return lookUps(new RouteRules(250_000_000L, 0, 1, null, RouteRules.RETRYABLE, null, null, null, Map.of()));
     }
@@ -99,7 +102,7 @@
         assertEquals(expected, told, by, what);
     }
 
-    /** By the rules of the capture the model gives back what was captured, on a day of each kind. */
+    /** With the captured rules the model reproduces the capture, for each scenario. */
     @Test
     void byTheCapturedRulesItComesToWhatWasCaptured() throws Exception {
         String grey = Files.readString(Path.of("lab/scenarios/grey.toml"));
@@ -120,7 +123,7 @@
             near(day.getKey() + ": attempts", attempts.measured(), attempts.captured(), crowded ? 0.06 : 0.04);
             WhatIf.Line median = line(result, "p50 ms");
             near(day.getKey() + ": p50", median.measured(), median.captured(), (crowded ? 0.3 : 0.1) * median.measured());
-            // The same rules once more are no other rules.
+            // The same rules must give no difference.
             for (WhatIf.Line each : result.lines()) {
                 assertEquals(each.captured(), each.other(), 1e-9, day.getKey() + " " + each);
                 assertFalse(each.change().differs(), day.getKey() + " " + each);
@@ -144,7 +147,9 @@
         }
     }
 
-    /** Less patience, and callers who come again at once: the overload feeds itself, and the model sees it coming. */
+    /**
+     * Shorter timeouts and immediate client retries: the overload sustains itself, and the model predicts it.
+     */
     @Test
     void itForetellsThatRetriesFeedAnOverload() throws Exception {
         Scenario scenario = shipped("overload", 45);
@@ -178,7 +183,7 @@
         assertEquals(2, tried(entries, strict()).stretches());
         entries.set(at - 1, new Entry.Damage("f", 1, 1, "torn"));
         assertEquals(2, tried(entries, strict()).stretches());
-        // Damage without a snapshot behind it ends a stretch, and what follows is of no use.
+        // Damage without a snapshot after it ends a segment, and the events that follow are ignored.
         List<Entry> cut = new ArrayList<>(entries.subList(0, at));
         assertEquals(1, tried(cut, strict()).stretches());
     }
--- a/node/src/main/java/weldhitch/Main.java
+++ b/node/src/main/java/weldhitch/Main.java
@@ -2,11 +2,15 @@
 
 import java.io.IOException;
 
-/** The one entry: the real node, or the same decisions on the simulator's wire. */
+/**
+ * The entry point of the archive: {@code serve} runs the node, {@code adapter} the same balancer on the
+ * simulator's line protocol.
+ */
 public final class Main {
     private Main() {
     }
 
+    /** Runs the command that the arguments name; exits with 64 if there is none. */
     public static void main(String[] args) throws IOException {
         if (args.length == 3 && args[0].equals("serve") && args[1].equals("--operator")) {
             weldhitch.node.NodeService.main(java.nio.file.Path.of(args[2]));
--- a/node/src/main/java/weldhitch/node/Attempt.java
+++ b/node/src/main/java/weldhitch/node/Attempt.java
@@ -2,11 +2,14 @@
 
 import io.netty.util.concurrent.Future;
 
-/** One sending of a request to a server. It ends exactly once, by {@link AttemptListener#ended}. */
+/**
+ * One forwarding of a request to one endpoint. It ends exactly once, with {@link AttemptListener#ended}. Shared
+ * by {@link Dispatcher} and the upstream connections; confined to the event loop.
+ */
 final class Attempt {
-    /** What carries the attempt: a dial or a connection. */
+    /** What carries the attempt: a pending connect or a connection. */
     interface Carrier {
-        /** The attempt is given up by its owner, who says how it ended. */
+        /** Aborts the attempt; the caller reports its outcome. */
         void abandon();
     }
 
@@ -17,13 +20,16 @@
     final long until;
     Future<?> timer;
     Carrier carrier;
-    /** The operating system has the request's last byte: from here on the server may run it. */
+    /** The operating system has the request's last byte: from here on the server may execute it. */
     boolean written;
     boolean streaming;
     boolean ended;
-    /** It is certain that it never ran. */
+    /** Known not to have been executed. */
     boolean neverRan;
-    /** Until when servers discard it where an earlier attempt has run; the most there is where none may have. */
+    /**
+     * Until when endpoints deduplicate it if an earlier attempt was executed; {@code Long.MAX_VALUE} if none
+     * can have been.
+     */
     final long repeatUntil;
 
     Attempt(CallerRequest request, int number, String server, long sentAt, long until, long repeatUntil) {
--- a/node/src/main/java/weldhitch/node/AttemptListener.java
+++ b/node/src/main/java/weldhitch/node/AttemptListener.java
@@ -2,14 +2,14 @@
 
 import weldhitch.decision.Balancing.Outcome;
 
-/** Hears what becomes of attempts. */
+/** Receives the progress of attempts, on the event loop; implemented by {@link Dispatcher}. */
 interface AttemptListener {
-    /** The end of an attempt; {@code answer} is the whole body of an OK that was held back until now, or null. */
+    /** An attempt has ended; {@code response} is the completely buffered response of an OK, or null. */
     void ended(Attempt attempt, Outcome outcome, ServerAnswer answer);
 
     /**
-     * A server's answer that is passed on as it comes has begun: where it goes, or null where the request has its
-     * final answer already.
+     * A response that is streamed has started. Returns where to stream it, or null if the request already has
+     * its final answer.
      */
     StreamSink streamBegins(Attempt attempt);
 }
--- a/node/src/main/java/weldhitch/node/Body.java
+++ b/node/src/main/java/weldhitch/node/Body.java
@@ -6,8 +6,9 @@
 import java.util.List;
 
 /**
- * A body held whole. It is copied out of the read buffers into pieces of its own: a peer that sends single bytes
- * would otherwise pin a read buffer for each of them, and the budget would not know.
+ * A body buffered completely in memory, accounted for in {@link Budget}. Copied out of the read buffers into
+ * chunks of its own: a peer that sends single bytes would otherwise pin a read buffer for each of them, outside
+ * the accounting. Not thread-safe, confined to the event loop.
  */
 final class Body {
     static final int PIECE = 64 * 1024;
@@ -19,13 +20,13 @@
     private long size;
     private long taken;
 
-    /** {@code expected}: the length that the peer states, or -1. */
+    /** {@code statedLength}: the length that the peer states, or -1. */
     Body(Budget budget, long expected) {
         this.budget = budget;
         this.firstPiece = (int) Math.min(PIECE, expected < 0 ? 1024 : Math.max(1, expected));
     }
 
-    /** Adds what the buffer holds; false if the budget has no room for it. */
+    /** Appends the buffer's content; false if the memory limit is reached. */
     boolean add(ByteBuf more) {
         while (more.isReadable()) {
             if (pieces.isEmpty() || inLast == last().length) {
--- a/node/src/main/java/weldhitch/node/Budget.java
+++ b/node/src/main/java/weldhitch/node/Budget.java
@@ -1,8 +1,14 @@
 package weldhitch.node;
 
+/**
+ * Limits on memory for bodies and on connections, derived from the heap and the descriptor limit. Shared by the
+ * connections of one node; not thread-safe, confined to the event loop.
+ */
 final class Budget {
     private static final int RESERVED_DESCRIPTORS = 64;
-    /** The part of the bytes that only small bodies may use, so that a few long uploads don't stop the rest. */
+    /**
+     * The fraction of the bytes reserved for small bodies, so that a few long uploads do not block the rest.
+     */
     private static final double KEPT_FOR_SMALL = 0.25;
     private static final int SMALL = 64 * 1024;
 
@@ -20,7 +26,7 @@
         bytes = heap * 11 / 20;
     }
 
-    /** Takes so many bytes for a body that holds {@code before} already; false where there are none left. */
+    /** Reserves bytes for a body that has {@code alreadyReserved}; false if the limit is reached. */
     boolean take(int more, long before) {
         long open = before + more <= SMALL ? bytes : (long) (bytes * (1 - KEPT_FOR_SMALL));
         if (held + more > open) {
--- a/node/src/main/java/weldhitch/node/Caller.java
+++ b/node/src/main/java/weldhitch/node/Caller.java
@@ -1,12 +1,13 @@
 package weldhitch.node;
 
-/** Who asked: is given one final answer, whole or as a stream. */
+/** The client side of a request: receives exactly one final answer, buffered or streamed, on the event loop. */
 interface Caller extends StreamSink {
+    /** Answers with a complete response. */
     void served(ServerAnswer answer);
 
-    /** Not run, a retry does no harm; {@code retryAfter} in nanoseconds, 0 for no advice. */
+    /** Rejects: not executed, a retry does no harm; {@code retryAfter} in nanoseconds, 0 for no advice. */
     void refused(long retryAfter);
 
-    /** No word on its effect; {@code late}: its time is over. */
+    /** Fails without a promise about effects; {@code timedOut}: the request's deadline has passed. */
     void failed(boolean late);
 }
--- a/node/src/main/java/weldhitch/node/CallerRequest.java
+++ b/node/src/main/java/weldhitch/node/CallerRequest.java
@@ -4,7 +4,13 @@
 import io.netty.handler.codec.http.HttpMethod;
 import weldhitch.decision.Balancing.RequestClass;
 
-/** What a caller asked, as it goes on to servers. */
+/**
+ * A client's request as it is forwarded to endpoints; the body is mutable, and released by {@link Dispatcher}
+ * or, before it is dispatched, by {@link ClientConnection}.
+ *
+ * @param id the value of {@code X-Trace-Id}
+ * @param headers all headers of the client's request, hop-by-hop ones included
+ */
 record CallerRequest(String id, RequestClass requestClass, HttpMethod method, String uri, HttpHeaders headers,
         Body body) {
 }
--- a/node/src/main/java/weldhitch/node/ClientConnection.java
+++ b/node/src/main/java/weldhitch/node/ClientConnection.java
@@ -27,62 +27,83 @@
 import java.util.List;
 import weldhitch.decision.Balancing.RequestClass;
 
+/**
+ * Handles one downstream connection: reads requests, queues pipelined ones, enforces the read and write
+ * timeouts, and writes the responses that the {@link Dispatcher} gives it. Created by {@link ClientServer}; not
+ * thread-safe, confined to the event loop.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements Caller {
-    /** The server that accepted the connection. */
+    /** The listener side that accepted the connection. All of its methods are called on the event loop. */
     interface Owner {
+        /** The connection has been accepted. */
         void opened(ClientConnection connection);
 
+        /** The connection has closed. */
         void closed(ClientConnection connection);
 
+        /** The connection has become idle, or has stopped being so. */
         void idle(ClientConnection connection, boolean isIdle);
 
-        /** Whether so many clients have requests under way that a further one is turned away. */
+        /** Whether so many clients have requests in flight that a further request is rejected. */
         boolean crowded();
 
+        /** What {@code GET /ready} reports. */
         boolean ready();
 
-        /** Whether an answer given now tells its caller to go elsewhere. */
+        /**
+         * Whether a response written now asks its client to reconnect elsewhere ({@code Connection: close}).
+         */
         boolean saysClose();
 
+        /** The request class of this name, or null. */
         RequestClass requestClass(String name);
 
-        /** How long a request whose last byte has come may take; 0 where this node ends too soon to be of use. */
+        /**
+         * Nanoseconds that a completely received request may take; 0 if this node shuts down too soon to serve
+         * it.
+         */
         long timeFor(Exchange exchange);
     }
 
     private static final long SECOND = 1_000_000_000L;
     private static final long LARGEST_BODY = 32L << 20;
-    /** A client that breaks off within a request is owed an answer within 3 s; the sweep takes its part of them. */
+    /**
+     * A client that stalls within a request is answered within 3 s; the sweep interval takes its part of them.
+     */
     private static final long LONGEST_HEAD = 2 * SECOND;
     private static final long BODY_GRACE = 2 * SECOND;
     private static final long SLOWEST_BODY_PER_SECOND = 32 * 1024;
     private static final long LONGEST_IDLE = 60 * SECOND;
-    /** Clients open a connection for a request that waits; one that says nothing is kept for so long only. */
+    /**
+     * Clients open a connection for a request that waits; one that never sends anything is closed this soon.
+     */
     private static final long LONGEST_SILENCE = 2 * SECOND;
-    /** How long a client may leave an answer unread. */
+    /** How long a client may leave a response unread. */
     private static final long LONGEST_UNREAD = 30 * SECOND;
     private static final long LINGER = 2 * SECOND;
     /**
-     * How much memory what a caller sends ahead of its answers may take. It is read on, as nothing else tells that the caller
-     * has gone; what comes beyond this is dropped, and the connection ends behind the answers to what was kept.
+     * Memory that the pipelined input of one connection may use. Input is read on even while a request is in
+     * flight, as nothing else shows that the client has disconnected; what exceeds this limit is discarded, and
+     * the connection closes after the responses to the requests that were queued.
      */
     private static final int MOST_AHEAD = 512 * 1024;
-    /** What a head sent ahead is taken to hold in memory, and a piece of a body besides its bytes. */
+    /** Estimated memory of a pipelined head, and of a body chunk in addition to its bytes. */
     private static final int HEAD_HOLDS = 2 * 1024;
     private static final int PIECE_HOLDS = 128;
-    /** No caller waits longer than this; what claims so is cut to it. */
+    /** Upper bound of a request's timeout; a larger {@code X-Expires-In} is reduced to it. */
     private static final long LONGEST_PATIENCE = 60 * SECOND;
 
+    /** Progress of the current request. */
     private enum State {
         /** Between requests. */
         IDLE,
-        /** A request's head has come, its body not wholly. */
+        /** A request's head has been read, its body not completely. */
         RECEIVING,
-        /** A request is taken and has no answer yet. */
+        /** A request has been received completely and has no response yet. */
         WAITING,
-        /** An answer is passed on as it comes. */
+        /** A response is being streamed. */
         STREAMING,
-        /** The answer is given, the rest of the request's body is read off. */
+        /** The response has been written; the rest of the request body is read and discarded. */
         SKIPPING,
         CLOSING
     }
@@ -94,17 +115,17 @@
     private final SocketChannel channel;
     private final ArrayDeque<Object> ahead = new ArrayDeque<>();
     private int aheadHolds;
-    /** Something that was sent ahead has been dropped: nothing behind it is read any more. */
+    /** Pipelined input has been discarded: nothing after it is read any more. */
     private boolean cutOff;
     private State state = State.IDLE;
     private long since;
-    /** When the first byte of a head came that is not whole yet; 0 where there is none. */
+    /** When the first byte of a still incomplete head arrived; 0 if there is none. */
     private long headSince;
     private long received;
     private Exchange exchange;
     private StreamSource source;
     private boolean keepAlive;
-    /** Whether a request has ever begun here. */
+    /** Whether a request has ever started on this connection. */
     private boolean asked;
     private HttpVersion version = HttpVersion.HTTP_1_1;
     private long unreadSince;
@@ -119,7 +140,7 @@
         this.since = clock.now();
     }
 
-    /** Notes bytes before they are parsed: a head that trickles in shows nowhere else. */
+    /** Observes bytes before they are parsed: a head that trickles in shows nowhere else. */
     ChannelHandler byteWatch() {
         return new ChannelInboundHandlerAdapter() {
             @Override
@@ -143,8 +164,8 @@
     }
 
     /**
-     * Closes the connection between two requests. What has come and is not read yet is read first: closed over it, the
-     * connection would be reset and its request lost.
+     * Closes the connection between two requests. Bytes that have arrived unread are read first: closing over
+     * them would reset the connection and lose their request.
      */
     void closeIfResting() {
         if (channel.isOpen() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe reads) {
@@ -186,7 +207,10 @@
         }
     }
 
-    /** Keeps what was sent ahead. A body is copied out of its read buffer, which even one byte of it would hold whole. */
+    /**
+     * Queues pipelined input. A body chunk is copied out of its read buffer, which even one byte of it would
+     * pin.
+     */
     private void keep(Object message) {
         Object kept = message;
         if (message instanceof HttpContent content && content.content().isReadable()) {
@@ -225,14 +249,14 @@
         return state == State.WAITING || state == State.STREAMING || !channel.isWritable();
     }
 
-    /** Goes on with what was sent ahead; a client that reads no answers gets no further ones. */
+    /** Processes queued input; a client that does not read its responses gets no further ones. */
     private void goOn() {
         while (!ahead.isEmpty() && !mustWait()) {
             take(nextAhead());
         }
         if (cutOff && ahead.isEmpty() && !mustWait() && state != State.CLOSING) {
             if (state == State.RECEIVING) {
-                // Its rest was dropped. Nothing of it was sent on, so the caller may send it again.
+                // The rest of this request was discarded. None of it was forwarded, so the client may retry.
                 keepAlive = false;
                 answer(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
             }
@@ -310,7 +334,7 @@
             return HttpResponseStatus.NOT_FOUND;
         }
         if (named.size() > 1 || !requestClass.name().equals(inPath)) {
-            // The server goes by the one, the rule on repeats by the other.
+            // Endpoints go by the header, the retry rules by the path: the two must agree.
             return HttpResponseStatus.BAD_REQUEST;
         }
         long patience = patience(request.headers().getAll(Headers.EXPIRES_IN), requestClass);
@@ -330,20 +354,25 @@
         return null;
     }
 
-    /** How long the caller waits; without its word as long as its class does; below 0 where it makes no sense. */
+    /**
+     * The request's timeout in nanoseconds, by default its class's deadline; negative if the header is invalid.
+     */
     private static long patience(List<String> seconds, RequestClass requestClass) {
         if (seconds.isEmpty()) {
             return requestClass.deadline();
         }
         String given = seconds.get(0).trim();
-        // Java would read more as a number than the protocol does, Infinity among it.
+        // Java parses more than the protocol allows as a number, Infinity for example.
         if (seconds.size() > 1 || !isNumber(given)) {
             return -1;
         }
         return (long) Math.min(LONGEST_PATIENCE, Double.parseDouble(given) * SECOND);
     }
 
-    /** 1 to 64 visible characters of ASCII. By a loop: an expression costs a fresh node a tenth of its request. */
+    /**
+     * 1 to 64 visible ASCII characters. A loop, as a regular expression costs a fresh node a tenth of its
+     * request.
+     */
     static boolean isId(String text) {
         boolean sound = !text.isEmpty() && text.length() <= 64;
         for (int i = 0; sound && i < text.length(); i++) {
@@ -352,7 +381,7 @@
         return sound;
     }
 
-    /** 1 to 18 digits, then maybe a dot and up to 18 more. */
+    /** 1 to 18 digits, then optionally a dot and up to 18 more. */
     static boolean isNumber(String text) {
         int dot = text.indexOf('.');
         int whole = dot < 0 ? text.length() : dot;
@@ -386,7 +415,7 @@
             if (exchange.request.body().size() + content.content().readableBytes() > LARGEST_BODY) {
                 answer(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
             } else if (!exchange.request.body().add(content.content())) {
-                // Nothing of it was sent on, so the client may try again when there is room.
+                // None of it was forwarded, so the client may retry once memory is free.
                 answer(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
             }
         }
@@ -401,7 +430,7 @@
         } else if (state == State.RECEIVING) {
             long time = owner.timeFor(exchange);
             if (time == 0) {
-                // It has run nowhere, and another node has the time for it.
+                // It has not been executed, and another node has the time for it.
                 keepAlive = false;
                 answer(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
                 answered();
@@ -426,7 +455,7 @@
             state = State.RECEIVING;
             answer(status, 0);
         }
-        // Where the next request would begin is not known: no more is read from this client.
+        // Where the next request would begin is unknown: nothing more is read from this client.
         linger();
     }
 
@@ -493,7 +522,7 @@
         write.addListener(f -> unread--);
     }
 
-    /** The request is dealt with, its last byte has been read. */
+    /** The request is done: it has been answered and its last byte read. */
     private void answered() {
         exchange = null;
         if (keepAlive) {
@@ -512,7 +541,9 @@
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> channel.shutdownOutput());
     }
 
-    /** Closes where the answer is given and read, and nothing but the client's own close is waited for. */
+    /**
+     * Closes the connection if all responses have been written and only the client's own close is outstanding.
+     */
     void lingerNoLonger() {
         if (state == State.CLOSING && unread == 0) {
             close();
@@ -559,7 +590,7 @@
             sent(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
             answered();
         } else {
-            // A reset, so that the client can tell the answer is not whole, whatever its framing.
+            // A reset, so that the client can tell that the response is incomplete, whatever its framing.
             channel.config().setSoLinger(0);
             channel.close();
         }
--- a/node/src/main/java/weldhitch/node/ClientServer.java
+++ b/node/src/main/java/weldhitch/node/ClientServer.java
@@ -31,12 +31,17 @@
 import weldhitch.decision.Balancing.Settings;
 import weldhitch.decision.DrainPlan;
 
+/**
+ * Accepts and tracks client connections: limits their number by evicting idle ones, sweeps them for timeouts,
+ * and runs the graceful shutdown that {@link DrainPlan} schedules. Not thread-safe, confined to the event loop.
+ */
 final class ClientServer implements ClientConnection.Owner {
     private static final int BACKLOG = 4096;
     private static final int LONGEST_LINE = 8 * 1024;
     /**
-     * Requests that the codec may have read on one connection and seen no answer to; with more it fails, and the connection
-     * with it. Above what is kept of those sent ahead and what one read can hold besides (18 bytes each).
+     * Requests that the HTTP codec may have read on one connection without having seen their response; with
+     * more the codec fails, and the connection with it. Above what the pipelining limit admits plus what one
+     * read can add (18 bytes each).
      */
     private static final int MOST_UNDECIDED = 2048;
     private static final int LONGEST_HEAD = 16 * 1024;
@@ -56,7 +61,7 @@
     private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>();
     private Channel listener;
     private final DrainPlan end;
-    /** Idle connections when callers are first told to go; below 0 until then. */
+    /** Idle connections when clients are first asked to close; negative until then. */
     private int idleAtFarewell = -1;
     private long acceptedAt;
 
@@ -101,13 +106,15 @@
         return !end.begun() && ready.getAsBoolean();
     }
 
-    /** Whether an answer given now tells its caller to go elsewhere. */
+    /** Whether a response written now asks its client to reconnect elsewhere. */
     @Override
     public boolean saysClose() {
         return end.saysClose(clock.now());
     }
 
-    /** How long a request whose last byte has come may take; 0 where this node ends too soon to be of use to it. */
+    /**
+     * Nanoseconds that a completely received request may take; 0 if this node shuts down too soon to serve it.
+     */
     @Override
     public long timeFor(Exchange x) {
         return end.timeFor(clock.now(), x.patience, x.request.requestClass().aim());
@@ -146,9 +153,11 @@
         closeResting(surelyIdle);
     }
 
-    /** Closes so many of those that have been idle longest, less those that turn out not to be. */
+    /**
+     * Closes this many of the connections that have been idle longest, less those that turn out not to be idle.
+     */
     private void closeResting(int count) {
-        // What is read at last may have a request that is answered at once, and its connection idle again.
+        // A last read may find a request that is answered at once, which makes its connection idle again.
         List<ClientConnection> resting = new ArrayList<>(Math.max(0, count));
         for (Iterator<ClientConnection> oldest = idle.iterator(); resting.size() < count && oldest.hasNext();) {
             resting.add(oldest.next());
@@ -172,7 +181,7 @@
         }
     }
 
-    /** Whether so many clients have requests under way that a further one is turned away. */
+    /** Whether so many clients have requests in flight that a further request is rejected. */
     @Override
     public boolean crowded() {
         return open.size() - idle.size() > budget.servedClients;
@@ -209,8 +218,9 @@
     }
 
     /**
-     * Takes what the system has accepted and nobody has read: with the listener it would be reset, requests and all. As many
-     * as the backlog holds, where a usual turn of the loop takes a few. While there is no room it is left alone.
+     * Accepts what the system's backlog holds: closing the listener would reset those connections, requests and
+     * all. Reads as many as the backlog holds, where a usual iteration of the loop accepts a few. Does nothing
+     * while the connection limit is reached.
      */
     private void takeAllAccepted() {
         if (listener.config().isAutoRead() && listener.unsafe() instanceof AbstractNioChannel.NioUnsafe accepts
--- a/node/src/main/java/weldhitch/node/Clock.java
+++ b/node/src/main/java/weldhitch/node/Clock.java
@@ -1,5 +1,9 @@
 package weldhitch.node;
 
+/**
+ * A wall clock that never goes back: the start's epoch time plus the monotonic time since. Immutable,
+ * thread-safe.
+ */
 final class Clock {
     private static final long MILLI = 1_000_000L;
 
@@ -11,7 +15,7 @@
         return epoch + (System.nanoTime() - start);
     }
 
-    /** The time of a discovery entry's {@code born_ms}; 0 stays 0, "long ago". */
+    /** Nanoseconds of a discovery entry's {@code born_ms}; 0 stays 0 and means "long ago". */
     static long ofMillis(long millis) {
         return millis * MILLI;
     }
--- a/node/src/main/java/weldhitch/node/Discovery.java
+++ b/node/src/main/java/weldhitch/node/Discovery.java
@@ -30,11 +30,18 @@
 import weldhitch.decision.ListCalls.Failure;
 import weldhitch.fleet.member.FleetMember;
 
+/**
+ * Polls the discovery service by HTTP long polls and hands each endpoint list to the node; {@link ListCalls}
+ * decides on the pauses, backoff and timeouts. Confined to the event loop, except the
+ * {@link FleetMember.ListTurns} methods, which the fleet's thread calls.
+ */
 final class Discovery implements FleetMember.ListTurns {
     private static final int LARGEST_ANSWER = 2 << 20;
-    /** Between calls that tell nothing and come back at once; within the 200 ms that a watch goes on. */
+    /**
+     * Pause between polls that return immediately without an update; within the 200 ms that a watch goes on.
+     */
     private static final long PAUSE = 100_000_000L;
-    /** How long a first call waits for the word when it may go out: some of a node's calls to stewards. */
+    /** How long a first poll waits for its poll slot: a few of a node's heartbeats to the coordinators. */
     private static final long FOR_A_TURN = 1_000_000_000L;
 
     private final EventLoop loop;
@@ -47,18 +54,18 @@
     private Channel channel;
     private Future<?> timeout;
     private boolean calling;
-    /** The next call, where it waits for its time. */
+    /** The next poll while it waits for its time; null otherwise. */
     private Future<?> planned;
     private long calledAt;
-    /** When the answer to the call at hand is due: at the end of the wait that it asks for. */
+    /** When the response to the current poll is due: at the end of the wait that it requests. */
     private long dueAt;
     private long seq;
     private boolean heard;
-    /** Whether stewards hand out turns, and whether one is waited for. */
+    /** Whether coordinators assign poll slots, and whether one is awaited. */
     private boolean awaits;
     private volatile boolean wantsTurn;
     private volatile long turnFrom;
-    /** When the next call goes out at the latest, turn or no turn, once a list is held. */
+    /** When the next poll goes out at the latest, with or without a slot, once a list has been received. */
     private long askBy;
 
     Discovery(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address, boolean asked, long seq,
@@ -96,10 +103,10 @@
         }
     }
 
-    /** The module asks for changes from now on. */
+    /** The balancer subscribes to updates from now on. */
     void subscribe() {
         if (!calling && awaits) {
-            // A turn may be on its way; without one it asks when the module would have it ask.
+            // A slot may be on its way; without one the poll goes out when the balancer would have it.
             later(FOR_A_TURN);
         } else if (!calling) {
             call();
@@ -107,8 +114,8 @@
     }
 
     /**
-     * From here on stewards hand out turns to ask for a list: a first call, and one after a failure, waits for its turn instead
-     * of a moment drawn by chance. Where no turn comes it asks as without any.
+     * From now on coordinators assign poll slots: the first poll, and one after a failure, waits for its slot
+     * instead of a random delay. If no slot arrives, it polls as it would without any.
      */
     void awaitTurns() {
         awaits = asked;
@@ -126,7 +133,7 @@
         wantsTurn = false;
         loop.execute(() -> {
             boolean waits = planned != null || !calling;
-            // A service that has more calls than it bears is asked less often than in turns.
+            // An overloaded service is polled less often than the slots allow.
             if (waits && (!heard || calls.failures() > 0) && !calls.overloaded()) {
                 if (planned != null) {
                     planned.cancel(false);
@@ -137,9 +144,9 @@
     }
 
     /**
-     * From here on another address tells the list. The call to the old one is given up at once, as it may be held
-     * open for long and bring no news; the new one is asked for the whole list, as its versions need not go on from
-     * those of the old one. Until it answers the list held stays in force.
+     * Switches to another discovery address. The poll to the old one is abandoned at once, as it may stay open
+     * for long without an update; the new one is asked for the complete list, as its sequence numbers need not
+     * continue those of the old one. Until it responds, the current list stays active.
      */
     void moveTo(InetSocketAddress next) {
         if (next.equals(address)) {
@@ -186,7 +193,7 @@
     }
 
     private void write() {
-        // An agent answers the first call at once where it need not wait for news: the node is ready the sooner.
+        // An agent answers a first poll without a wait at once, so that the node is ready sooner.
         long waits = calls.wantsWhole() || !heard && !asked ? 0 : calls.asks();
         String uri = "/v1/endpoints" + (calls.wantsWhole() ? "" : "?after=" + seq + "&wait_ms=" + TimeUnit.NANOSECONDS.toMillis(waits));
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri,
@@ -200,7 +207,7 @@
         on.writeAndFlush(request);
     }
 
-    /** Ends a call that brought nothing; what is held stays valid, and is asked for again. */
+    /** Ends a poll that brought no list; the current list stays valid and polling continues. */
     private void failed(Channel on, Failure why, String seen) {
         failed(on, why, seen, 0);
     }
@@ -259,7 +266,8 @@
             return;
         }
         if (calls.wantsWhole() ? !roster.whole() : roster.seq() < seq) {
-            // What is older than the list held, or changes to another one, says nothing; only a whole list asked for does.
+            // A list older than the current one, or changes relative to another, carries no information; only a
+            // complete list that was requested does.
             failed(on, Failure.NOT_HELD, "a list older than the one held, or changes to another one");
             return;
         }
@@ -283,6 +291,7 @@
         later(idle ? PAUSE : calls.pause());
     }
 
+    /** Receives the responses of one discovery connection; on the event loop. */
     private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
--- a/node/src/main/java/weldhitch/node/Dispatcher.java
+++ b/node/src/main/java/weldhitch/node/Dispatcher.java
@@ -16,9 +16,17 @@
 import weldhitch.fleet.locality.LocalityRules;
 import weldhitch.fleet.table.Tables.Table;
 
+/**
+ * Connects the balancer to the sockets: turns requests, attempt outcomes, endpoint updates and timers into
+ * events for the balancer and executes the actions that it returns. Owns the in-flight requests; not
+ * thread-safe, confined to the event loop.
+ */
 final class Dispatcher implements AttemptListener {
     private static final long GUARD = 8_000_000L;
-    /** How soon a caller may ask again whom a version in doubt kept out: a few of its node's calls to stewards later. */
+    /**
+     * Retry-After of a request rejected because a version is in doubt: a few of its node's heartbeats to the
+     * coordinators.
+     */
     private static final long REFUSED_FOR = 1_000_000_000L;
 
     private final Clock clock;
@@ -29,14 +37,14 @@
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private ServerConnections servers;
     private Runnable onSubscribe = () -> { };
-    /** Told of all that the module is told; null where nothing is captured. */
+    /** Records all events that the balancer handles; null if nothing is captured. */
     private Capture capture;
     private boolean delivering;
     private int unanswered;
-    /** Says which routes are in force at each moment; null where this node's own file does. */
+    /** Decides which routes are active at each moment; null if the node's own route configuration does. */
     private FleetGate gate;
     private Table<Rules> inForce;
-    /** Which zones requests may go to; null where no operator file may ever say. */
+    /** Selects the zones that requests may go to; null if the node has no route configuration. */
     private Placing placing;
 
     Dispatcher(Clock clock, EventLoop loop, RatioBalancer module, Limits limits) {
@@ -51,7 +59,7 @@
         onSubscribe = subscribe;
     }
 
-    /** From the next event on this one is told of all; none where null. */
+    /** Records every event from the next one on; null stops recording. */
     void capture(Capture next) {
         if (capture != null) {
             capture.settle();
@@ -63,7 +71,7 @@
         return module.beginSnapshot();
     }
 
-    /** Requests that still wait for their final answer. */
+    /** Number of requests that still wait for their final answer. */
     int unanswered() {
         return unanswered;
     }
@@ -74,13 +82,13 @@
 
     // ---- what happens ----
 
-    /** A request's last byte has come: it is taken, and its time counts from here. */
+    /** A request has been received completely; its timeout counts from here. */
     void arrived(Exchange x) {
         long now = clock.now();
         x.deadline = now + x.patience;
         exchanges.put(x.request.id(), x);
         unanswered++;
-        // Guards against a request that the module forgot, or lost to a fault of its own.
+        // Covers a request that the balancer has lost, or that a fault in the balancer left unanswered.
         x.guard = loop.schedule(() -> overdue(x), x.patience + GUARD, TimeUnit.NANOSECONDS);
         CallerRequest r = x.request;
         if (gate != null && !enter(x)) {
@@ -91,7 +99,7 @@
             "1".equals(r.headers().get("X-Second-Try")), r.method().name(), r.uri(), x.placed == null ? null : x.placed.zones()));
     }
 
-    /** Puts the table in force that holds for a request arriving now; false where it is refused instead. */
+    /** Activates the table that applies to a request arriving now; false if the request is rejected instead. */
     private boolean enter(Exchange x) {
         x.table = gate.enter(x.request);
         if (x.table == null) {
@@ -108,28 +116,28 @@
         return true;
     }
 
-    /** From here on this says which routes are in force. */
+    /** From now on this gate decides which routes are active. */
     void gate(FleetGate next) {
         gate = next;
     }
 
-    /** The routes in force, to make others from that come after them. */
+    /** The active routes, from which their successors are built. */
     RouteUses inForce() {
         return module.routes();
     }
 
-    /** Requests that arrive from here on go by these routes, by none where null, and are placed by these rules, if any. */
+    /** Requests that arrive from now on use these routes and locality rules; null for none. */
     void rules(Routes routes, LocalityRules locality) {
         tell(new NewRoutes(routes));
         placing.rules(locality);
     }
 
-    /** From here on this may say which zones requests go to. */
+    /** From now on this router may select the zones that requests go to. */
     void placing(Placing next) {
         placing = next;
     }
 
-    /** The caller's guess at the work, given in microseconds, as seconds; 0 where it gives none that makes sense. */
+    /** The client's cost hint, sent in microseconds, as seconds; 0 if it is missing or invalid. */
     private static double hintedCost(CallerRequest x) {
         String hint = x.headers().get("X-Size-Hint");
         try {
@@ -140,7 +148,7 @@
         }
     }
 
-    /** Whether answers say by which version their request was decided. */
+    /** Whether responses report the route version that decided their request. */
     boolean tellsVersion() {
         return gate != null && gate.tells();
     }
@@ -151,7 +159,7 @@
         }
     }
 
-    /** Its answer is given, or is no longer wanted: the module stops work on it. */
+    /** The request is answered or no longer wanted: the balancer stops work on it. */
     private void leave(Exchange x) {
         tell(new ClientGone(x.request.id()));
         forget(x);
@@ -188,7 +196,7 @@
         if (outcome == Outcome.OK && answer != null && finish(x)) {
             x.caller.served(answer);
         }
-        // Load reports are not passed on: the module takes no account of them.
+        // Load reports are not forwarded: the balancer does not use them.
         tell(new AttemptEnded(x.request.id(), attempt.number, attempt.server, outcome, clock.now() - attempt.sentAt, x.over,
             null));
         forget(x);
@@ -211,8 +219,8 @@
     }
 
     /**
-     * Answers all that waits, as the process ends and nobody can after that: refused where nothing of it was sent,
-     * failed elsewhere.
+     * Answers all in-flight requests, as the process ends and nobody can answer them afterwards: rejected if
+     * nothing was sent, failed otherwise.
      */
     void answerAll() {
         List<Exchange> answered = new ArrayList<>();
@@ -226,13 +234,15 @@
                 }
             }
         }
-        // Only now, as each that leaves makes room for one that waits: what has its answer is not sent any more.
+        // Only now, as each removal frees capacity for a waiting request: one that has been answered must not
+        // be sent any more.
         answered.forEach(this::leave);
     }
 
     private void expire(Attempt attempt) {
         if (!attempt.ended) {
-            // What has its last byte still here has not begun anywhere, and may be refused instead of failed.
+            // An attempt whose last byte has not been written has not started anywhere, and may be rejected
+            // instead of failed.
             boolean written = attempt.written;
             servers.giveUp(attempt);
             ended(attempt, written ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, null);
@@ -263,7 +273,8 @@
                 carryOut(action);
             }
         } catch (RuntimeException e) {
-            // A fault in the module costs the request at hand, which its guard ends, and never the process.
+            // A fault in the balancer costs the request at hand, which its watchdog ends, and never the
+            // process.
             Log.failure("the module failed on " + event.getClass().getSimpleName(), e);
         }
     }
@@ -336,8 +347,8 @@
     }
 
     /**
-     * Until when servers discard a repeat of what may have run. Counted from the decision to send that, which comes ahead of
-     * the first byte from which they remember it.
+     * Until when endpoints deduplicate a repeat of an attempt that may have run. Counted from the decision to
+     * send that attempt, which precedes the first byte from which the endpoints remember it.
      */
     private static long repeatUntil(Exchange x) {
         RequestClass requestClass = x.request.requestClass();
@@ -365,7 +376,7 @@
 
     // ---- ends ----
 
-    /** Marks the request as answered; false if it was before. */
+    /** Marks the request as answered; false if it already was. */
     private boolean finish(Exchange x) {
         if (x.over) {
             return false;
@@ -377,8 +388,9 @@
     }
 
     /**
-     * Ends what has not begun for a request that is over, where the settings do not let the module call attempts off: one
-     * whose last byte is still here is no attempt yet for its server, and must not become one.
+     * Cancels the unwritten attempts of an answered request where the settings do not let the balancer cancel:
+     * an attempt whose last byte has not been written does not exist yet for its endpoint, and must not come
+     * to.
      */
     private void callOffUnwritten(Exchange x) {
         for (int i = 0; i < x.attempts.size() && x.out > 0; i++) {
--- a/node/src/main/java/weldhitch/node/Exchange.java
+++ b/node/src/main/java/weldhitch/node/Exchange.java
@@ -6,21 +6,27 @@
 import weldhitch.fleet.locality.Placed;
 import weldhitch.fleet.table.Tables.Table;
 
-/** One request from a caller, from its head until its answer is given and no attempt is out any more. */
+/**
+ * An in-flight request, from its head until it is answered and no attempt is outstanding. Mutable; owned by
+ * {@link Dispatcher} and its {@link ClientConnection}, confined to the event loop.
+ */
 final class Exchange {
     final CallerRequest request;
     final Caller caller;
-    /** How long the answer may take, from its last byte: what the caller waits, or less where this node ends before. */
+    /**
+     * Nanoseconds the answer may take from the request's last byte: the client's timeout, or less if this node
+     * shuts down before.
+     */
     long patience;
     final List<Attempt> attempts = new ArrayList<>(2);
     long deadline;
     int out;
-    /** The final answer is given or has begun, or nobody waits for it. */
+    /** The final answer has been given or started, or nobody waits for it. */
     boolean over;
     Future<?> guard;
-    /** The route version that it is decided by; null where the fleet decides on none. */
+    /** The route version that decides it; null if the fleet manages no versions. */
     Table<Rules> table;
-    /** Where it may go by its locality rule; null where none says. */
+    /** The zones it may go to by its locality rule; null if no rule applies. */
     Placed placed;
 
     Exchange(CallerRequest request, long patience, Caller caller) {
--- a/node/src/main/java/weldhitch/node/FleetGate.java
+++ b/node/src/main/java/weldhitch/node/FleetGate.java
@@ -5,7 +5,11 @@
 import weldhitch.fleet.table.Tables.Table;
 import weldhitch.fleet.table.Tables.View;
 
-/** By which route version a request is decided, where the fleet decides on versions. Times are of {@link System#nanoTime}. */
+/**
+ * Selects the route version that decides a request, where the fleet manages versions, and rejects requests
+ * while the version is fenced or in doubt. Called by {@link Dispatcher} on the event loop; {@link #fenced} from
+ * any thread. Times are of {@link System#nanoTime}.
+ */
 final class FleetGate {
     private final FleetMember<Rules> member;
     private final boolean tells;
@@ -15,7 +19,10 @@
         this.tells = tells;
     }
 
-    /** The table that holds for this request, to be left when it has ended; null where this node can't say by which it is decided. */
+    /**
+     * Acquires the route table that applies to this request, to be released when it has ended; null if this
+     * node cannot tell which version decides it.
+     */
     Table<Rules> enter(CallerRequest request) {
         long now = System.nanoTime();
         return refuses(request, now) ? null : member.tables().enter(now);
@@ -32,12 +39,12 @@
             view.next().content(), request);
     }
 
-    /** Whether all requests are refused, so that no caller should be dealt here. */
+    /** Whether all requests are rejected, so that no client should be routed to this node. */
     boolean fenced() {
         return member.tables().view().standing().fencedAt(System.nanoTime());
     }
 
-    /** Whether answers say which version their request was decided by. */
+    /** Whether responses report the version that decided their request. */
     boolean tells() {
         return tells;
     }
--- a/node/src/main/java/weldhitch/node/HeadLines.java
+++ b/node/src/main/java/weldhitch/node/HeadLines.java
@@ -4,9 +4,9 @@
 import io.netty.util.ByteProcessor;
 
 /**
- * Looks through the bytes of an answer's head for a line that is no header. The decoder takes such a line for a header
- * without a value, so an answer whose head can't be read would pass for a sound one. Heads of 1xx answers may stand
- * ahead.
+ * Scans the bytes of a response head for a line that is no header. Netty's decoder takes such a line for a
+ * header without a value, so an invalid head would pass for a valid one. Heads of 1xx responses may precede.
+ * One per {@link ServerConnection}; not thread-safe.
  */
 final class HeadLines implements ByteProcessor {
     private static final int STATUS_CLASS_AT = "HTTP/1.1 ".length();
@@ -18,7 +18,7 @@
     private boolean colon;
     private int length;
 
-    /** A request goes out: the next byte is the first of its answer's head. */
+    /** A request is being sent: the next byte is the first of its response's head. */
     void expect() {
         reading = true;
         sound = true;
@@ -36,7 +36,7 @@
         length = 0;
     }
 
-    /** Whether all of the head that has come so far can be read. */
+    /** Whether all of the head received so far is valid. */
     boolean sound(ByteBuf bytes) {
         if (reading) {
             bytes.forEachByte(this);
@@ -51,7 +51,7 @@
         }
         if (value != '\n') {
             interim |= statusLine && length == STATUS_CLASS_AT && value == '1';
-            // A line that begins with a blank goes on with the header before it.
+            // A line that starts with whitespace continues the header before it (obs-fold).
             colon |= value == ':' || length == 0 && (value == ' ' || value == '\t');
             length++;
             return true;
--- a/node/src/main/java/weldhitch/node/Headers.java
+++ b/node/src/main/java/weldhitch/node/Headers.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The headers that this protocol gives a meaning, and what passes from a caller to a server. */
+/**
+ * The headers that this protocol defines, and which headers are forwarded from a client to an endpoint.
+ * Stateless.
+ */
 final class Headers {
     static final String ID = "X-Trace-Id";
     static final String REQUEST_CLASS = "X-Qos";
@@ -22,7 +25,7 @@
     private Headers() {
     }
 
-    /** The tenant that a request is of, or null. */
+    /** The tenant of a request, or null. */
     static String tenant(CallerRequest x) {
         return x.headers().get(TENANT);
     }
@@ -53,13 +56,13 @@
         return false;
     }
 
-    /** A span as seconds with decimals, to the millisecond below. */
+    /** A duration as decimal seconds, rounded down to the millisecond. */
     static String seconds(long nanos) {
         long millis = nanos / 1_000_000;
         return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
     }
 
-    /** How long an answer asks to stay away, in nanoseconds, up to a minute; 0 where it says nothing that makes sense. */
+    /** The Retry-After of a response in nanoseconds, at most a minute; 0 if it is missing or invalid. */
     static long retryAfter(HttpHeaders headers) {
         String asked = headers.get(HttpHeaderNames.RETRY_AFTER);
         try {
--- a/node/src/main/java/weldhitch/node/Log.java
+++ b/node/src/main/java/weldhitch/node/Log.java
@@ -3,8 +3,9 @@
 import java.util.concurrent.ArrayBlockingQueue;
 
 /**
- * Lines on standard error. A daemon thread writes them, so that a pipe nobody reads never blocks the event loop;
- * the queue is bounded and so is each second's number of lines, with a count of those left out.
+ * Writes log lines to standard error. A daemon thread writes them, so that a pipe that nobody reads never
+ * blocks the event loop; the queue and the lines per second are bounded, and the number of dropped lines is
+ * logged. Thread-safe.
  */
 final class Log {
     private static final int LINES_PER_SECOND = 30;
--- a/node/src/main/java/weldhitch/node/Node.java
+++ b/node/src/main/java/weldhitch/node/Node.java
@@ -20,9 +20,15 @@
 import weldhitch.fleet.member.FleetMember;
 import weldhitch.fleet.member.FleetSettings;
 
-/** The real node: one event loop that reads and writes all sockets and runs the module. */
+/**
+ * One balancer node: a single event loop that does all socket I/O and runs the balancer. Owns and wires the
+ * components; used by {@link NodeService}, whose threads may call its methods but must not be the loop's.
+ */
 public final class Node {
-    /** How long a node that hears nothing of discovery waits before it works by the list it was started with. */
+    /**
+     * How long a node without any response from discovery waits before it serves by the endpoint list it was
+     * started with.
+     */
     private static final long WAIT_FOR_LIST = 1_000_000_000L;
     private static final long LONGEST_DRAIN_S = 10;
 
@@ -30,19 +36,19 @@
     private final Clock clock = new Clock();
     private final long startedAt = clock.now();
     private final CountDownLatch drained = new CountDownLatch(1);
-    /** What reads the operator file; null where none is named. */
+    /** Reads the route configuration; null if none was given. */
     private final OperatorRules operator;
     private Dispatcher dispatcher;
     private ServerConnections servers;
     private Discovery discovery;
     private ClientServer clients;
     private Budget budget;
-    /** What turns captures on and off; null where no operator file is named. */
+    /** Turns captures on and off; null if no route configuration was given. */
     private Recording recording;
-    /** This node's part in what its fleet shares, and by it the routes in force; null where it has none. */
+    /** This node's membership in the fleet, with the active routes; null if it is not part of one. */
     private FleetMember<Rules> fleet;
     private volatile FleetGate gate;
-    /** Which zones requests may go to; null where no operator file is named. */
+    /** Selects the zones that requests may go to; null if no route configuration was given. */
     private Placing placing;
     private int siblings = 1;
     private boolean anyServer;
@@ -55,9 +61,11 @@
     }
 
     /**
-     * What a configuration file says of the platform, for checks away from any node.
+     * The platform settings of a configuration file, for checks without a running node.
      *
-     * @throws IllegalArgumentException with one line that names the setting that makes no sense
+     * @param config the file in the format of {@code GW_CONFIG}
+     * @return its settings
+     * @throws IllegalArgumentException with a one-line message that names the invalid setting
      */
     public static Settings platform(Path config) {
         try {
@@ -77,7 +85,7 @@
         return node;
     }
 
-    /** A node that knows its servers and watches discovery, and does not listen yet. */
+    /** Creates a node that knows its endpoints and polls discovery, and does not listen yet. */
     static Node prepare(NodeConfig config, Path operator) throws Exception {
         Node node = new Node(config.name(), operator == null ? null : new OperatorRules(operator, config.settings()));
         OperatorRules.Made made = node.operator == null ? null : node.operator.first();
@@ -96,12 +104,14 @@
         return node;
     }
 
-    /** Has the listener open on the loop, ahead of all that the loop is given after this. */
+    /**
+     * Schedules the opening of the listener on the loop, ahead of everything submitted to the loop after this.
+     */
     Future<ChannelFuture> opening(NodeConfig config) {
         return group.next().submit(() -> clients.listen(config.listen()));
     }
 
-    /** Returns once the listener is open. */
+    /** Waits until the listener is open. */
     void listen(Future<ChannelFuture> opening) throws Exception {
         try {
             bound = (InetSocketAddress) opening.sync().getNow().sync().channel().localAddress();
@@ -147,7 +157,7 @@
         dispatcher.membership(kind, roster.entries());
     }
 
-    /** Takes part in what the fleet shares, where the operator file says so. Not for the loop. */
+    /** Joins the fleet if the route configuration says so. Blocks on the loop, so must not be called on it. */
     private void joinFleet(NodeConfig config, OperatorRules.Made own) {
         FleetSettings settings = operator.fleet();
         if (settings == null) {
@@ -175,36 +185,36 @@
         return bound;
     }
 
-    /** The one loop that does all work. For tests, like the three below. */
+    /** The one loop that does all work. For tests, like the three methods below. */
     EventLoop loop() {
         return group.next();
     }
 
-    /** Connections from callers that are open. */
+    /** Number of open client connections. */
     int openConnections() {
         return group.next().submit(clients::openConnections).syncUninterruptibly().getNow();
     }
 
-    /** Memory that bodies and what callers sent ahead hold. */
+    /** Bytes reserved for bodies and pipelined input. */
     long heldBytes() {
         return group.next().submit(budget::held).syncUninterruptibly().getNow();
     }
 
-    /** Host and port of the discovery that is watched. */
+    /** Host and port of the discovery service that is polled. */
     String discoveryAddress() {
         InetSocketAddress at = group.next().submit(discovery::address).syncUninterruptibly().getNow();
         return at.getAddress().getHostAddress() + ":" + at.getPort();
     }
 
     /**
-     * Takes up from a new configuration what may change while the node runs: the address of discovery, and the routes
-     * of the operator file. Either file changes nothing where it makes no sense. Reads them, and returns when the routes
-     * are in force, so not to be called on the loop.
+     * Applies from a new configuration what may change while the node runs: the address of discovery, and the
+     * routes of the route configuration. An invalid file changes nothing. Reads both files and returns once the
+     * routes are active, so must not be called on the loop.
      */
     void reload(Map<String, String> environment) {
         OperatorRules.Made made = operator == null ? null : operator.again();
         if (made != null && fleet != null) {
-            // The fleet's version goes before it, as long as there is one.
+            // The fleet's route version takes precedence as long as there is one.
             fleet.own(new Rules(inForce().then(made.routes(), siblings), made.locality()));
             recording.put(operator.capture());
         } else if (made != null) {
@@ -219,7 +229,7 @@
         }
     }
 
-    /** Ends as planned: returns when all that was taken is answered. */
+    /** Shuts down gracefully: returns once all received requests are answered, or after 10 s. */
     void drain() {
         Log.line("draining");
         group.next().execute(() -> clients.drain(drained::countDown));
@@ -240,7 +250,7 @@
         }
     }
 
-    /** Ends at once. */
+    /** Shuts down immediately. */
     void stop() {
         leaveFleet();
         if (recording != null) {
--- a/node/src/main/java/weldhitch/node/NodeConfig.java
+++ b/node/src/main/java/weldhitch/node/NodeConfig.java
@@ -12,12 +12,20 @@
 import weldhitch.decision.Balancing.Settings;
 import weldhitch.decision.FlatSettings;
 
-/** What the node is told at its start: the environment and the file that {@code GW_CONFIG} names. */
+/**
+ * The node's configuration: the environment and the file that {@code GW_CONFIG} names. Immutable.
+ *
+ * @param listen where clients connect
+ * @param discovery the address of the discovery service
+ * @param sockets the limit of open descriptors, at least 100
+ * @param known the cached endpoint list from the previous process
+ * @param keepalive nanoseconds that servers keep an idle connection open
+ */
 record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
         Roster known, Settings settings, long keepalive) {
     private static final long USUAL_KEEPALIVE = 5_000_000_000L;
 
-    /** A setting that is missing or makes no sense; the message is one line and names it. */
+    /** A setting that is missing or invalid; the message is one line and names it. */
     static final class InvalidConfigException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -45,8 +53,8 @@
     }
 
     /**
-     * Reads a file that was replaced while the node runs. The environment still names the discovery of the start,
-     * so for that the file's word holds.
+     * Reads a file that was replaced while the node runs. The environment still names the discovery address of
+     * the start, so here the file's address takes precedence.
      */
     static NodeConfig reload(Map<String, String> environment) throws InvalidConfigException {
         Map<String, String> without = new HashMap<>(environment);
@@ -54,7 +62,7 @@
         return load(without);
     }
 
-    /** The environment's name and addresses go before the file's, which hold the same. */
+    /** The name and addresses in the environment take precedence over those of the file, which are the same. */
     static NodeConfig parse(byte[] json, Map<String, String> environment) throws InvalidConfigException {
         Map<String, String> flat = new HashMap<>();
         Roster known = new Roster(0, true, List.of());
@@ -92,7 +100,7 @@
             FlatSettings flatSettings = new FlatSettings(pairs);
             Settings settings = flatSettings.settings();
             if (settings.classes().stream().anyMatch(c -> c.name().isEmpty())) {
-                // Requests name their class, so nothing could ever be asked of this one.
+                // Requests name their class, so no request could ever use this one.
                 throw new InvalidConfigException("settings: classes.name: found none, expected the name of a class");
             }
             long keepalive = flatSettings.span("limits.keepaliveS");
--- a/node/src/main/java/weldhitch/node/NodeService.java
+++ b/node/src/main/java/weldhitch/node/NodeService.java
@@ -9,14 +9,15 @@
 import weldhitch.decision.LifeCycle.Step;
 
 /**
- * A node as a process: carries out what {@link LifeCycle} says of each signal. It listens to signals before anybody can connect,
- * as without handlers of its own the runtime ends the process on them, and what the node has taken by then is lost.
+ * A node as a process: executes what {@link LifeCycle} decides for each signal. Installs its signal handlers
+ * before anybody can connect, as without them the runtime ends the process on a signal and the requests
+ * received by then are lost. Thread-safe: signals arrive on threads of their own.
  */
 public final class NodeService {
     private static final int EXIT_CONFIG = 78;
 
     private final Map<String, String> environment;
-    /** Guarded by itself: signals come on threads of their own. */
+    /** Guarded by itself: signals arrive on threads of their own. */
     private final LifeCycle life = new LifeCycle();
     private volatile Node node;
 
@@ -27,9 +28,9 @@
     }
 
     /**
-     * Runs a node as the environment says, until it is told to stop.
+     * Runs a node as the environment configures it, until the process is terminated.
      *
-     * @param operator the operator file, or null for none
+     * @param operator the route configuration file, or null for none
      */
     public static void main(Path operator) {
         try {
@@ -43,7 +44,7 @@
         }
     }
 
-    /** Starts the node and returns when it listens, or, where it was told to end before, without one that does. */
+    /** Starts the node and returns once it listens, or without listening if termination came first. */
     Node start(Path operator) throws Exception {
         NodeConfig config = NodeConfig.load(environment);
         Node made = Node.prepare(config, operator);
@@ -61,7 +62,7 @@
         return made;
     }
 
-    /** Reads the configuration as often as what has happened calls for. */
+    /** Reloads the configuration as often as the transition requires. */
     private void reload(Function<LifeCycle, Step> happened) {
         for (Step step = told(happened); step == Step.RELOAD; step = told(LifeCycle::reloaded)) {
             try {
--- a/node/src/main/java/weldhitch/node/OperatorRules.java
+++ b/node/src/main/java/weldhitch/node/OperatorRules.java
@@ -10,7 +10,10 @@
 import weldhitch.operator.OperatorFile;
 import weldhitch.operator.Problem;
 
-/** Reads the operator file at the start and again when told; a file with errors is never put in force. */
+/**
+ * Loads the route configuration at start and on reload; a file with errors is never applied. Owned by
+ * {@link Node}; not synchronized.
+ */
 final class OperatorRules {
     private final Path file;
     private final Settings platform;
@@ -22,19 +25,22 @@
         this.platform = platform;
     }
 
-    /** How the node takes part in what its fleet shares, by the file of the start; null where it does not. */
+    /** The fleet settings of the file as it was at start; null if the node is not part of a fleet. */
     FleetSettings fleet() {
         return fleet;
     }
 
-    /** What a file that makes sense puts in force. */
+    /** The rules of a valid file. Immutable. */
     record Made(Routes routes, LocalityRules locality) {
         static Made of(OperatorFile file) {
             return new Made(file.routes(), file.locality());
         }
     }
 
-    /** A version of the fleet's, checked as this node's own file is; null where it has errors, which {@code errors} is told. */
+    /**
+     * Parses a route version of the fleet with the checks of this node's own file; null if it has errors, which
+     * are passed to {@code errors}.
+     */
     Made version(String name, byte[] bundle, Consumer<String> errors) {
         OperatorFile read = OperatorFile.parse(name, bundle, platform);
         read.errors().forEach(p -> errors.accept(p.toString()));
@@ -44,12 +50,16 @@
         return read.usable() ? Made.of(read) : null;
     }
 
-    /** What the last good file says of a capture; null where it says nothing. */
+    /** The capture settings of the last valid file; null if it has none. */
     CaptureSettings capture() {
         return capture;
     }
 
-    /** @throws NodeConfig.InvalidConfigException where it has errors; all of them are in the log */
+    /**
+     * Reads the file at start.
+     *
+     * @throws NodeConfig.InvalidConfigException if the file has errors; all of them are logged
+     */
     Made first() throws NodeConfig.InvalidConfigException {
         OperatorFile read = OperatorFile.read(file, platform);
         read.problems().forEach(p -> Log.line(p.toString()));
@@ -61,7 +71,7 @@
         return Made.of(read);
     }
 
-    /** The rules of the file as it is now; null where it has errors, and what was in force stays so. */
+    /** Reads the file again; null if it has errors, in which case the previous rules stay active. */
     Made again() {
         OperatorFile read = OperatorFile.read(file, platform);
         if (!read.usable()) {
--- a/node/src/main/java/weldhitch/node/Placing.java
+++ b/node/src/main/java/weldhitch/node/Placing.java
@@ -22,8 +22,9 @@
 import weldhitch.fleet.member.FleetMember;
 
 /**
- * Which zones requests may go to, by the locality rules in force. All of it is the loop's, but for what the fleet's thread asks
- * and brings: a report that the loop has left for it, and views that it hands to the loop.
+ * Selects the zones that requests may go to, by the active locality rules. Confined to the event loop, except
+ * what the fleet's thread calls: {@link #report()}, which the loop publishes for it, and {@link #heard}, which
+ * passes views to the loop.
  */
 final class Placing implements FleetMember.Zones {
     private static final long LOOK_MS = 100;
@@ -33,14 +34,18 @@
     private final Locality locality;
     private final SplittableRandom random;
     private Future<?> looks;
-    /** What stewards are to know, as of the last look; null while no rule holds. */
+    /** The load report for the coordinators as of the last refresh; null while no rule is active. */
     private volatile NodeReport report;
 
-    /** @param stewards whether the node hears of its fleet from any */
+    /**
+     * Creates a router without rules.
+     *
+     * @param stewards whether the node receives views of its fleet from coordinators
+     */
     Placing(String name, Settings settings, long seed, boolean stewards, Clock clock, EventLoop loop) {
         this.clock = clock;
         this.loop = loop;
-        // Not the module's numbers: it draws as it would without any rule.
+        // Separate from the balancer's random numbers, which therefore stay the same with or without rules.
         random = new SplittableRandom(seed ^ 0x5EED_0F_20E5L);
         locality = new Locality(name, String.valueOf(settings.zone()), settings.siblings(), settings.rules().startCapacity(), settings.rules().coldSpan(),
             stewards);
@@ -61,7 +66,7 @@
             e.state() == ServerState.GONE);
     }
 
-    /** These hold for requests that arrive from now on; none where null. */
+    /** Applies these rules to requests that arrive from now on; none if null. */
     void rules(LocalityRules next) {
         locality.rules(next, clock.now());
         if (locality.on() && looks == null) {
@@ -81,7 +86,7 @@
 
     // ---- requests ----
 
-    /** Where a request goes that arrives now; null where no rule says. */
+    /** The zones for a request that arrives now; null if no rule applies. */
     Placed arrived(CallerRequest r, Routes routes) {
         if (!locality.on()) {
             return null;
@@ -109,7 +114,7 @@
             case TIMED_OUT, CONNECT_FAILED, RESET -> Ended.FAILED;
             default -> Ended.ANSWERED;
         };
-        // An error of the application is no answer in time, and yet its server is there.
+        // An application error counts as a late response, and yet shows that its endpoint is reachable.
         long now = clock.now();
         locality.ended(server, how, outcome == Outcome.ERROR || aim > 0 && now - sentAt > aim, sentAt, now);
     }
--- a/node/src/main/java/weldhitch/node/Recording.java
+++ b/node/src/main/java/weldhitch/node/Recording.java
@@ -6,7 +6,10 @@
 import weldhitch.decision.Balancing.Settings;
 import weldhitch.operator.CaptureSettings;
 
-/** Turns the capture of a node on and off as the operator file says; owns the one that is on. Off, there is nothing of it. */
+/**
+ * Turns a node's capture on and off as the route configuration says, and owns the active one; while off,
+ * nothing of it exists. Thread-safe; not to be called on the event loop.
+ */
 final class Recording {
     private final String node;
     private final Settings settings;
@@ -22,7 +25,10 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Puts these settings in force, or none where null. Waits for the loop and the disk, so not to be called on the loop. */
+    /**
+     * Applies these settings, or turns the capture off if null. Waits for the loop and the disk, so must not be
+     * called on the loop.
+     */
     synchronized void put(CaptureSettings wanted) {
         if (Objects.equals(wanted, inForce)) {
             return;
--- a/node/src/main/java/weldhitch/node/Roster.java
+++ b/node/src/main/java/weldhitch/node/Roster.java
@@ -13,17 +13,26 @@
 import weldhitch.decision.Balancing.ServerEntry;
 import weldhitch.decision.Balancing.ServerState;
 
-/** A list of servers as discovery words it: the whole list, or the entries that changed. */
+/**
+ * An endpoint list in the discovery service's JSON format: the complete list, or the entries that changed.
+ * Immutable.
+ *
+ * @param seq the list's sequence number
+ * @param whole whether it is the complete list
+ */
 record Roster(long seq, boolean whole, List<Host> hosts) {
     static final JsonFactory JSON = new JsonFactory();
     private static final Map<String, ServerState> STATES = Map.of("ready", ServerState.READY,
         "draining", ServerState.DRAINING, "gone", ServerState.GONE);
 
-    /** An entry for the module, and where this node reaches the server. */
+    /**
+     * An entry for the balancer, and the endpoint's address; the address is null if a removed entry has none.
+     * Immutable.
+     */
     record Host(ServerEntry entry, InetSocketAddress address) {
     }
 
-    /** The entries alone, as the module takes them. */
+    /** The entries without addresses, as the balancer takes them. */
     List<ServerEntry> entries() {
         return hosts.stream().map(Host::entry).toList();
     }
@@ -99,7 +108,9 @@
             dial == null ? null : address(dial));
     }
 
-    /** An address in digits; names are not looked up, as there is no DNS and a look-up would block. */
+    /**
+     * Parses a numeric address and port; names are not resolved, as there is no DNS and a lookup would block.
+     */
     static InetSocketAddress address(String text) throws IOException {
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, Math.max(0, colon)).replaceAll("^\\[|\\]$", "");
--- a/node/src/main/java/weldhitch/node/Rules.java
+++ b/node/src/main/java/weldhitch/node/Rules.java
@@ -6,12 +6,13 @@
 import weldhitch.fleet.locality.LocalityRules;
 
 /**
- * What an operator file or route version puts in force.
+ * The routing rules that a route configuration or a route version activates. Created by {@link Node}; read on
+ * the event loop.
  *
  * @param locality null for none
  */
 record Rules(RouteUses routes, LocalityRules locality) {
-    /** Whether a request would be decided by other rules here than there. */
+    /** Whether the two sets of rules differ for this request. */
     boolean differs(Rules other, CallerRequest r) {
         return routes.differs(other.routes, r.requestClass().name(), r.method().name(), r.uri())
             || LocalityRules.differ(locality, placing(r), other.locality, other.placing(r));
@@ -23,7 +24,7 @@
             locality.asksForRoutes() ? route(routes.routes(), r) : null);
     }
 
-    /** The name of the route that a request goes by, or null. */
+    /** The name of the route that a request matches, or null. */
     static String route(Routes routes, CallerRequest r) {
         Routes.Route route = routes == null ? null : routes.match(r.requestClass().name(), r.method().name(), r.uri());
         return route == null ? null : route.group();
--- a/node/src/main/java/weldhitch/node/ServerConnection.java
+++ b/node/src/main/java/weldhitch/node/ServerConnection.java
@@ -23,40 +23,52 @@
 import java.util.concurrent.TimeUnit;
 import weldhitch.decision.Balancing.Outcome;
 
+/**
+ * One upstream HTTP/1.1 connection: writes one attempt at a time, buffers or streams the response, and reports
+ * the outcome to the {@link AttemptListener}. Pooled by {@link ServerConnections}; not thread-safe, confined to
+ * the event loop.
+ */
 final class ServerConnection extends ChannelInboundHandlerAdapter
         implements StreamSource, Attempt.Carrier {
-    /** The pool that a connection belongs to. */
+    /** The pool that owns the connection. All of its methods are called on the event loop. */
     interface Owner {
+        /** The response is complete and the connection can be reused. */
         void release(ServerConnection connection);
 
+        /** The connection has closed. */
         void closed(ServerConnection connection);
 
-        /** A connection that had stood idle for so many nanoseconds carried a request, and brings its answer now. */
+        /**
+         * A connection that had been idle for {@code idle} nanoseconds carried a request and now delivers its
+         * response.
+         */
         void answeredOnReuse(long idle, long now);
 
-        /** A connection that had been used before broke as soon as it was used again. */
+        /** A reused connection broke as soon as a request was written to it. */
         void brokenOnReuse();
     }
 
     /**
-     * Answers up to this are held whole, so that a broken one can be tried again. Longer ones pass through where their
-     * class is streamed; elsewhere no body is longer, and one that claims to be is spoilt.
+     * Responses up to this size are buffered completely, so that an attempt with a truncated one can be
+     * retried. Longer ones are streamed if their class allows it; for other classes no body is longer, and one
+     * that claims to be is an error.
      */
     static final int HELD = 64 * 1024;
     /**
-     * An answer that does not state its length is held for this long and this much only: if it turns out to be a
-     * long one, its first bytes are what its client's time counts by, and a slow server takes a second for 64 KiB.
+     * A response without a stated length is buffered only for this time and up to this size: if it turns out to
+     * be long, its client's latency is measured to the first bytes, and a slow server takes a second for 64
+     * KiB.
      */
     private static final int HELD_UNSIZED = 16 * 1024;
     private static final long HELD_UNSIZED_FOR = 100_000_000L;
-    /** A server pauses within an answer for 0.1 s at most; one that says nothing for so long has broken off. */
+    /** Servers pause within a response for 0.1 s at most; one that is silent for this long has broken off. */
     private static final long LONGEST_PAUSE = 5_000_000_000L;
     private static final int MOST_SKIPPED = 64 * 1024;
     private static final long MILLI = 1_000_000L;
     private static final long AT_ONCE = 10 * MILLI;
 
     final String server;
-    /** Of its server when it was dialled. */
+    /** The endpoint's incarnation when the connection was opened. */
     final long incarnation;
     final Channel channel;
     long idleSince;
@@ -71,7 +83,7 @@
     private Attempt attempt;
     private boolean exchanging;
     private boolean requestWritten;
-    /** The request's body goes out piece by piece, as there is room; a small one is written at once. */
+    /** The request body is written chunk by chunk as the socket has room; a small one is written at once. */
     private boolean inPieces;
     private int nextPiece;
     private boolean interim;
@@ -94,7 +106,7 @@
         this.channel = channel;
     }
 
-    /** Looks at an answer's head before it is parsed. */
+    /** Validates a response's head before it is parsed. */
     ChannelHandler headWatch() {
         return new ChannelInboundHandlerAdapter() {
             @Override
@@ -161,8 +173,9 @@
     }
 
     /**
-     * Hears of the write as it happens: what else happens within it, such as room in the buffer again, finds the attempt
-     * written. A listener added once the call has returned comes after all that.
+     * Completes as the write happens, so that whatever else happens within the write, such as the buffer
+     * becoming writable again, finds the attempt already written. A listener added after the call has returned
+     * would run later than all that.
      */
     private ChannelPromise whenWritten(Attempt of) {
         ChannelPromise promise = channel.newPromise();
@@ -245,7 +258,7 @@
             }
             return;
         }
-        // A refusal counts as never run only with the server's own word for it; a bare 503 may have run.
+        // A rejection counts as not executed only if the server states so; a bare 503 may have run.
         boolean neverRan = (status == 503 || status == 504)
             && "1".equals(response.headers().get("X-Never-Ran"));
         end(neverRan ? Outcome.FULL : Outcome.ERROR);
@@ -315,7 +328,7 @@
         }
     }
 
-    /** The answer can't be used. The request has run for all that is known, and the connection is of no further use. */
+    /** The response is unusable. The request may have been executed, and the connection cannot be reused. */
     private void spoilt() {
         end(Outcome.ERROR);
         close();
@@ -338,7 +351,7 @@
         }
     }
 
-    /** Ends the attempt, if it waits still, and lets go of what was held of the answer. */
+    /** Ends the attempt, if it is still pending, and releases what was buffered of the response. */
     private void end(Outcome outcome) {
         Attempt current = attempt;
         ServerAnswer held = answer;
@@ -377,7 +390,9 @@
         close();
     }
 
-    /** Ends a stream that its server has left hanging; what waits for its first byte has a time-out of its own. */
+    /**
+     * Ends a stream that its server has stalled; an attempt that waits for its first byte has its own timeout.
+     */
     void checkProgress(long now) {
         boolean hanging = sink != null ? channel.config().isAutoRead() : exchanging && attempt == null;
         if (hanging && now - progressAt > LONGEST_PAUSE) {
@@ -386,8 +401,8 @@
     }
 
     /**
-     * The connection failed. The attempt ends ahead of the close: the decoder takes any close for the end of an answer that
-     * states no length, where only an end of stream is one (RFC 9112 section 8).
+     * The connection failed. The attempt ends before the close: the decoder takes any close for the end of a
+     * response without a stated length, where only an end of stream is one (RFC 9112 section 8).
      */
     private void lost() {
         broken();
--- a/node/src/main/java/weldhitch/node/ServerConnections.java
+++ b/node/src/main/java/weldhitch/node/ServerConnections.java
@@ -26,6 +26,11 @@
 import weldhitch.decision.LastCheck.Verdict;
 import weldhitch.decision.ReuseTrust;
 
+/**
+ * The pool of upstream connections: tracks the listed endpoints' addresses and incarnations, starts attempts on
+ * idle or new connections, and limits descriptors. Used by {@link Dispatcher} and {@link Node}; not
+ * thread-safe, confined to the event loop.
+ */
 final class ServerConnections implements ServerConnection.Owner {
     private static final double IDLE_SHARE = 0.7;
     private static final int MOST_IDLE = 16;
@@ -38,17 +43,20 @@
     private final long mostIdle;
     private final Map<String, Peer> peers = new HashMap<>();
     private final Set<ServerConnection> open = new HashSet<>();
-    /** Dials under way and connections that are open. */
+    /** Pending connects and open connections. */
     private int descriptors;
     private final ReuseTrust trust = new ReuseTrust();
 
     private long incarnations;
 
-    /** A server as this node reaches it. */
+    /** A listed endpoint with its idle connections, the most recently used first. */
     private static final class Peer {
         InetSocketAddress address;
         long startedAt;
-        /** Another number with each start and each address, and once the list no longer names it. */
+        /**
+         * Changes with each start and each address, and is {@link LastCheck#NOT_LISTED} once the endpoint is
+         * removed.
+         */
         long incarnation;
         boolean draining;
         final ArrayDeque<ServerConnection> idle = new ArrayDeque<>();
@@ -141,7 +149,7 @@
         dial(peer, attempt);
     }
 
-    /** The one place in which an attempt begins, or turns out not to be allowed to any more. */
+    /** The only place where an attempt starts, or is found not to be allowed to any more. */
     private void begin(Attempt attempt, Peer peer, ServerConnection c) {
         Verdict verdict = LastCheck.of(!attempt.ended, clock.now(), attempt.until, attempt.repeatUntil, c.incarnation,
             peer.incarnation, peer.draining);
@@ -161,8 +169,9 @@
         descriptors++;
         long incarnation = peer.incarnation;
         ChannelFuture dial = bootstrap.connect(peer.address);
-        // The one place that gives a descriptor back: a dial that fails or is given up ends here like a connection.
-        // Without it the budget is spent for good after so many dials, and each later one fails unsent.
+        // The only place that releases a descriptor: a connect that fails or is aborted ends here like a
+        // connection. Otherwise each failed connect would leak a descriptor, until every later attempt failed
+        // unsent.
         dial.channel().closeFuture().addListener(f -> descriptors--);
         attempt.carrier = dial.channel()::close;
         dial.addListener(f -> {
--- a/node/src/main/java/weldhitch/node/Signals.java
+++ b/node/src/main/java/weldhitch/node/Signals.java
@@ -1,14 +1,14 @@
 package weldhitch.node;
 
-/** How a process hears that it is to read its configuration again (SIGHUP), or to end (SIGTERM). */
+/** Registers handlers for the signals to reload the configuration (SIGHUP) and to terminate (SIGTERM). */
 interface Signals {
-    /** From here on SIGHUP runs this, on a thread that may wait, and no longer ends the process. */
+    /** From now on SIGHUP runs this, on a thread that may block, and no longer ends the process. */
     void onHangUp(Runnable reload);
 
-    /** From here on SIGTERM runs this, on a thread that may wait, and the process ends when it returns. */
+    /** From now on SIGTERM runs this, on a thread that may block, and the process ends when it returns. */
     void onTerminate(Runnable end);
 
-    /** Those of the operating system. */
+    /** The signals of the operating system. */
     static Signals ofProcess() {
         return new Signals() {
             @Override
--- a/node/src/main/java/weldhitch/node/StreamSource.java
+++ b/node/src/main/java/weldhitch/node/StreamSource.java
@@ -1,10 +1,10 @@
 package weldhitch.node;
 
-/** Where an answer comes from that is passed on as it comes. */
+/** The origin of a streamed response; implemented by {@link ServerConnection}, called on the event loop. */
 interface StreamSource {
-    /** The client of the stream has room again. */
+    /** The client of the stream can take more bytes. */
     void resume();
 
-    /** The client of the stream has gone. */
+    /** The client of the stream has disconnected. */
     void sinkGone();
 }
--- a/node/src/main/java/weldhitch/node/package-info.java
+++ b/node/src/main/java/weldhitch/node/package-info.java
@@ -1,2 +1,2 @@
-/** The node itself: sockets, timers, discovery, start and end. It decides nothing. */
+/** The node: sockets, timers, discovery, start and shutdown. Makes no balancing decisions of its own. */
 package weldhitch.node;
--- a/node/src/main/java/weldhitch/wire/Adapter.java
+++ b/node/src/main/java/weldhitch/wire/Adapter.java
@@ -14,7 +14,10 @@
 import weldhitch.decision.FlatSettings;
 import weldhitch.decision.RatioBalancer;
 
-/** Parses batches, hands their events to one module per instance and prints what it answers. No decisions. */
+/**
+ * Parses batches, passes their events to one balancer per instance and prints its actions. Makes no decisions
+ * of its own; not thread-safe.
+ */
 final class Adapter {
     private static final Map<String, Outcome> OUTCOMES = Map.of("Ok", Outcome.OK, "Failed", Outcome.ERROR,
         "QueueFull", Outcome.FULL, "TimedOut", Outcome.TIMED_OUT, "ConnectError", Outcome.CONNECT_FAILED,
@@ -39,7 +42,7 @@
         this.out = out;
     }
 
-    /** Answers batches until the input ends. */
+    /** Processes batches until the input ends. */
     void run() throws IOException {
         for (Fields fields = read(); fields != null; fields = read()) {
             if (!fields.name().equals("BATCH")) {
@@ -105,7 +108,7 @@
         return pairs;
     }
 
-    /** The event of a line, or null for one that the module has no use for. */
+    /** The event of a line, or null for one that the balancer does not use. */
     private Event event(Fields f) {
         return switch (f.name()) {
             case "INGRESS" -> {
@@ -189,7 +192,9 @@
         return reply.append(name).append(' ').append(instance);
     }
 
-    /** Appends a span as seconds, rounded up to the wire's microseconds so that no timer comes early. */
+    /**
+     * Appends a duration as seconds, rounded up to the protocol's microseconds so that no timer fires early.
+     */
     private StringBuilder seconds(long nanos) {
         long micros = (nanos + 999) / 1000;
         String fraction = Long.toString(1_000_000 + micros % 1_000_000).substring(1);
--- a/node/src/main/java/weldhitch/wire/Fields.java
+++ b/node/src/main/java/weldhitch/wire/Fields.java
@@ -2,7 +2,10 @@
 
 import java.util.Map;
 
-/** The fields of one wire line, taken from left to right. */
+/**
+ * The fields of one protocol line, parsed from left to right. Used by {@link Adapter}; mutable, not
+ * thread-safe.
+ */
 final class Fields {
     private final String line;
     private final long number;
@@ -58,7 +61,7 @@
         return field == null ? 0 : (int) parseLong(field);
     }
 
-    /** A whole number; seeds use all 64 bits. */
+    /** An integer of 64 bits, signed or unsigned: seeds use all bits. */
     long longInteger() {
         return parseLong(text());
     }
@@ -80,7 +83,7 @@
         return field == null ? 0 : parseNumber(field);
     }
 
-    /** A time or span in seconds, as nanoseconds. */
+    /** A time or duration in seconds, as nanoseconds. */
     long time() {
         return Math.round(parseNumber(text()) * 1e6) * 1000;
     }
--- a/node/src/main/java/weldhitch/wire/Main.java
+++ b/node/src/main/java/weldhitch/wire/Main.java
@@ -2,11 +2,12 @@
 
 import java.io.IOException;
 
-/** Lets the module decide on the simulator's wire: events on standard input, actions on standard output. */
+/** Runs the balancer on the simulator's line protocol: events on standard input, actions on standard output. */
 public final class Main {
     private Main() {
     }
 
+    /** Processes batches until the input ends; exits with 2 on a malformed line. */
     public static void main(String[] args) throws IOException {
         try {
             new Adapter(System.in, new java.io.FileOutputStream(java.io.FileDescriptor.out)).run();
--- a/node/src/main/java/weldhitch/wire/MalformedLineException.java
+++ b/node/src/main/java/weldhitch/wire/MalformedLineException.java
@@ -1,6 +1,6 @@
 package weldhitch.wire;
 
-/** A wire line that is not what the protocol says; the message names the line and what is wrong. */
+/** A line that violates the line protocol; the message gives the line's number and the error. */
 final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/weldhitch/wire/package-info.java
+++ b/node/src/main/java/weldhitch/wire/package-info.java
@@ -1,2 +1,2 @@
-/** The adapter: the same decisions on the line protocol of the simulator. */
+/** The adapter: runs the balancer on the simulator's line protocol. */
 package weldhitch.wire;
--- a/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
@@ -18,17 +18,21 @@
 import weldhitch.testkit.Tests;
 import weldhitch.testkit.Wire;
 
-/** What a node lets in at once, seen by its servers: after a start, when they are full, when some of them are gone. */
+/**
+ * The concurrency that a node admits, as its servers observe it: after a start, when they are full, and when
+ * some of them are removed.
+ */
 class AdmissionOnSocketsTest {
     private static final int CLIENTS = 60;
     private static final String FULL = "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
-    /** Longer than half of an aim of one second, and far from all of it. */
+    /** Longer than half of a latency objective of one second, and far below all of it. */
     private static final int SLOW_MS = 600;
 
+    /** How the servers respond: serve after 100 ms, reject, or block until released. */
     private enum Mode { ANSWER_SOON, FULL, HOLD }
 
-    /** Servers of one mode, and clients that each ask on until they are told to stop. */
+    /** Servers of one mode, and clients that each send request after request until they are stopped. */
     private static final class Site implements Closeable {
         volatile Mode mode = Mode.ANSWER_SOON;
         final CountDownLatch release = new CountDownLatch(1);
@@ -37,7 +41,7 @@
         final AtomicInteger served = new AtomicInteger();
         final AtomicInteger refused = new AtomicInteger();
         final AtomicInteger ids = new AtomicInteger();
-        /** How many of the next requests take longer, as those of a server that has just started do. */
+        /** How many of the next requests take longer, like those of a server that is warming up. */
         final AtomicInteger slowFirst = new AtomicInteger();
         final List<Peer> servers = new ArrayList<>();
         final CountDownLatch never = new CountDownLatch(1);
@@ -62,7 +66,8 @@
                 if (slowFirst.getAndDecrement() > 0) {
                     never.await(SLOW_MS, TimeUnit.MILLISECONDS);
                 }
-                // The time that its work takes: long enough for a round trip to be seen, far from any aim.
+                // The service time: long enough for a round trip to be observed, far below any latency
+                // objective.
                 (now == Mode.HOLD ? release : never).await(now == Mode.HOLD ? Tests.WAIT_S * 1000 : 100,
                     TimeUnit.MILLISECONDS);
                 inService.decrementAndGet();
@@ -88,7 +93,10 @@
                 .replace("\"aimS\":4.0", "\"aimS\":" + aimSeconds).getBytes());
         }
 
-        /** So many clients, each asking again as soon as it is answered, until {@code until} is reached. */
+        /**
+         * Starts this many clients, each sending again as soon as it is answered, until {@code until} is
+         * reached.
+         */
         void ask(int clients, AtomicInteger count, int until) throws Exception {
             stopped = false;
             List<Thread> all = new ArrayList<>();
@@ -109,7 +117,10 @@
             }
         }
 
-        /** How many of many requests at once get to a server when none is answered; unsafe ones get there once only. */
+        /**
+         * Of many simultaneous requests, how many reach a server while none is answered; non-idempotent ones
+         * reach one only once.
+         */
         int letIn() throws Exception {
             mode = Mode.HOLD;
             int before = refused.get();
@@ -137,7 +148,7 @@
         }
     }
 
-    /** By a tenth for each answer the limit would be 22 at the most after a hundred of them. */
+    /** Growing by a tenth for each response, the limit would be at most 22 after a hundred of them. */
     @Test
     void aFreshNodeLetsInWhatItsServersCanDoAfterAFewRoundTrips() throws Exception {
         try (Site site = new Site(2)) {
@@ -147,7 +158,10 @@
         }
     }
 
-    /** The first slow answer ended the doubling: at most 22 at once after the same hundred answers. */
+    /**
+     * Regression: the first slow response ended the doubling, with at most 22 at once after the same hundred
+     * responses.
+     */
     @Test
     void slowFirstAnswersDoNotKeepAFreshNodeSmall() throws Exception {
         try (Site site = new Site(2)) {
@@ -158,7 +172,10 @@
         }
     }
 
-    /** Only late answers lowered the limit, and a server that turns away answers nothing late. */
+    /**
+     * Regression: only late responses lowered the limit, and a server that rejects requests never responds
+     * late.
+     */
     @Test
     void aNodeWhoseServersAreFullLetsInFewer() throws Exception {
         try (Site site = new Site(2)) {
@@ -173,7 +190,10 @@
         }
     }
 
-    /** A release that took most of the servers left the limit that all of them had taught. */
+    /**
+     * Regression: after a release that removed most of the servers, the limit learned from all of them
+     * remained.
+     */
     @Test
     void aNodeLeftWithOneOfFourServersLetsInFewer() throws Exception {
         CountDownLatch taken = new CountDownLatch(1);
--- a/node/src/test/java/weldhitch/node/CaptureMeasure.java
+++ b/node/src/test/java/weldhitch/node/CaptureMeasure.java
@@ -19,8 +19,8 @@
 import weldhitch.testkit.Wire;
 
 /**
- * Measures what a capture costs the packaged node, by hand: the same closed loop of callers over a node with the capture
- * off and on, in turn. The command and dated figures stand in docs/capture.md.
+ * Measures what a capture costs the packaged node, by hand: the same closed loop of clients against a node with
+ * the capture off and on, alternately. The command and dated figures stand in docs/capture.md.
  */
 final class CaptureMeasure {
     private static final int WARM_UP_S = 4;
@@ -28,9 +28,17 @@
     private CaptureMeasure() {
     }
 
+    /**
+     * The figures of one round.
+     *
+     * @param perSecond requests answered per second
+     * @param cpuMicros processor time per request, in microseconds
+     * @param peakKiB peak resident memory of the process
+     */
     private record Round(double perSecond, double p50, double p99, double cpuMicros, long requests, long peakKiB) {
     }
 
+    /** Runs the rounds and prints their figures. */
     public static void main(String[] args) throws Exception {
         int rounds = args.length > 0 ? Integer.parseInt(args[0]) : 5;
         int seconds = args.length > 1 ? Integer.parseInt(args[1]) : 8;
@@ -153,7 +161,7 @@
         return all;
     }
 
-    /** The most memory that a process has had in use (proc(5), status: VmHWM); heap, code and threads. */
+    /** Peak resident memory of a process in KiB (proc(5), status: VmHWM): heap, code and threads. */
     private static long peakKiB(long pid) throws IOException {
         return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream().filter(l -> l.startsWith("VmHWM:"))
             .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", ""))).findFirst().orElse(0);
--- a/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
@@ -27,11 +27,14 @@
 import weldhitch.testkit.Peer;
 import weldhitch.testkit.Tests;
 
-/** A live node that captures, before servers that fail in every way, and what its capture says afterwards. */
+/**
+ * A live node that captures, in front of servers that fail in every way, and what its capture shows afterwards.
+ */
 class CaptureOnSocketsTest {
     @TempDir
     Path directory;
 
+    /** A node with a route configuration in front of three scripted servers. */
     private final class Site implements Closeable {
         final List<HttpUpstream> servers = new ArrayList<>();
         final Path file = directory.resolve("weldhitch.toml");
@@ -67,7 +70,7 @@
             node.node.reload(Map.of("GW_CONFIG", platform.toString()));
         }
 
-        /** So many requests, safe and unsafe, each answered. */
+        /** Sends this many requests, idempotent and not; each must be answered. */
         void ask(int count) throws IOException {
             for (int i = 0; i < count; i++) {
                 String id = String.format("%016x", 0x9000 + asked++);
@@ -131,14 +134,14 @@
         assertEquals(asked, verify.judge.answered());
         assertEquals(0, verify.judge.open());
         assertTrue(entries.stream().anyMatch(e -> e instanceof Entry.Told t && t.event() instanceof NewRoutes n && n.routes() != null));
-        // One that was tried twice: why, by its id as its caller knows it.
+        // A request that was retried: explained by its id as its client knows it.
         AttemptEnded again = entries.stream().filter(e -> e instanceof Entry.Told t && t.event() instanceof AttemptEnded a && a.attempt() == 1)
             .map(e -> (AttemptEnded) ((Entry.Told) e).event()).findFirst().orElseThrow();
         Explanation why = Explanation.ofRequest(again.request());
         play(captured, why);
         assertTrue(why.text().contains("attempt 1 goes to " + again.server()), why.text());
         assertTrue(why.text().contains("is tried again"), why.text());
-        // No bodies, no header that names a person.
+        // The capture holds no bodies and no header that identifies a person.
         for (CaptureFiles.Segment segment : CaptureFiles.in(captured)) {
             assertFalse(Files.readString(segment.file(), java.nio.charset.StandardCharsets.ISO_8859_1).contains("cow"));
         }
@@ -178,7 +181,7 @@
         }
     }
 
-    /** What stands in the way of the capture stands in nobody else's: the node serves on. */
+    /** An obstacle to the capture must not affect serving: the node continues. */
     @Test
     void aDirectoryThatCannotBeWrittenCostsNoRequest() throws Exception {
         try (Site site = new Site("")) {
--- a/node/src/test/java/weldhitch/node/ClassList.java
+++ b/node/src/test/java/weldhitch/node/ClassList.java
@@ -1,13 +1,15 @@
 package weldhitch.node;
 
 /**
- * Writes the list of classes that the build lays out as an archive, by hand, whenever classes have changed: what a node
- * has loaded by the end of its first second and its end. The command stands in docs/restarts.md.
+ * Writes the list of classes for the build's class-data archive; run by hand whenever classes have changed. The
+ * list holds what a node has loaded from its start through its first second to its shutdown. The command stands
+ * in docs/restarts.md.
  */
 final class ClassList {
     private ClassList() {
     }
 
+    /** Runs a packaged node with {@code -XX:DumpLoadedClassList}. */
     public static void main(String[] args) throws Exception {
         try (NodeProcess node = new NodeProcess(run -> run.replaceFirst("-XX:SharedArchiveFile=\\S+",
                 "-XX:DumpLoadedClassList=deploy/classes.lst"))) {
--- a/node/src/test/java/weldhitch/node/ClientSideTest.java
+++ b/node/src/test/java/weldhitch/node/ClientSideTest.java
@@ -12,7 +12,7 @@
 import weldhitch.testkit.Wire;
 import org.junit.jupiter.api.Test;
 
-/** What clients send, in good order and in bad. */
+/** The requests that clients send, valid and invalid, and how the node answers them. */
 class ClientSideTest {
     private static int status(Harness h, String request) throws Exception {
         return h.ask(request).status();
@@ -179,8 +179,8 @@
     }
 
     /**
-     * Guards against leaving clients in the backlog when more come than the node has room for, and against closing
-     * as idle those whose first request is already written but not read.
+     * Regression: leaving clients in the backlog when more arrive than the node has connections for, and
+     * evicting as idle those whose first request has been written but not read.
      */
     @Test
     void clientsBeyondTheLimitAreAllAnswered() throws Exception {
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Guards against waves of connections that are opened and never used, which once kept every client out. */
+    /** Regression: waves of connections that are opened and never used, which once kept every client out. */
     @Test
     void connectionsThatAreNeverUsedMakeRoomForOthers() throws Exception {
         try (Harness h = Harness.start(100, Peer.answering(m -> ok("x")))) {
@@ -223,7 +223,10 @@
         }
     }
 
-    /** The body would hide a request of its own: where the first ends is not known, so nothing of it goes on. */
+    /**
+     * The body would smuggle a request of its own: where the first one ends is unknown, so none of it is
+     * forwarded.
+     */
     @Test
     void requestWithTwoFramingsIsTurnedAwayWithWhatFollows() throws Exception {
         Peer server = Peer.answering(m -> ok("x"));
@@ -239,7 +242,7 @@
         }
     }
 
-    /** Guards against clients that break off within a request, or say nothing, and hold their connection. */
+    /** Regression: clients that stall within a request, or send nothing, and occupy their connection. */
     @Test
     void clientsThatBreakOffGetAnErrorAndSilentOnesAClose() throws Exception {
         try (Harness h = Harness.start(Peer.answering(m -> ok("x")))) {
@@ -249,7 +252,8 @@
             head.write("GET /read HTTP/1.1\r\nX-Tr");
             body.write(post("1", "half").replace("Length: 4", "Length: 400"));
             for (Wire wire : new Wire[] {silent, head, body}) {
-                // Within the 3 s that the protocol gives, with room for a slow machine; the old limits were 60 s and 3 s.
+                // Within the 3 s that the protocol allows, plus room for a slow machine; the old limits were 60
+                // s and 3 s.
                 wire.socket.setSoTimeout(10_000);
             }
             assertTrue(silent.ends());
--- a/node/src/test/java/weldhitch/node/ConfigTest.java
+++ b/node/src/test/java/weldhitch/node/ConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the configuration says, and what is said about one that makes no sense. */
+/** Parsing of the node's configuration, and the error messages for an invalid one. */
 class ConfigTest {
     private static final String SOUND = new String(Harness.config("127.0.0.1:9", Harness.host("s", "127.0.0.1:8"),
         500, ""), StandardCharsets.UTF_8);
@@ -66,7 +66,7 @@
             () -> NodeConfig.load(Map.of("GW_CONFIG", "/nowhere/at/all")));
     }
 
-    /** One line that names file, key, found and expected, and the exit code that says so. */
+    /** One line that names file, key, found and expected value, and the exit code for configuration errors. */
     @Test
     void settingsThatMakeNoSenseAreNamedWithFileKeyFoundAndExpected(@TempDir Path dir) throws Exception {
         String[][] wrong = {
--- a/node/src/test/java/weldhitch/node/CrossingTest.java
+++ b/node/src/test/java/weldhitch/node/CrossingTest.java
@@ -22,9 +22,12 @@
 import weldhitch.testkit.Tests;
 import weldhitch.testkit.Wire;
 
-/** What comes between two steps of a request: a list, a close, the end of a window, each while a dial is under way or a request waits. */
+/**
+ * Events between two steps of a request: a list update, a close or the end of a window, each while a connect is
+ * pending or a request waits.
+ */
 class CrossingTest {
-    /** Attempts last as long as their requests, and dials nearly so. */
+    /** Attempts may last as long as their requests, and connects nearly so. */
     private static byte[] config(DiscoveryCalls calls, String known, String from, String to) {
         String config = new String(Harness.config(calls.peer.address(), known, 1024, ""), StandardCharsets.UTF_8)
             .replace("\"dialTimeoutS\":1.0", "\"dialTimeoutS\":7.5").replace("\"secondCopies\":false", "\"secondCopies\":true");
@@ -36,7 +39,10 @@
         return config(calls, known, "", "");
     }
 
-    /** The dial was begun by a list that no longer holds when it comes up: nothing is written, another server gets the request. */
+    /**
+     * The connect was started under a list that has been replaced when it succeeds: nothing is written, another
+     * server gets the request.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"drains", "is gone", "is left out of a whole list", "starts anew", "moves"})
     void listChangesWhileADialIsUnderWay(String change) throws Exception {
@@ -60,7 +66,10 @@
         }
     }
 
-    /** Where attempts can't be called off, what has not begun when its caller leaves must not begin afterwards. */
+    /**
+     * Where the settings do not allow cancelling, an attempt that has not started when its client disconnects
+     * must not start afterwards.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void callerLeavesWhileADialIsUnderWay(boolean cancel) throws Exception {
@@ -83,14 +92,17 @@
             long released = System.nanoTime();
             bystander.write(get("2"));
             assertEquals("stays", bystander.message().text());
-            // The dial of the first is tried again a second after it began, if it still is.
+            // The system retries the first connect a second after its start, if it is still pending.
             Tests.await(() -> System.nanoTime() - released > 1_500_000_000L);
             assertTrue(heads.poll().contains("X-Trace-Id: 2"));
             assertTrue(heads.isEmpty(), () -> "sent for a caller that has gone: " + heads);
         }
     }
 
-    /** Servers forget a key after a while: a repeat that a slow dial kept for longer would run a second time. */
+    /**
+     * Servers forget a key after the deduplication window: a repeat that a slow connect delayed beyond it would
+     * be executed a second time.
+     */
     @Test
     void windowForRepeatsEndsWhileADialIsUnderWay() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
@@ -120,8 +132,8 @@
     }
 
     /**
-     * A caller that sent something ahead was no longer read, so that nobody saw it leave: what it had asked was sent on, and
-     * then what it had sent ahead.
+     * Regression: a client with pipelined input was no longer read, so that its disconnect went unnoticed: its
+     * request was forwarded, and after it the pipelined ones.
      */
     @ParameterizedTest
     @CsvSource({"1, false", "1, true", "400, false", "400, true", "20000, false"})
@@ -145,7 +157,10 @@
         }
     }
 
-    /** What a caller may send ahead has a bound; what was kept of it is answered, and the connection ends behind that. */
+    /**
+     * Pipelined input is bounded; the requests that were queued are answered, and the connection closes after
+     * them.
+     */
     @Test
     void callerThatSendsTooMuchAheadIsAnsweredWhatWasKeptAndNothingTwice() throws Exception {
         int sent = 20_000;
@@ -157,7 +172,7 @@
                     client.write(get(Integer.toString(i)));
                 }
             });
-            // The first waits for a server until all that may be kept has come.
+            // The first request waits for a server until the queue is full.
             Tests.await(() -> h.node.heldBytes() > 400 * 1024);
             calls.tell(1, true, host("s", server.address()));
             int answered = 0;
@@ -166,7 +181,7 @@
             while (more) {
                 Message m = client.message();
                 more = !"close".equals(m.field("connection"));
-                // The last one kept may lack its end: it has run nowhere, and may be asked again.
+                // The last request queued may be incomplete: it has not been executed, and may be retried.
                 assertTrue(m.status() == 200 || m.status() == 503 && !more, "status " + m.status() + " of " + answered);
                 assertEquals(m.status() == 200 ? 1 : 0, server.executions(Integer.toString(answered)));
                 served += m.status() == 200 ? 1 : 0;
--- a/node/src/test/java/weldhitch/node/DiscoveryCalls.java
+++ b/node/src/test/java/weldhitch/node/DiscoveryCalls.java
@@ -11,7 +11,10 @@
 import weldhitch.testkit.Peer;
 import weldhitch.testkit.Tests;
 
-/** A discovery whose calls a test answers one by one. */
+/**
+ * A discovery service whose polls a test answers one by one. The queues are thread-safe; the test thread and
+ * the server's threads share them.
+ */
 final class DiscoveryCalls implements AutoCloseable {
     final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
     final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
@@ -40,7 +43,7 @@
         answers.add(ok("{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + hosts + "]}"));
     }
 
-    /** Tells this at the call that waits, and returns when the node has taken it up. */
+    /** Answers the pending poll with this list, and returns once the node has applied it. */
     void tell(int seq, boolean whole, String hosts) throws InterruptedException {
         list(seq, whole, hosts);
         next();
--- a/node/src/test/java/weldhitch/node/DiscoveryTest.java
+++ b/node/src/test/java/weldhitch/node/DiscoveryTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import weldhitch.testkit.Tests;
 
-/** The list of servers: watched, asked for, and survived when it goes wrong. */
+/** The endpoint list: long-polled, polled on demand, and robust against failures of discovery. */
 class DiscoveryTest {
     private static final String GET_ALL = "GET /v1/endpoints HTTP/1.1";
 
@@ -42,7 +42,7 @@
             for (int i = 0; i < 8; i++) {
                 servedBy(h, "x" + i, "b");
             }
-            // A whole list that leaves a server out says that it is gone.
+            // A full list that omits an endpoint removes it.
             calls.list(9, true, host("a", a.address()));
             calls.next();
             for (int i = 0; i < 8; i++) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** A server that drains has few connections left, and nothing will be sent on this one. */
+    /** A draining server has few connections left, and nothing will be sent on this one any more. */
     @Test
     void aConnectionThatIsGivenBackToADrainingServerIsClosed() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -83,7 +83,7 @@
             closed.countDown();
         });
         DiscoveryCalls calls = new DiscoveryCalls();
-        // Kept for so long that its age alone would not close it.
+        // Keep-alive long enough that its age alone would not close it.
         byte[] config = new String(Harness.config(calls.peer.address(), host("a", a.address()), 1024, ""),
             StandardCharsets.UTF_8).replace("\"keepaliveS\":5.0", "\"keepaliveS\":5000.0").getBytes(StandardCharsets.UTF_8);
         try (calls; a; Harness h = Harness.start(config); Wire client = h.client()) {
@@ -107,8 +107,8 @@
                 assertTrue(calls.next().contains("after=0&"));
                 calls.answers.add(failure);
             }
-            // What is held is sound, so the same call again mends a list that makes no sense, or changes to another list
-            // than the one held; the whole list, which is dear, is asked for where that did not help.
+            // The current list is valid, so the same poll repairs a malformed list, or changes relative to
+            // another list; the full list, which is expensive, is requested only if that did not help.
             for (int i = 0; i < 2; i++) {
                 assertTrue(calls.next().contains("after=0&"));
                 calls.answers.add(ok("{\"seq\":3,\"whole\":true,\"hosts\":[{\"host\":5}]}"));
@@ -116,7 +116,8 @@
             assertEquals(GET_ALL, calls.next());
             servedBy(h, "1", "a");
             calls.list(4, true, host("a", a.address()));
-            // Neither changes nor a whole list that are older wipe what is held, though the whole one names no server.
+            // Neither older changes nor an older full list replace the current one, even though the full one is
+            // empty.
             assertTrue(calls.next().contains("after=4&"));
             calls.list(2, false, "");
             assertTrue(calls.next().contains("after=4&"));
@@ -141,8 +142,8 @@
     }
 
     /**
-     * Nothing closes a watch that has fallen silent: the node has to notice by itself, and open another connection. What a shared
-     * service's misses counts as told two seconds after the wait that it asked for.
+     * Nothing closes a long poll that has become silent: the node has to detect it and open another connection.
+     * What a shared service fails to send counts as sent two seconds after the wait that was requested.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -155,17 +156,21 @@
             calls.list(4, true, host("a", a.address()));
             assertTrue(calls.next().contains("after=4&wait_ms=2000"));
             long begun = System.nanoTime();
-            // This one is never answered on the first connection. The next asks for no wait: what was missed comes at once.
+            // This poll is never answered on the first connection. The next requests no wait: what was missed
+            // arrives at once.
             assertTrue(calls.next().contains("after=4&wait_ms=0"));
             long after = (System.nanoTime() - begun) / 1_000_000;
-            // Half a second of it for a noisy machine.
+            // Half a second of it allows for a noisy machine.
             assertTrue(after >= 2000 && after < (shared ? 4500 : 6000), "opened anew after " + after + " ms");
             assertTrue(calls.peer.connections.size() >= 2, "on a connection of its own");
             servedBy(h, "2", "a");
         }
     }
 
-    /** A watch falls silent, the call behind it too, the next is refused: each is legal alone, and the sum is what counts. */
+    /**
+     * A long poll becomes silent, the next poll too, and the one after is rejected: each is legal alone, their
+     * sum is what matters.
+     */
     @Test
     void failuresInARowDoNotAddUpToMoreThanAChangeMayTake() throws Exception {
         AtomicInteger connections = new AtomicInteger();
@@ -207,7 +212,10 @@
         }
     }
 
-    /** Guards against a node that follows the discovery of its start for good, or gives up a list for a bad file. */
+    /**
+     * Regression: a node that keeps polling the discovery address of its start for good, or drops its list
+     * because of an invalid file.
+     */
     @Test
     void newConfigurationMovesTheWatchAndABadOneChangesNothing() throws Exception {
         Path file = Files.createTempFile("weldhitch", ".json");
--- a/node/src/test/java/weldhitch/node/DrainTest.java
+++ b/node/src/test/java/weldhitch/node/DrainTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.testkit.Tests;
 
-/** The planned end: what is taken is answered, what still comes too, and then the node is done by itself. */
+/** Graceful shutdown: received requests are answered, late ones too, and then the node ends by itself. */
 class DrainTest {
     @Test
     void allThatIsTakenIsAnsweredAndEveryConnectionEnds() throws Exception {
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Rolling restarts overlap: while the node told before is still away, the connections of this one are all that its
-     * callers have. Closing them at once left whole seconds of requests with nowhere to go.
+     * Rolling restarts overlap: while the node restarted before is still away, the connections of this one are
+     * all that its clients have. Closing them at once left whole seconds of requests with nowhere to go.
      */
     @Test
     void goesOnServingOnTheConnectionsItHasAndRefusesWhatComesTooLate() throws Exception {
@@ -67,7 +67,8 @@
             while (h.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) {
                 Thread.onSpinWait();
             }
-            // This class states no time within which it is wanted, so less than all of its 8 s is no use to it.
+            // This class has no latency objective, so less time than its full deadline of 8 s is of no use to
+            // it.
             int whole = 0;
             Message m;
             do {
@@ -91,7 +92,10 @@
         }
     }
 
-    /** Its deadline is 8 s, and the platform kills 3.7 s after the word: a reset would be all the caller gets. */
+    /**
+     * Its deadline is 8 s, and the platform kills the process 3.7 s after the signal: the client would get only
+     * a reset.
+     */
     @Test
     void answersWhatWasTakenBeforeTheWordAndWaitsPastTheKill() throws Exception {
         Semaphore asked = new Semaphore(0);
@@ -115,7 +119,7 @@
         }
     }
 
-    /** Nothing of it went out, as no server is there to take it, so that its caller may ask elsewhere. */
+    /** None of it was forwarded, as there is no server to take it, so that its client may retry elsewhere. */
     @Test
     void refusesAtTheEndWhatWasNeverSent() throws Exception {
         Peer server = Peer.answering(m -> ok("x"));
@@ -124,7 +128,7 @@
         try (server; discovery; Harness h = Harness.start(Harness.config(discovery.address(), draining, 1024, ""));
                 Wire waits = h.client()) {
             waits.write(post("1", "b"));
-            // Taken for certain: a second one with its id is turned away.
+            // It has certainly been received: a second request with its id is rejected.
             while (h.ask(post("1", "b")).status() != 400) {
                 Thread.onSpinWait();
             }
@@ -137,7 +141,10 @@
         }
     }
 
-    /** A client that never closes its side kept the node for 2 s more, past the time at which the platform kills it. */
+    /**
+     * Regression: a client that never closes its side delayed the end by 2 s, past the time at which the
+     * platform kills the node.
+     */
     @Test
     void endsOnceEveryDeadlineHasPassedThoughAClientDoesNotClose() throws Exception {
         Peer server = Peer.answering(m -> ok("x"));
@@ -155,7 +162,7 @@
             } while (!"close".equals(stays.message().field("connection")));
             drain.join(Tests.WAIT_S * 1000L);
             assertTrue(!drain.isAlive(), "the node does not end by itself");
-            // 0.7 s by its plan; by the patience with such a client alone it would be 2 s at the least.
+            // Planned are 0.7 s; the timeout for such a client alone would make it at least 2 s.
             assertTrue(System.nanoTime() - told < 1_900_000_000L, "kept by a client that does not close");
         }
     }
@@ -166,7 +173,9 @@
             .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A stream has begun within its deadline and may go on past all of them: it is passed on whole. */
+    /**
+     * A stream has started within its deadline and may continue past all of them: it is forwarded completely.
+     */
     @Test
     void aStreamThatHasBegunOutlastsEveryDeadline() throws Exception {
         CountDownLatch last = new CountDownLatch(1);
@@ -192,7 +201,8 @@
             do {
                 stays.write(get("n" + asked++));
             } while (!"close".equals(stays.message().field("connection")));
-            // The one that lingers is closed once every deadline has passed: only then does a write find it gone.
+            // The connection that lingers is closed once every deadline has passed: only then does a write
+            // fail.
             assertThrows(java.io.IOException.class, () -> {
                 while (true) {
                     stays.write("x");
@@ -206,8 +216,8 @@
     }
 
     /**
-     * What the system had accepted for the listener and the node had not was reset as the listener closed, requests and all:
-     * a busy loop takes sixteen connections at a turn.
+     * Regression: connections that the system had accepted for the listener and the node had not were reset as
+     * the listener closed, requests and all: a busy loop accepts sixteen connections per iteration.
      */
     @Test
     void connectionsThatWaitToBeAcceptedAreAnsweredWhenTheListenerCloses() throws Exception {
@@ -230,7 +240,8 @@
                 waiting[i] = h.client();
                 waiting[i].write(get("w" + i));
             }
-            // The longest aim counts as 1.5 s here, so callers are told to go, and the listener closes, 1.6 s after the signal.
+            // The longest latency objective counts as 1.5 s here, so clients are asked to close, and the
+            // listener closes, 1.6 s after the signal.
             Tests.await(() -> System.nanoTime() - told > 1_700_000_000L);
             busy.countDown();
             for (Wire wire : waiting) {
--- a/node/src/test/java/weldhitch/node/FleetIT.java
+++ b/node/src/test/java/weldhitch/node/FleetIT.java
@@ -19,15 +19,24 @@
 import weldhitch.testkit.fleet.ListServiceStandIn;
 import weldhitch.testkit.fleet.NodeFleet;
 
-/** Many processes of the packaged node, with faults between them. A failed run prints its seed, schedule and what was seen. */
+/**
+ * Runs many processes of the packaged node with faults between them. A failed run prints its seed, fault
+ * schedule and event log.
+ */
 class FleetIT {
     private static final int NODES = Integer.getInteger("weldhitch.fleet.nodes", 12);
     private static final int SERVERS = Integer.getInteger("weldhitch.fleet.servers", 6);
     private static final long SERVER_MS = 20;
-    /** What a stand-in does a second once warm; far more than is asked of it, as the rule is on cold ones. */
+    /**
+     * Requests a second that a stand-in serves once warm; far above the offered load, as the rule under test is
+     * about endpoints that are warming up.
+     */
     private static final double WARM_PER_SECOND = 30;
 
-    /** After a power cut: all nodes start at once, the servers cold, the list service away for the first seconds. */
+    /**
+     * After a power cut: all nodes start simultaneously, the servers are cold, and discovery is unavailable for
+     * the first seconds.
+     */
     @Test
     void coldStartOfAllSparesTheListServiceAndTheServers() throws Exception {
         long born = System.currentTimeMillis();
@@ -62,7 +71,10 @@
         }
     }
 
-    /** Seeded faults on nodes and on every edge, with a drain amid them; the four rules hold, and all serve again. */
+    /**
+     * Seeded faults on nodes and on every link, with a drain among them; the four invariants hold, and all
+     * nodes recover.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void rulesHoldUnderSeededFaults(long seed) throws Exception {
@@ -85,7 +97,7 @@
             fleet.faults.play(schedule);
             drain.join(20_000);
             long healed = fleet.chronicle.now();
-            // Back to the former service: every node serves its callers again.
+            // Full recovery: every node serves its clients again.
             Tests.await(() -> servingAgain(fleet, healed).size() == fleet.nodes.size());
             assertEquals(List.of(), fleet.judge(true), told + "\n" + fleet.chronicle.last(60));
             Map<End, Integer> ends = new HashMap<>();
--- a/node/src/test/java/weldhitch/node/Harness.java
+++ b/node/src/test/java/weldhitch/node/Harness.java
@@ -13,7 +13,10 @@
 import weldhitch.testkit.Peer;
 import weldhitch.testkit.Wire;
 
-/** A node in this process, between peers of a test's own on ephemeral loopback ports. */
+/**
+ * A node in the test's own process, between scripted servers on ephemeral loopback ports. Used by one test
+ * thread; {@link #close} stops the node and everything it opened.
+ */
 final class Harness implements Closeable {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
@@ -28,7 +31,7 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Discovery that answers the list given and then says that nothing is new. */
+    /** A discovery service that responds with the given list and to later polls with no changes. */
     static Peer discovery(String hosts) throws IOException {
         return new Peer(wire -> {
             for (Message m = wire.message(); m != null; m = wire.message()) {
@@ -38,7 +41,7 @@
         });
     }
 
-    /** A node whose list, known from the start, names the peers as s0, s1 and so on. */
+    /** Starts a node whose cached endpoint list names the servers s0, s1 and so on. */
     static Harness start(Peer... servers) throws Exception {
         return start(1024, servers);
     }
@@ -93,7 +96,7 @@
         return NodeTexts.post(id, body);
     }
 
-    /** One request on a connection of its own. */
+    /** Sends one request on a connection of its own and returns the response. */
     Message ask(String request) throws IOException {
         Wire wire = client();
         wire.write(request);
--- a/node/src/test/java/weldhitch/node/NodeProcess.java
+++ b/node/src/test/java/weldhitch/node/NodeProcess.java
@@ -16,7 +16,10 @@
 import weldhitch.testkit.Peer;
 import weldhitch.testkit.Wire;
 
-/** The packaged node as a process, before a server that does what the path asks for and one that is not there. */
+/**
+ * The packaged node as a process, with one server that responds as the request path says and one that nobody
+ * listens on. Used by one test thread; {@link #close} kills the process.
+ */
 final class NodeProcess implements Closeable {
     final Process process;
     final int port;
@@ -24,10 +27,10 @@
     private final Path config;
     private final Peer server;
     private final Peer discovery;
-    /** Where nobody listens. */
+    /** A reserved port that nobody listens on. */
     private final HeldPort gone = new HeldPort();
 
-    /** @param change what becomes of the command that the deploy file names */
+    /** @param change transforms the command that the deploy file names */
     NodeProcess(UnaryOperator<String> change) throws Exception {
         server = Peer.answering(NodeProcess::answer);
         String hosts = Harness.host("s", server.address()) + "," + Harness.host("gone", gone.address());
@@ -39,7 +42,7 @@
         port = port();
     }
 
-    /** Between servers and a discovery of the test's own, which outlive it. */
+    /** Starts a node between servers and a discovery service of the test's own, which outlive it. */
     NodeProcess(UnaryOperator<String> change, byte[] configuration) throws Exception {
         server = null;
         discovery = null;
@@ -75,7 +78,7 @@
         return line.contains("broken") ? "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n" : Harness.ok("hello");
     }
 
-    /** The next line of its log. */
+    /** The next line of the node's log; blocks until there is one. */
     String logLine() throws IOException {
         return log.readLine();
     }
@@ -90,7 +93,10 @@
         }
     }
 
-    /** What a node meets in its first second, and its planned end; returns when the process has ended. */
+    /**
+     * Exercises what a node meets in its first second, and its graceful shutdown; returns once the process has
+     * ended.
+     */
     void exercise() throws Exception {
         ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
         for (int i = 0; i < 40; i++) {
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -22,9 +22,9 @@
 import weldhitch.testkit.Behaviour;
 import weldhitch.testkit.Tests;
 
-/** Each row of the protocol's table of outcomes, told by whether an unsafe request is tried again. */
+/** Each row of the protocol's table of outcomes, recognised by whether a non-idempotent request is retried. */
 class OutcomeTest {
-    /** Two servers that share a script: whichever is asked first plays it, the next request is served. */
+    /** Two servers that share a script: whichever is used first follows it, the next request is served. */
     private static Message firstThen(Behaviour first, AtomicInteger asked) throws Exception {
         Behaviour both = wire -> {
             for (String head = wire.head(); head != null; head = wire.head()) {
@@ -109,8 +109,8 @@
     }
 
     /**
-     * An answer with neither length nor chunks ends with its connection, and a reset is no such end: the decoder takes it for
-     * one all the same, and what had come of the answer was served as the whole.
+     * A response with neither length nor chunks ends with its connection, but not with a reset: the decoder
+     * takes a reset for the end all the same, and a truncated response was served as complete.
      */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.0 200 OK\r\n\r\n",
@@ -137,8 +137,9 @@
     }
 
     /**
-     * A body just under 64 KiB fills the write buffer with its head: as there was room in it again, the body went out a second
-     * time, which failed the write, and a request that its server had in full counted as one that never ran.
+     * Regression: a body just under 64 KiB fills the write buffer together with its head. When the buffer
+     * became writable again, the body was written a second time, which failed the write, and a request that its
+     * server had received completely counted as not executed.
      */
     @ParameterizedTest
     @ValueSource(ints = {65_000, 65_388, 65_535, 65_536, 65_537, 131_072, 200_000})
@@ -153,7 +154,10 @@
         }
     }
 
-    /** The write fails with the reset, and the close behind it is no end of the answer either; the request never ran. */
+    /**
+     * The write fails with the reset, and the close after it is no end of the response either; the request was
+     * not executed.
+     */
     @Test
     void answerBegunAndResetBeforeTheRequestIsWrittenIsTriedElsewhere() throws Exception {
         String body = "b".repeat(8 << 20);
@@ -181,14 +185,20 @@
         failsUntried("?!\0 not http at all\r\n\r\n", true);
     }
 
-    /** The decoder lets a header line without a colon pass; served, it was an answer that no server made. */
+    /**
+     * The decoder accepts a header line without a colon; such a response would be served although no server
+     * sent it.
+     */
     @Test
     void headWithALineThatIsNoHeaderMayHaveRunAndIsNotServed() throws Exception {
         failsUntried("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 4\r\n\r\nbody", false);
         failsUntried("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\nnone\r\n\r\nbody", false);
     }
 
-    /** No body is longer than 64 KiB: what claims to be would keep its client waiting for an end that never comes. */
+    /**
+     * No body is longer than 64 KiB: one that claims to be would keep its client waiting for an end that never
+     * comes.
+     */
     @Test
     void answerLongerThanAnyMayHaveRunAndIsNotPassedOn() throws Exception {
         failsUntried("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody", false);
@@ -206,7 +216,7 @@
         }
     }
 
-    /** Guards against taking what comes behind an answer for the answer to the next request. */
+    /** Regression: taking the bytes after a response for the response to the next request. */
     @Test
     void whatComesBehindAnAnswerEndsItsConnection() throws Exception {
         Peer server = Peer.answering(m -> ok(m.field("x-trace-id")) + ok("not yours"));
@@ -274,8 +284,9 @@
     }
 
     /**
-     * Guards against losing unsafe requests to connections that a server closes, or lets die, while they are
-     * idle: what is written to such a one may have run. Only a connection used a moment ago is used again.
+     * Regression: losing non-idempotent requests to connections that a server closes, or lets die, while they
+     * are idle: what is written to such a connection may have been executed. Only a connection used a moment
+     * ago is reused.
      */
     @Test
     void unsafeRequestIsNotWrittenToAConnectionIdleForLong() throws Exception {
@@ -290,7 +301,9 @@
         }
     }
 
-    /** Nodes of a large fleet meet each server so seldom that they dialled for nearly each booking. */
+    /**
+     * Nodes of a large fleet use each server so seldom that they opened a connection for nearly every booking.
+     */
     @Test
     void unsafeRequestUsesAnIdleConnectionOnceSafeOnesWereAnsweredOnOlderOnes() throws Exception {
         Peer server = Peer.answering(m -> ok("x"));
@@ -319,8 +332,8 @@
     }
 
     /**
-     * Guards against servers that drop a connection as soon as it is used again, however short it was idle: once
-     * that is seen, what must not be repeated goes on new connections.
+     * Regression: servers that drop a connection as soon as it is reused, however short it was idle: once that
+     * is detected, requests that must not be repeated use new connections.
      */
     @Test
     void unsafeRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
@@ -337,7 +350,7 @@
         }
     }
 
-    /** A node with room for twelve connections to servers once failed all dials after the twelfth. */
+    /** Regression: a node with a limit of twelve upstream connections failed all connects after the twelfth. */
     @Test
     void connectionsThatHaveClosedMakeRoomForFurtherDials() throws Exception {
         Peer server = Peer.answering(m -> ok("x").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
--- a/node/src/test/java/weldhitch/node/PackagedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/PackagedNodeIT.java
@@ -15,7 +15,7 @@
 import weldhitch.testkit.Tests;
 import org.junit.jupiter.api.Test;
 
-/** Starts the real node by the command that the deploy file names. */
+/** Starts the packaged node by the command in the deploy file. */
 class PackagedNodeIT {
     static ProcessBuilder run() throws Exception {
         String command = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
@@ -47,7 +47,7 @@
                 NodeProcess.hangUp(process);
                 assertEquals("discovery: moves to /127.0.0.1:9", log.readLine());
                 process.destroy();
-                // Connections that still come are answered, and told to close.
+                // Connections that still arrive are answered, with Connection: close.
                 assertEquals(200, NodeProcess.ask(port, Harness.get("2")).status());
                 assertEquals(128 + 15, process.waitFor());
             } finally {
@@ -60,8 +60,8 @@
     }
 
     /**
-     * With a list that had fallen behind the code, 160 classes were read from the jar or spun in a node's first second,
-     * 20 of them before it listened: on a busy machine half of the time until it was ready.
+     * With a class list that was out of date, 160 classes were read from the jar or generated in a node's first
+     * second, 20 of them before it listened: on a busy machine half of the time to readiness.
      */
     @Test
     void findsItsOwnClassesInItsArchive() throws Exception {
@@ -79,7 +79,10 @@
         }
     }
 
-    /** The jar holds what reading the file takes, and the signal brings a new one in force, or leaves the last good one. */
+    /**
+     * The jar contains what parsing the file needs, and the signal activates a new file, or keeps the last
+     * valid one.
+     */
     @Test
     void takesItsOperatorFileAtTheStartAndOnSighup() throws Exception {
         Path file = Files.createTempFile("operator", ".toml");
@@ -96,7 +99,7 @@
             node.hangUp();
             said = node.logLine();
             assertTrue(said.endsWith(" is in force: 1 routes"), said);
-            // So few a second that nothing is let in: the new rules are at work.
+            // The limit is so low that nothing is admitted: the new rules are active.
             Tests.await(() -> status(node) == 503);
         } finally {
             Files.delete(file);
--- a/node/src/test/java/weldhitch/node/RareMomentsIT.java
+++ b/node/src/test/java/weldhitch/node/RareMomentsIT.java
@@ -24,13 +24,19 @@
 import weldhitch.testkit.Tests;
 import weldhitch.testkit.Wire;
 
-/** The users' terms on rare moments that only a process of its own shows: its descriptors, and how soon it is ready. */
+/**
+ * The users' requirements on rare situations that only a process of its own shows: exhausted descriptors, and
+ * the time to readiness.
+ */
 class RareMomentsIT {
     private static final int DESCRIPTORS = 256;
     private static final long GRACE = 2_050_000_000L;
     private static final String READY = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    /** One that may be closed unread: there are more than the process has descriptors for. */
+    /**
+     * Opens an idle connection, which the node may close unread: there are more than the process has
+     * descriptors for.
+     */
     private static Wire idle(int port, int number) throws IOException {
         Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
         if (number % 2 == 0) {
@@ -38,13 +44,16 @@
                 wire.write(get("idle" + number));
                 wire.message();
             } catch (IOException e) {
-                // closed to make room
+                // closed by the node to free a descriptor
             }
         }
         return wire;
     }
 
-    /** Idle callers fill the descriptors while discovery is down; it returns with a drain, which is heard and kept all the same. */
+    /**
+     * Idle clients exhaust the descriptors while discovery is down; it recovers with a drain update, which the
+     * node receives and applies all the same.
+     */
     @Test
     void idleCallersThatFillTheDescriptorsKeepNoDrainFromBeingHeard() throws Exception {
         List<Wire> callers = new ArrayList<>();
@@ -77,7 +86,10 @@
         }
     }
 
-    /** Ten nodes that start at once, as after a step of a rolling restart: nine are ready, and serve, within 10 s. */
+    /**
+     * Ten nodes start simultaneously, as after a step of a rolling restart: nine are ready, and serve, within
+     * 10 s.
+     */
     @Test
     void nineInTenRestartsAreReadyWithinTenSeconds() throws Exception {
         ExecutorService starts = Executors.newFixedThreadPool(10);
--- a/node/src/test/java/weldhitch/node/RequestWordsTest.java
+++ b/node/src/test/java/weldhitch/node/RequestWordsTest.java
@@ -5,7 +5,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The loops that read a request's words against the expressions that say what these are. */
+/**
+ * Compares the hand-written validators of request headers with the regular expressions that define the valid
+ * values.
+ */
 class RequestWordsTest {
     @Test
     void agreeWithTheExpressions() {
--- a/node/src/test/java/weldhitch/node/RestartMeasure.java
+++ b/node/src/test/java/weldhitch/node/RestartMeasure.java
@@ -15,8 +15,8 @@
 import weldhitch.testkit.Tests;
 
 /**
- * Measures planned restarts of the packaged node, by hand: start to ready, SIGTERM to the listener's close and to the
- * process's end, while a client keeps asking on one connection and while none does. The command stands in
+ * Measures planned restarts of the packaged node, by hand: start to ready, SIGTERM to the listener's close and
+ * to the process's end, while a client keeps sending on one connection and without load. The command stands in
  * docs/restarts.md.
  */
 final class RestartMeasure {
@@ -25,6 +25,7 @@
     private RestartMeasure() {
     }
 
+    /** Runs the measurement and prints its figures. */
     public static void main(String[] args) throws Exception {
         int restarts = args.length > 0 ? Integer.parseInt(args[0]) : 20;
         for (boolean asked : new boolean[] {true, false}) {
@@ -48,7 +49,8 @@
         int port = held.number();
         String hosts = Harness.host("s", server.address());
         try (held; Peer discovery = Harness.discovery(hosts)) {
-            // The classes of the service it was built for: 3 s at the longest, wanted within 1.2 s.
+            // The classes of the service it was built for: deadlines of at most 3 s, latency objectives of 1.2
+            // s.
             String json = new String(Harness.config(discovery.address(), hosts, 1024, ""), StandardCharsets.UTF_8)
                 .replace("127.0.0.1:0", held.address()).replace("\"aimS\":4.0", "\"aimS\":1.2")
                 .replace("\"deadlineS\":8.0", "\"deadlineS\":3.0");
@@ -112,7 +114,9 @@
         }
     }
 
-    /** Whether the listener is there, by the kernel's table: a connection would keep the node listening. */
+    /**
+     * Whether the listener exists, by the kernel's table: a connection attempt would keep the node listening.
+     */
     private static boolean listens(int port) throws IOException {
         String listening = "(?s).*:" + String.format("%04X", port) + " 0+:0000 0A.*";
         return Files.readString(Path.of("/proc/net/tcp")).matches(listening)
--- a/node/src/test/java/weldhitch/node/RoutesOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/RoutesOnSocketsTest.java
@@ -29,7 +29,7 @@
 import weldhitch.testkit.Tests;
 import weldhitch.testkit.Wire;
 
-/** The operator file over a live node: each rule as servers and callers see it. */
+/** The route configuration on a live node: each rule as servers and clients observe it. */
 class RoutesOnSocketsTest {
     private static final String TENANTS = ",\"customers\":[{\"name\":\"clinic-a\",\"quotaPerS\":5},"
         + "{\"name\":\"clinic-b\",\"quotaPerS\":5}]";
@@ -37,7 +37,7 @@
     @TempDir
     Path directory;
 
-    /** A node that allows second copies, before scripted servers. */
+    /** A node that allows hedged requests, in front of scripted servers. */
     private final class Site implements Closeable {
         final List<HttpUpstream> servers = new ArrayList<>();
         final Path file = directory.resolve("weldhitch.toml");
@@ -62,7 +62,7 @@
             Files.writeString(file, "version = 1\n" + rules + "\n# end\n");
         }
 
-        /** What SIGHUP does; returns when the rules that it found are in force. */
+        /** Does what SIGHUP does; returns once the rules it read are active. */
         void reload() throws Exception {
             Path platform = directory.resolve("platform.json");
             Files.write(platform, config);
@@ -106,7 +106,7 @@
                 [class.book]
                 retry-on = ["connect-failed"]
                 """, 4, refuse())) {
-            // Every server is full: the tries that a class allows are all made.
+            // Every server rejects: all attempts that the class allows are made.
             site.node.ask(get("three").replace("/read/x", "/read/x/y"));
             assertEquals(3, site.attempts("three"));
             site.node.ask(get("one"));
@@ -133,7 +133,8 @@
         try (Site site = new Site("[class.read]\nattempts = 2\nattempt-timeout = \"200ms\"\nhedge = \"off\"", 2, answer("x"))) {
             site.servers.forEach(s -> s.next(hang()));
             site.node.ask(get("a"));
-            // Both may be hung: the request then fails after two time-outs, else the second attempt is answered.
+            // Both servers may hang: then the request fails after two timeouts, else the second attempt is
+            // answered.
             assertEquals(2, site.attempts("a"));
             assertTrue(site.gap("a") >= 195_000_000L, site.gap("a") + " ns");
         }
@@ -175,7 +176,8 @@
                 least = Math.min(least, site.gap("r" + i));
                 most = Math.max(most, site.gap("r" + i));
             }
-            // Six waits of full jitter lie within 20 ms of each other twice in a million runs; waits of one length, always.
+            // Six delays with full jitter lie within 20 ms of each other twice in a million runs; fixed delays
+            // always do.
             assertTrue(most - least > 20_000_000L && most < TimeUnit.SECONDS.toNanos(3), least + " to " + most);
         }
     }
@@ -198,7 +200,10 @@
         }
     }
 
-    /** By behaviour: the good file allows one attempt, and every broken one would have allowed others or none. */
+    /**
+     * Checked by behaviour: the valid file allows one attempt, and every invalid one would have allowed more or
+     * none.
+     */
     @Test
     void everyBrokenFileLeavesTheLastGoodOneInForce() throws Exception {
         try (Site site = new Site("[class.read]\nattempts = 1", 4, refuse());
--- a/node/src/test/java/weldhitch/node/RulesOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/RulesOnSocketsTest.java
@@ -24,7 +24,10 @@
 import weldhitch.testkit.RuleKeeper;
 import weldhitch.testkit.Tests;
 
-/** The four rules, with servers and links that fail by a script, held by a caller that counts. */
+/**
+ * The four invariants, with servers and links that fail by a script, checked by a client that counts
+ * executions.
+ */
 class RulesOnSocketsTest {
     private static final long GRACE = 2_000_000_000L;
     private static final Step[] TROUBLES = {refuse(), fail(500), after(5, answer("slow")), resetBeforeLastByte(),
--- a/node/src/test/java/weldhitch/node/SignalsTest.java
+++ b/node/src/test/java/weldhitch/node/SignalsTest.java
@@ -24,7 +24,7 @@
 import weldhitch.testkit.Peer;
 import weldhitch.testkit.Tests;
 
-/** Signals at moments at which a node is not ready for them, raised by the test. */
+/** Signals at moments when a node is not ready for them, raised by the test. */
 class SignalsTest {
     @TempDir
     Path dir;
@@ -41,7 +41,10 @@
         port.close();
     }
 
-    /** Signals that a test raises; at once, where it says so, as if they had come in the first moment in which they can be heard. */
+    /**
+     * Signals that a test raises; immediately where it says so, as if they had arrived in the first moment
+     * after their handler was installed.
+     */
     private static final class Raised implements Signals {
         Runnable reload;
         Runnable end;
@@ -81,7 +84,10 @@
         return Map.of("GW_CONFIG", config.toString(), "GW_LISTEN", "127.0.0.1:" + port);
     }
 
-    /** A signal that came between the listener and its handler ended the process, with what it had taken. */
+    /**
+     * A signal that arrived between the opening of the listener and the installation of its handler ended the
+     * process, and lost the requests received.
+     */
     @Test
     void signalsAreHeardBeforeAnybodyCanConnect() throws Exception {
         Raised signals = new Raised();
@@ -122,7 +128,10 @@
         assertFalse(signals.connects());
     }
 
-    /** Two files, the older one slow to read: read on a thread for each signal, the older one was taken up last. */
+    /**
+     * Two files, the older one slow to read: when each signal read its file on a thread of its own, the older
+     * file was applied last.
+     */
     @Test
     void theNewestConfigurationIsTakenUpLast() throws Exception {
         Raised signals = new Raised();
@@ -131,7 +140,7 @@
             Path config = Files.write(dir.resolve("config"), Harness.config("127.0.0.1:9", "", 1024, ""));
             Node node = new NodeService(environment(config, signals.port), signals).start(null);
             Files.delete(config);
-            // A pipe is read only once somebody writes to it.
+            // Reading from a pipe blocks until somebody writes to it.
             assertEquals(0, new ProcessBuilder("mkfifo", config.toString()).start().waitFor());
             Thread first = Tests.daemon(() -> signals.reload.run());
             try (OutputStream pipe = Files.newOutputStream(config)) {
--- a/node/src/test/java/weldhitch/node/StartCost.java
+++ b/node/src/test/java/weldhitch/node/StartCost.java
@@ -8,13 +8,15 @@
 import weldhitch.testkit.Wire;
 
 /**
- * Measures, by hand, the processor time of a packaged node: until it listens, for its first 300 requests and for the
- * next 2,000. Options of the virtual machine to try are the arguments. The command stands in docs/restarts.md.
+ * Measures, by hand, the processor time of a packaged node: until it listens, for its first 300 requests and
+ * for the next 2,000. The arguments are the options of the virtual machine to try. The command stands in
+ * docs/restarts.md.
  */
 final class StartCost {
     private StartCost() {
     }
 
+    /** Runs the measurement with the options given and prints its figures. */
     public static void main(String[] args) throws Exception {
         String options = String.join(" ", args);
         List<List<Long>> spent = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
--- a/node/src/test/java/weldhitch/node/StreamTest.java
+++ b/node/src/test/java/weldhitch/node/StreamTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.testkit.Tests;
 
-/** Long bodies: passed on as they come, within bounds, and never made to look whole. */
+/** Long bodies: streamed within memory bounds, and never made to look complete when truncated. */
 class StreamTest {
     private static byte[] noise(int size) {
         byte[] bytes = new byte[size];
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Guards against holding back a long answer of unstated length until its client's time has run out. */
+    /** Regression: buffering a long response of unstated length until its client's timeout has expired. */
     @Test
     void slowAnswerOfUnknownLengthPassesOnBeforeItIsWhole() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
@@ -98,7 +98,7 @@
         }
     }
 
-    /** A client that does not read stops the server's writing, not the node's memory. */
+    /** A client that does not read applies backpressure to the server and does not fill the node's memory. */
     @Test
     void slowReaderHoldsTheServerBack() throws Exception {
         AtomicLong sent = new AtomicLong();
@@ -117,7 +117,7 @@
             Wire wire = h.client();
             wire.write(feed("1"));
             wire.head();
-            // Stuck: nothing more could be written for 300 ms.
+            // Blocked: nothing more could be written for 300 ms.
             Tests.await(() -> sent.get() > 0 && System.nanoTime() - sentAt.get() > 300_000_000L);
             assertTrue(sent.get() < body.length, "the node took all of it in for a client that reads nothing");
             assertArrayEquals(body, wire.bytes(body.length));
@@ -142,7 +142,10 @@
         }
     }
 
-    /** A request whose last byte the node still holds has run nowhere: it is refused, so that it may be tried again. */
+    /**
+     * A request whose last byte has not left the node has not been executed: it is rejected, so that it may be
+     * retried.
+     */
     @Test
     void requestNotWrittenWhollyInTimeIsRefused() throws Exception {
         byte[] body = noise(24 << 20);
@@ -160,7 +163,9 @@
         }
     }
 
-    /** Guards against ending a body twice where writing one piece makes room for the next on the spot. */
+    /**
+     * Regression: ending a body twice if writing one chunk makes the channel writable again within the write.
+     */
     @Test
     void bodyOfAFewPiecesIsEndedOnce() throws Exception {
         Peer server = Peer.answering(m -> Harness.ok("" + m.body().length));
--- a/operator/src/main/java/weldhitch/operator/Addresses.java
+++ b/operator/src/main/java/weldhitch/operator/Addresses.java
@@ -6,14 +6,17 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Addresses in files: in digits, as nothing here looks names up. */
+/**
+ * Parses addresses in configuration files. They have to be numeric, as no names are resolved here. Stateless
+ * and thread-safe.
+ */
 public final class Addresses {
     private static final Pattern ADDRESS = Pattern.compile("([0-9]{1,3}(?:\\.[0-9]{1,3}){3}):([0-9]{1,5})");
 
     private Addresses() {
     }
 
-    /** {@code HOST:PORT} with an IPv4 address, port 0 to 65535; null for anything else. */
+    /** Parses {@code HOST:PORT} with an IPv4 address and a port from 0 to 65535; null for anything else. */
     public static InetSocketAddress read(String text) {
         Matcher m = ADDRESS.matcher(text);
         if (!m.matches() || Integer.parseInt(m.group(2)) > 65535) {
--- a/operator/src/main/java/weldhitch/operator/CaptureSection.java
+++ b/operator/src/main/java/weldhitch/operator/CaptureSection.java
@@ -9,7 +9,10 @@
 import java.util.regex.Pattern;
 import weldhitch.capture.policy.CaptureRules;
 
-/** Reads the section {@code [capture]}. What is wrong is noted by the reader, all of it at once. */
+/**
+ * Reads the section {@code [capture]}. Problems are reported to the {@link Reader}, all of them in one pass.
+ * Used by {@link OperatorFile} for one file; not thread-safe.
+ */
 final class CaptureSection {
     private static final List<String> KEYS = List.of("on", "directory", "segment-size", "segment-age", "total-size",
         "snapshot-every", "queue");
@@ -20,11 +23,12 @@
 
     private final Reader reader;
 
+    /** Creates a section reader that reports problems to {@code reader}. */
     CaptureSection(Reader reader) {
         this.reader = reader;
     }
 
-    /** Null where there is none, or where it has errors. */
+    /** The settings of the section; null if there is none, or if it has errors. */
     CaptureSettings read(JsonNode capture) {
         if (!reader.table(capture, "capture")) {
             return null;
@@ -75,7 +79,7 @@
                 return path;
             }
         } catch (InvalidPathException e) {
-            // Told below.
+            // Reported below, together with relative paths.
         }
         reader.error("capture.directory", "\"" + text + "\" is no absolute path", "begin it with /");
         return null;
--- a/operator/src/main/java/weldhitch/operator/CaptureSettings.java
+++ b/operator/src/main/java/weldhitch/operator/CaptureSettings.java
@@ -3,6 +3,12 @@
 import java.nio.file.Path;
 import weldhitch.capture.policy.CaptureRules;
 
-/** The section {@code [capture]}: whether everything that decisions rest on is written down, where, and how much is kept. */
+/**
+ * The section {@code [capture]}. Immutable.
+ *
+ * @param on whether everything that decisions depend on is captured
+ * @param directory where captures are written
+ * @param rules how captures are split into segments and how much of them is retained
+ */
 public record CaptureSettings(boolean on, Path directory, CaptureRules rules) {
 }
--- a/operator/src/main/java/weldhitch/operator/Checker.java
+++ b/operator/src/main/java/weldhitch/operator/Checker.java
@@ -16,9 +16,12 @@
 import weldhitch.operator.Section.Kind;
 import weldhitch.operator.Section.Setting;
 
-/** Holds sections against the platform, the rules that never change, and each other. */
+/**
+ * Validates sections against the platform, the product's invariants, and each other. Used by {@link
+ * OperatorFile} for one file; not thread-safe.
+ */
 final class Checker {
-    /** Seconds of traffic that a percentile should not need more than. */
+    /** A hedge percentile that needs more than this many seconds of traffic is warned of. */
     private static final int PATIENCE_S = 60;
 
     private final String file;
@@ -27,7 +30,11 @@
     private final Map<String, RequestClass> classes;
     private final List<Problem> problems;
 
-    /** @param platform what the platform says, or null where it is not known */
+    /**
+     * Creates a validator that adds to {@code problems}.
+     *
+     * @param platform the platform's settings, or null if they are not known
+     */
     Checker(String file, Lines lines, Settings platform, List<Problem> problems) {
         this.file = file;
         this.lines = lines;
@@ -37,6 +44,7 @@
             : platform.classes().stream().collect(Collectors.toMap(RequestClass::name, c -> c));
     }
 
+    /** Checks each section by itself, and routes for ambiguity. */
     void sections(List<Section> sections) {
         for (Section section : sections) {
             String named = section.pattern().requestClass();
@@ -54,7 +62,7 @@
         }
     }
 
-    /** The key that says a route's class: its own, or its path. */
+    /** The key that determines a route's class: its class or its path. */
     private String firstSet(Section section) {
         for (String each : List.of("class", "path", "prefix")) {
             if (lines.has(section.key() + "." + each)) {
@@ -79,7 +87,7 @@
         }
     }
 
-    /** What a section sets that can't hold for the classes it is for, whatever else is set elsewhere. */
+    /** Reports settings of a section that are invalid for its classes, whatever other sections set. */
     private void own(Section section) {
         Effect effect = effect(section.pattern().requestClass());
         Setting retryOn = section.rules().get(Key.RETRY_ON);
@@ -127,7 +135,11 @@
         }
     }
 
-    /** What can't hold together once narrower sections are laid over wider ones, for one class or any (null). */
+    /**
+     * The settings that are in effect for one class, or any (null), once narrower sections override wider
+     * ones. Reports those that contradict each other, and drops hedging and retries that the class does not
+     * allow.
+     */
     Map<Key, Setting> effective(Map<Key, Setting> merged, Section section, String requestClass) {
         Map<Key, Setting> rules = new EnumMap<>(Key.class);
         rules.putAll(merged);
@@ -196,7 +208,10 @@
         }
     }
 
-    /** The first of them that this section sets itself, else the first of them that is set at all. */
+    /**
+     * The key to report: that of the first of these settings which the section sets itself, else of the first
+     * that is set at all.
+     */
     private static String at(Section section, Setting... settings) {
         String first = null;
         for (Setting each : settings) {
--- a/operator/src/main/java/weldhitch/operator/FleetSection.java
+++ b/operator/src/main/java/weldhitch/operator/FleetSection.java
@@ -7,18 +7,22 @@
 import java.util.regex.Pattern;
 import weldhitch.fleet.member.FleetSettings;
 
-/** Reads the section {@code [fleet]}. What is wrong is noted by the reader, all of it at once. */
+/**
+ * Reads the section {@code [fleet]}. Problems are reported to the {@link Reader}, all of them in one pass.
+ * Used by {@link OperatorFile} for one file; not thread-safe.
+ */
 final class FleetSection {
     private static final List<String> KEYS = List.of("cluster", "stewards", "before-join", "tell-version");
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
 
     private final Reader reader;
 
+    /** Creates a section reader that reports problems to {@code reader}. */
     FleetSection(Reader reader) {
         this.reader = reader;
     }
 
-    /** Null where there is none, or where it has errors. */
+    /** The settings of the section; null if there is none, or if it has errors. */
     FleetSettings read(JsonNode fleet) {
         if (!reader.table(fleet, "fleet")) {
             return null;
