--- a/operator/src/main/java/weldhitch/operator/Lines.java
+++ b/operator/src/main/java/weldhitch/operator/Lines.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * On which line each key of a TOML document stands: the library that reads the values does not say. Of a
- * document with faults (TOML 1.0) it says nothing of use past the first; tables of an array are numbered,
- * {@code route[0].deadline}.
+ * Finds the line of each key of a TOML document (TOML 1.0), as the library that reads the values does not
+ * report it. Tables of an array are numbered, {@code route[0].deadline}. For a document with syntax errors
+ * the index is useful only up to the first one. Immutable once it is constructed.
  */
 public final class Lines {
     private final String text;
@@ -16,6 +16,7 @@
     private int line = 1;
     private int twice;
 
+    /** Indexes a document. */
     public Lines(String text) {
         this.text = text;
         String table = "";
@@ -34,7 +35,7 @@
         }
     }
 
-    /** The line of the key, or of the nearest key around it; 1 where there is none. */
+    /** The line of the key, or of the nearest key that encloses it; 1 if there is none. */
     public int of(String key) {
         for (String k = key; !k.isEmpty(); k = parent(k)) {
             if (lines.containsKey(k)) {
@@ -44,11 +45,12 @@
         return 1;
     }
 
-    /** The first line with a key that was set before; 0 where there is none. */
+    /** The first line whose key was set before; 0 if there is none. */
     public int twice() {
         return twice;
     }
 
+    /** Whether the document sets this key. */
     boolean has(String key) {
         return lines.containsKey(key);
     }
@@ -145,7 +147,7 @@
         }
         String inside = text.substring(from, at);
         at += end.length();
-        // Up to two quotes more belong to a string of several lines.
+        // A multi-line string may end with up to two quotes of its own.
         while (end.length() == 3 && at < text.length() && text.charAt(at) == quote) {
             at++;
         }
--- a/operator/src/main/java/weldhitch/operator/LocalitySection.java
+++ b/operator/src/main/java/weldhitch/operator/LocalitySection.java
@@ -19,7 +19,10 @@
 import weldhitch.fleet.locality.LocalityRules;
 import weldhitch.fleet.locality.Regions;
 
-/** Reads {@code [zones]} and {@code [[locality]]}, and holds them against the platform. What is wrong is noted, all of it at once. */
+/**
+ * Reads {@code [zones]} and {@code [[locality]]} and checks them against the platform. Problems are reported
+ * to the {@link Reader}, all of them in one pass. Used by {@link OperatorFile} for one file; not thread-safe.
+ */
 final class LocalitySection {
     private static final int MOST_RULES = 200;
     private static final List<String> ZONES = List.of("rate", "regions");
@@ -32,12 +35,17 @@
     private final Reader reader;
     private final Settings platform;
     private final Set<String> routes;
-    /** Of the platform; empty where they are not known, and nothing is held against them. */
+    /** The platform's zones; empty if they are not known, in which case names of zones are not checked. */
     private final Set<String> zones;
     private Regions regions = new Regions(Map.of());
     private boolean sound = true;
 
-    /** @param routes names of the file's routes */
+    /**
+     * Creates a section reader that reports problems to {@code reader}.
+     *
+     * @param platform the platform's settings, or null if they are not known
+     * @param routes names of the file's routes
+     */
     LocalitySection(Reader reader, Settings platform, Set<String> routes) {
         this.reader = reader;
         this.platform = platform;
@@ -45,7 +53,7 @@
         zones = platform == null ? Set.of() : new TreeSet<>(platform.zones());
     }
 
-    /** Null where there is none, or where it has errors. */
+    /** The locality rules; null if there are none, or if they have errors. */
     LocalityRules read(JsonNode root) {
         JsonNode about = root.get("zones");
         JsonNode list = root.get("locality");
@@ -217,7 +225,10 @@
         return never;
     }
 
-    /** A zone whose requests could go nowhere at all would refuse them from the first on. */
+    /**
+     * Reports a rule that forbids all zones to the requests of some zone: that zone would reject all of them
+     * from the start.
+     */
     private void leavesSomething(LocalityRule rule, String key) {
         for (String own : zones) {
             if (regions.steps(rule, own, zones).stream().allMatch(Set::isEmpty)) {
@@ -227,7 +238,12 @@
         }
     }
 
-    /** {@code rising}: no longer short from a figure over the one that it begins at, not under it. */
+    /**
+     * Reads a hysteresis band.
+     *
+     * @param rising whether a level stops being short above the figure at which it begins to be, rather than
+     *     below it
+     */
     private Band band(JsonNode table, String at, String name, Band usual, boolean rising) {
         JsonNode value = table.get(name);
         if (value == null) {
--- a/operator/src/main/java/weldhitch/operator/OperatorFile.java
+++ b/operator/src/main/java/weldhitch/operator/OperatorFile.java
@@ -32,11 +32,11 @@
 import weldhitch.operator.Section.Setting;
 
 /**
- * An operator file as read: what is wrong with it, and, where nothing is, the routes it makes. The schema is
- * docs/operator-file.md.
+ * A route configuration as read from a file: its problems and, if there are no errors, the routes that it
+ * compiles to. The schema is described in docs/operator-file.md. Immutable.
  */
 public final class OperatorFile {
-    /** The last line of every file: one cut short does not have it. */
+    /** The last line of every file: a truncated file does not have it. */
     public static final String END = "# end";
     private static final int MOST_BYTES = 1 << 20;
 
@@ -60,18 +60,29 @@
         this.sources = sources;
     }
 
-    /** One rule as it holds for a request. {@code source} says who set it. */
+    /**
+     * One setting that is in effect for a request. Immutable.
+     *
+     * @param key the setting's key in the file
+     * @param value the setting, formatted for people
+     * @param source the section that made the setting and its line, or {@code platform}
+     */
     public record Rule(String key, String value, String source) {
     }
 
-    /** What holds for a request: the route that matches, null where none does, and each rule. */
+    /**
+     * The settings in effect for a request. Immutable.
+     *
+     * @param route the route that matches; null if none does
+     * @param rules the settings in effect
+     */
     public record Explanation(String route, List<Rule> rules) {
     }
 
     /**
-     * Reads and checks a file; blocks on it.
+     * Reads and validates a file; blocks on it.
      *
-     * @param platform what the platform says; null checks only what needs no word of it
+     * @param platform the platform's settings; if null, only what does not depend on them is checked
      */
     public static OperatorFile read(Path file, Settings platform) {
         try {
@@ -94,7 +105,13 @@
         return new OperatorFile(List.of(new Problem(file.toString(), line, "", what, instead, false)), null, Map.of(), null, null, null, null);
     }
 
-    /** Checks a file's text; {@code file} is what problems call it. */
+    /**
+     * Validates a file's text.
+     *
+     * @param file the name of the file in problems
+     * @param bytes the text in UTF-8
+     * @param platform the platform's settings; if null, only what does not depend on them is checked
+     */
     public static OperatorFile parse(String file, byte[] bytes, Settings platform) {
         List<Problem> problems = new ArrayList<>();
         String text;
@@ -112,7 +129,7 @@
         try {
             root = new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            // A key set twice is noticed only where the next one begins.
+            // The parser detects a duplicate key only where the next key begins.
             int twice = e.getOriginalMessage().contains("Duplicate key") ? new Lines(text).twice() : 0;
             int line = twice > 0 ? twice : e.getLocation() == null ? 0 : e.getLocation().getLineNr();
             problems.add(new Problem(file, line, "", "is no TOML: " + e.getOriginalMessage().lines().findFirst().orElse(""),
@@ -136,7 +153,10 @@
             usable ? fleet : null, usable ? locality : null);
     }
 
-    /** A route of any class becomes one for each class, as each has defaults of its own. */
+    /**
+     * Compiles sections to routes. A route without a class becomes one for each class, as each class has
+     * defaults of its own.
+     */
     private static void compile(List<Section> sections, Settings platform, Checker checker, List<Route> routes,
             Map<String, Map<Key, Setting>> sources) {
         Map<Key, Setting> defaults = new EnumMap<>(Key.class);
@@ -200,21 +220,26 @@
         return setting == null ? null : type.cast(setting.value());
     }
 
-    /** Errors and warnings by line; empty where there are none. */
+    /** Errors and warnings, by line; empty if there are none. */
     public List<Problem> problems() {
         return problems;
     }
 
+    /** The problems that prevent the file from being used. */
     public List<Problem> errors() {
         return problems.stream().filter(p -> !p.warning()).toList();
     }
 
-    /** Whether it can be put in force. */
+    /** Whether the file has no errors, so that it can be activated. */
     public boolean usable() {
         return routes != null;
     }
 
-    /** @throws IllegalStateException where the file is not {@link #usable} */
+    /**
+     * The routes that the file compiles to.
+     *
+     * @throws IllegalStateException if the file is not {@link #usable}
+     */
     public Routes routes() {
         if (routes == null) {
             throw new IllegalStateException("a file with errors makes no routes");
@@ -222,22 +247,24 @@
         return routes;
     }
 
-    /** What is to be captured; null where the file does not say, or is not {@link #usable}. */
+    /** The capture settings; null if the file has none, or is not {@link #usable}. */
     public CaptureSettings capture() {
         return capture;
     }
 
-    /** How the node takes part in what its fleet shares; null where the file does not say, or is not {@link #usable}. */
+    /** How the node takes part in its fleet; null if the file does not say, or is not {@link #usable}. */
     public FleetSettings fleet() {
         return fleet;
     }
 
-    /** Where requests may go by zone; null where the file does not say, or is not {@link #usable}. */
+    /** The locality rules; null if the file has none, or is not {@link #usable}. */
     public LocalityRules locality() {
         return locality;
     }
 
-    /** Which route a request goes by, and what holds for it. The file must be {@link #usable}. */
+    /**
+     * The route that matches a request and the settings in effect for it. The file must be {@link #usable}.
+     */
     public Explanation explain(String requestClass, String method, String target) {
         Route route = routes().match(requestClass, method, target);
         Map<Key, Setting> rules = route == null ? Map.of() : sources.get(route.name());
@@ -252,7 +279,10 @@
         return new Explanation(route == null ? null : route.group(), all);
     }
 
-    /** What holds where the file says nothing; {@code -} where that is the node's own to decide, or not known here. */
+    /**
+     * The setting in effect if the file does not make it; {@code -} if the node decides it by itself, or it
+     * is not known here.
+     */
     private String platforms(Key key, String requestClass) {
         if (platform == null) {
             return "-";
--- a/operator/src/main/java/weldhitch/operator/Problem.java
+++ b/operator/src/main/java/weldhitch/operator/Problem.java
@@ -1,16 +1,17 @@
 package weldhitch.operator;
 
 /**
- * What is wrong in an operator file.
+ * A problem in a route configuration. Immutable.
  *
- * @param line counted from 1; 0 where it is the whole file
+ * @param file the name of the file
+ * @param line counted from 1; 0 if the problem concerns the whole file
  * @param key the key's full name, such as {@code route[2].hedge.after}; empty for the whole file
  * @param what what is wrong
- * @param instead what would be right
- * @param warning whether the file can be used all the same
+ * @param instead what to write instead
+ * @param warning whether the file can be used nevertheless
  */
 public record Problem(String file, int line, String key, String what, String instead, boolean warning) {
-    /** One line, as compilers write it: {@code file:line: error: key: what; instead}. */
+    /** One line in the format of compilers: {@code file:line: error: key: description; remedy}. */
     @Override
     public String toString() {
         return file + ":" + line + ": " + (warning ? "warning" : "error") + ": " + (key.isEmpty() ? "" : key + ": ")
--- a/operator/src/main/java/weldhitch/operator/Reader.java
+++ b/operator/src/main/java/weldhitch/operator/Reader.java
@@ -22,7 +22,11 @@
 import weldhitch.operator.Section.Kind;
 import weldhitch.operator.Section.Setting;
 
-/** Reads sections from a document's values. What is wrong is noted and left out, so that all of it is found at once. */
+/**
+ * Reads sections from a parsed TOML document. A problem is reported and its setting left out, so that one
+ * pass finds all problems. Used by {@link OperatorFile} and the section readers for one file; not
+ * thread-safe.
+ */
 final class Reader {
     static final int MOST_ROUTES = 5000;
     private static final long LONGEST = 60_000_000_000L;
@@ -39,12 +43,14 @@
     private final Lines lines;
     private final List<Problem> problems;
 
+    /** Creates a reader that adds to {@code problems}. */
     Reader(String file, Lines lines, List<Problem> problems) {
         this.file = file;
         this.lines = lines;
         this.problems = problems;
     }
 
+    /** Reads the defaults, classes and routes, in this order. */
     List<Section> read(JsonNode root) {
         known(root, "", TOP);
         JsonNode version = root.get("version");
@@ -138,7 +144,7 @@
             return null;
         }
         if (!parts.isEmpty() && parts.get(0) != null) {
-            // The first part of a path is the request's class.
+            // The first segment of a path is the request's class.
             if (requestClass != null && !requestClass.equals(parts.get(0))) {
                 error(at, "no request of class " + requestClass + " has it: a path begins with its class",
                     "begin it with /" + requestClass + " or leave class out");
@@ -295,7 +301,10 @@
         return span(value, key, least, LONGEST);
     }
 
-    /** Nanoseconds from a text such as {@code "250ms"}; null where it is none from {@code least} to {@code most}. */
+    /**
+     * Nanoseconds from a text such as {@code "250ms"}; null, with a problem, if it is not a duration from
+     * {@code min} to {@code max}.
+     */
     Long span(JsonNode value, String key, long least, long most) {
         Matcher m = value.isTextual() ? SPAN.matcher(value.textValue()) : null;
         if (m == null || !m.matches()) {
@@ -312,6 +321,7 @@
         return (long) nanos;
     }
 
+    /** A whole number from {@code min} to {@code max}; null, with a problem, for anything else. */
     Integer count(JsonNode value, String key, int least, int most) {
         if (!value.isIntegralNumber() || !value.canConvertToInt() || value.intValue() < least || value.intValue() > most) {
             error(key, value + " is not a whole number from " + least + " to " + most,
@@ -321,6 +331,7 @@
         return value.intValue();
     }
 
+    /** A number from {@code min} to {@code max}; null, with a problem, for anything else. */
     Double number(JsonNode value, String key, double least, double most) {
         if (!value.isNumber() || !(value.doubleValue() >= least && value.doubleValue() <= most)) {
             error(key, value + " is not a number from " + Spans.plain(least) + " to " + Spans.plain(most),
@@ -330,6 +341,7 @@
         return value.doubleValue();
     }
 
+    /** A text that is not empty; null if the key is absent or, with a problem, for anything else. */
     String word(JsonNode table, String at, String name) {
         JsonNode value = table.get(name);
         if (value == null) {
@@ -342,6 +354,7 @@
         return value.textValue();
     }
 
+    /** Whether the value is a table; an absent value is not, without a problem. */
     boolean table(JsonNode value, String key) {
         if (value != null && !value.isObject()) {
             error(key, value + " is no table", "write [" + key + "] and its rules below it");
@@ -349,6 +362,7 @@
         return value != null && value.isObject();
     }
 
+    /** Whether the value is a table with all needed keys and no unknown ones; reports what is not so. */
     boolean members(JsonNode value, String key, List<String> known, List<String> needed, String example) {
         if (!value.isObject()) {
             error(key, value + " is no table", "write " + example);
@@ -364,6 +378,7 @@
         return sound;
     }
 
+    /** Whether a table has no unknown keys; reports those that it has. */
     boolean known(JsonNode table, String at, Collection<String> known) {
         boolean sound = true;
         for (Map.Entry<String, JsonNode> each : table.properties()) {
@@ -376,6 +391,7 @@
         return sound;
     }
 
+    /** Reports an error at a key. */
     void error(String key, String what, String instead) {
         problems.add(new Problem(file, lines.of(key), key, what, instead, false));
     }
--- a/operator/src/main/java/weldhitch/operator/Section.java
+++ b/operator/src/main/java/weldhitch/operator/Section.java
@@ -5,20 +5,30 @@
 import weldhitch.decision.RoutePattern;
 
 /**
- * A part of the file that sets rules: the defaults, a class or a route.
+ * A section of the file that makes settings: the defaults, a class or a route. Immutable.
  *
- * @param key where it stands in the file, such as {@code route[0]}
+ * @param kind what the section is
+ * @param key its key in the file, such as {@code route[0]}
  * @param name a route's or class's name
- * @param pattern what it matches
+ * @param pattern the requests that it matches
+ * @param rules its settings
  */
 record Section(Kind kind, String key, String name, RoutePattern pattern, Map<Key, Setting> rules) {
+    /** Kinds of sections, from wide to narrow; the order is the rank of the routes made from them. */
     enum Kind { DEFAULTS, CLASS, ROUTE }
 
-    /** A rule as set; {@code key} is where, and {@code source} how people call that place. */
+    /**
+     * A setting as made in the file. Immutable.
+     *
+     * @param value of the type that belongs to its key
+     * @param key its full key in the file
+     * @param line the line of that key
+     * @param source how messages refer to the section that makes it
+     */
     record Setting(Object value, String key, int line, String source) {
     }
 
-    /** Rules of this section over those of a wider one. */
+    /** The settings of this section, and those of a wider one that this one does not make. */
     Map<Key, Setting> over(Map<Key, Setting> wider) {
         Map<Key, Setting> merged = new EnumMap<>(Key.class);
         merged.putAll(wider);
--- a/operator/src/main/java/weldhitch/operator/Words.java
+++ b/operator/src/main/java/weldhitch/operator/Words.java
@@ -3,12 +3,12 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Guesses which known word was meant. */
+/** Suggests a known word for one that is not known. Stateless and thread-safe. */
 final class Words {
     private Words() {
     }
 
-    /** What to write instead of a word that is not known. */
+    /** The suggestion: the nearest known word, or a list of all. */
     static String instead(String word, Collection<String> known) {
         String nearest = null;
         int least = Math.max(2, word.length() / 2) + 1;
@@ -23,7 +23,7 @@
         return nearest != null ? "did you mean \"" + nearest + "\"?" : "known: " + String.join(", ", sorted);
     }
 
-    /** Single letters put in, left out or changed (Levenshtein). */
+    /** The edit distance of two words: inserted, deleted and substituted letters (Levenshtein). */
     private static int distance(String one, String other) {
         int[] row = new int[other.length() + 1];
         for (int j = 0; j < row.length; j++) {
--- a/operator/src/test/java/weldhitch/operator/BrokenFilesTest.java
+++ b/operator/src/test/java/weldhitch/operator/BrokenFilesTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Each broken file says in its first lines what must be found in it: {@code #! line | key | part of the reason}. */
+/**
+ * Each invalid file lists in its first lines the problems that must be found in it: {@code #! line | key |
+ * part of the reason}.
+ */
 class BrokenFilesTest {
     private static final Path FILES = Path.of("operator/src/test/resources/broken");
 
--- a/operator/src/test/java/weldhitch/operator/LocalityFileTest.java
+++ b/operator/src/test/java/weldhitch/operator/LocalityFileTest.java
@@ -17,7 +17,10 @@
 import weldhitch.fleet.locality.LocalityRule.Band;
 import weldhitch.fleet.locality.LocalityRules;
 
-/** {@code [zones]} and {@code [[locality]]}: what they make, and what is refused with line and key. */
+/**
+ * Tests {@code [zones]} and {@code [[locality]]}: the rules they yield, and that each error names its line
+ * and key.
+ */
 class LocalityFileTest {
     private static final Settings PLATFORM = Platforms.usual(Map.of("areas", "kigali,huye,rusizi,musanze", "az", "kigali"));
     private static final String SOUND = """
--- a/operator/src/test/java/weldhitch/operator/OperatorFileTest.java
+++ b/operator/src/test/java/weldhitch/operator/OperatorFileTest.java
@@ -20,6 +20,7 @@
 import weldhitch.operator.OperatorFile.Explanation;
 import weldhitch.operator.OperatorFile.Rule;
 
+/** Tests reading, validating and explaining route configurations. */
 class OperatorFileTest {
     private static final String SOUND = """
         version = 1
@@ -137,7 +138,9 @@
         assertFalse(parse(text).usable());
     }
 
-    /** An editor that truncates and writes shows every beginning of the file to who reads meanwhile. */
+    /**
+     * An editor that truncates a file and writes it anew exposes every prefix of it to a concurrent reader.
+     */
     @Test
     void noBeginningOfAFileIsTaken() {
         String whole = SOUND.stripTrailing();
--- a/operator/src/test/java/weldhitch/operator/Platforms.java
+++ b/operator/src/test/java/weldhitch/operator/Platforms.java
@@ -5,11 +5,12 @@
 import weldhitch.decision.Balancing.Settings;
 import weldhitch.decision.FlatSettings;
 
-/** A platform for files to be checked against. */
+/** Platform settings for tests to validate files against. */
 final class Platforms {
     private Platforms() {
     }
 
+    /** The default test platform with some settings changed. */
     static Settings usual(Map<String, String> changed) {
         Map<String, String> flat = new HashMap<>();
         String[] classes = {"read", "book", "feed", "whole"};
@@ -27,6 +28,7 @@
         return new FlatSettings(flat).settings();
     }
 
+    /** The default test platform. */
     static Settings usual() {
         return usual(Map.of());
     }
--- a/operator/src/test/java/weldhitch/operator/RulesHoldTest.java
+++ b/operator/src/test/java/weldhitch/operator/RulesHoldTest.java
@@ -20,7 +20,10 @@
 import weldhitch.decision.RatioBalancer;
 import weldhitch.decision.RouteRules;
 
-/** For any valid file and any outcomes of attempts the rules that never change hold. */
+/**
+ * Property test: for any valid file and any outcomes of attempts the balancer's invariants hold. No request
+ * that must not run twice may do so, and none outlives its deadline.
+ */
 class RulesHoldTest {
     private static final long MS = 1_000_000L;
 
@@ -49,6 +52,7 @@
             .as((a, b, c, d, e, f, g, h) -> a + b + c + d + e + f + g + h);
     }
 
+    /** What the test tracks of one request. */
     private static final class Asked {
         String requestClass;
         long deadline;
@@ -65,7 +69,7 @@
         OperatorFile file = OperatorFile.parse("any.toml", text.getBytes(StandardCharsets.UTF_8), platform);
         Statistics.label("usable").collect(file.usable()).coverage(c -> c.check(true).percentage(p -> p > 20));
         if (!file.usable()) {
-            // A file that contradicts itself never comes into force; what is left of the rules is the platform's.
+            // A file that contradicts itself is never activated; the platform's settings apply then.
             assertTrue(file.errors().stream().allMatch(p -> p.line() > 0), file.problems().toString());
             return;
         }
@@ -73,7 +77,7 @@
     }
 
     private final Map<String, Asked> asked = new HashMap<>();
-    /** Attempts that are out: request, number, server. */
+    /** Outstanding attempts: request id, attempt number, endpoint. */
     private final List<Object[]> out = new ArrayList<>();
     private long now = 1_000_000_000_000L;
     private long timer = Long.MAX_VALUE;
@@ -148,7 +152,7 @@
                 assertTrue(now < a.deadline, "sent past its deadline");
                 assertTrue(send.timeout() == 0 ? a.rules.deadline() == 0 : now + send.timeout() <= a.deadline,
                     "an attempt may outlive its deadline");
-                // Every attempt counts as one that may have run until its outcome proves that it has not.
+                // Every attempt counts as possibly executed until its outcome proves that it was not.
                 a.mayHaveRun++;
                 a.out++;
                 assertTrue(!a.requestClass.equals("book") || a.mayHaveRun <= 1, "an unsafe request may run twice");
--- a/replay/src/main/java/weldhitch/replay/Cut.java
+++ b/replay/src/main/java/weldhitch/replay/Cut.java
@@ -12,35 +12,40 @@
 import weldhitch.capture.format.CaptureFiles;
 import weldhitch.capture.format.Entry;
 import weldhitch.capture.format.SegmentWriter;
-import weldhitch.decision.Balancing;
+import weldhitch.decision.RingPosition;
 import weldhitch.decision.RatioBalancer;
 import weldhitch.decision.Snapshot;
 
 /**
- * Makes a small excerpt of a capture: from an event on, so many, with what was known before the first, and with requests,
- * servers, tenants and paths renamed, each always to the same. Decisions stay what they were, so an excerpt plays as its
- * original does.
+ * Extracts a capture slice: a number of consecutive events with a snapshot of the state before the first one,
+ * in which requests, endpoints, tenants and paths are renamed consistently. Decisions do not change, so a slice
+ * replays like its original. Not thread-safe.
  */
 public final class Cut {
     private final long from;
     private final long count;
     private final List<Entry> kept = new ArrayList<>();
 
-    /** @param from the first event, counted from 1 */
+    /**
+     * Creates a slicer for a range of events.
+     *
+     * @param from the first event, counted from 1
+     * @param count maximum number of events
+     */
     public Cut(long from, long count) {
         this.from = from;
         this.count = count;
     }
 
-    /** Events kept. */
+    /** Returns the number of events in the slice. */
     public long events() {
         return kept.stream().filter(Entry.Told.class::isInstance).count();
     }
 
     /**
-     * Reads a capture and keeps the events asked for.
+     * Reads a capture and collects the requested events.
      *
-     * @throws IOException where it can't be read, or its decisions are not those of this build up to there
+     * @throws IOException if it cannot be read, or this build's decisions diverge from it before the slice
      */
     public Cut read(Collection<Path> paths) throws IOException {
         Player before = new Player(null, false).until(from - 1, Long.MAX_VALUE);
@@ -77,11 +82,11 @@
         return this;
     }
 
-    /** Renames and writes what is kept; the file must not be there. */
+    /** Anonymizes the collected entries and writes them to a file, which must not exist. */
     public void write(Path file) throws IOException {
         Rename rename = new Rename(kept);
         List<Entry> renamed = kept.stream().map(rename::entry).toList();
-        // What plays otherwise under its new names would be no excerpt of this.
+        // A slice that replays differently under its new names would not represent the original.
         Player check = new Player(null, false);
         renamed.forEach(check);
         if (!check.differences().isEmpty()) {
@@ -100,10 +105,13 @@
         }
     }
 
-    /** The names of servers, as {@link RatioBalancer} sorts by them: new ones must sort as the old ones did. */
+    /**
+     * Returns new names for endpoints. {@link RatioBalancer} orders endpoints by their ring positions, so the
+     * new names must sort as the old ones did.
+     */
     static Map<String, String> servers(Set<String> names) {
         List<String> sorted = new ArrayList<>(names);
-        sorted.sort(java.util.Comparator.comparingInt(Balancing::place).thenComparing(n -> n));
+        sorted.sort(java.util.Comparator.comparingInt(RingPosition::of).thenComparing(n -> n));
         Map<String, String> renamed = new LinkedHashMap<>();
         int tried = 0;
         long room = (1L << 31) / (sorted.size() + 1);
@@ -111,7 +119,7 @@
             String name;
             do {
                 name = "server-" + Integer.toString(tried++, 36);
-            } while (Balancing.place(name) < i * room || Balancing.place(name) >= (i + 1) * room);
+            } while (RingPosition.of(name) < i * room || RingPosition.of(name) >= (i + 1) * room);
             renamed.put(sorted.get(i), name);
         }
         return renamed;
--- a/replay/src/main/java/weldhitch/replay/Excerpt.java
+++ b/replay/src/main/java/weldhitch/replay/Excerpt.java
@@ -7,8 +7,9 @@
 import weldhitch.capture.format.Entry;
 
 /**
- * An incident as a regression test: an excerpt of a capture, played by this build, with what must hold of it. Each check
- * throws an {@link AssertionError} that says what did not, so it serves in any test framework.
+ * An incident as a regression test: a capture slice, replayed by this build, with assertions on the result. A
+ * failed assertion throws an {@link AssertionError} that names what did not hold, so any test framework can use
+ * it. Not thread-safe.
  */
 public final class Excerpt {
     private final Path file;
@@ -21,7 +22,7 @@
         player = new Player(summary, false, summary);
     }
 
-    /** Reads and plays it. */
+    /** Reads and replays a slice. */
     public static Excerpt play(Path file) throws IOException {
         Excerpt excerpt = new Excerpt(file);
         CaptureFiles.read(List.of(file), excerpt::entry);
@@ -34,19 +35,21 @@
         verify.accept(entry);
     }
 
-    /** Every decision is the captured one. Not to be asked for where a rule was changed on purpose. */
+    /**
+     * Asserts that every decision equals the captured one; not for slices whose rules were changed on purpose.
+     */
     public Excerpt decidesAlike() {
         check(player.differences().isEmpty(), "decides otherwise: " + player.differences().stream().findFirst().orElse(null));
         return this;
     }
 
-    /** None of the four rules is broken in it. */
+    /** Asserts that the captured run violates none of the four invariants. */
     public Excerpt keepsTheRules() {
         check(verify.judge.breaches().isEmpty(), "breaks a rule: " + verify.judge.breaches().stream().findFirst().orElse(null));
         return this;
     }
 
-    /** A server gets at most this part of the sends, 0 to 1. */
+    /** Asserts that an endpoint gets at most this fraction of the attempts, 0 to 1. */
     public Excerpt sendsAtMost(String server, double part) {
         long all = summary.servers.values().stream().mapToLong(s -> s.sends).sum();
         double share = summary.servers.containsKey(server) ? (double) summary.servers.get(server).sends / all : 0;
@@ -54,7 +57,9 @@
         return this;
     }
 
-    /** At least this part of the requests that arrive and end in it is served, 0 to 1. */
+    /**
+     * Asserts that at least this fraction (0 to 1) of the requests that arrive and end in the slice is served.
+     */
     public Excerpt servesAtLeast(double part) {
         long served = summary.classes.values().stream().mapToLong(c -> c.served + c.late).sum();
         long ended = summary.classes.values().stream().mapToLong(c -> c.served + c.late + c.refused + c.failed + c.gone).sum();
@@ -62,7 +67,7 @@
         return this;
     }
 
-    /** What was counted, for checks of a test's own. */
+    /** Returns the counts of the replay, for a test's own assertions. */
     public Summary summary() {
         return summary;
     }
--- a/replay/src/main/java/weldhitch/replay/Explanation.java
+++ b/replay/src/main/java/weldhitch/replay/Explanation.java
@@ -8,12 +8,20 @@
 import weldhitch.decision.Balancing.*;
 import weldhitch.decision.Watch;
 
-/** Collects why one request went where it went, or why calls were drawn around one server, while a capture is played. */
+/**
+ * Collects, while a capture is replayed, why one request was routed as it was, or why an endpoint was or was
+ * not picked. Not thread-safe; notified on the replaying thread.
+ */
 public final class Explanation implements Watch, Player.Listener {
     private static final long MS = 1_000_000L;
     private static final int MOST = 10_000;
 
-    /** One thing that happened; {@code draw} where it was one. {@code at}: nanoseconds of the node's clock. */
+    /**
+     * One step of the explanation. Immutable.
+     *
+     * @param at nanoseconds of the node's clock
+     * @param draw the trace if the step is a pick of an endpoint, else null
+     */
     public record Step(long at, String what, Drawn draw) {
     }
 
@@ -30,12 +38,15 @@
         this.around = around;
     }
 
-    /** Of one request. */
+    /** Creates an explainer of one request. */
     public static Explanation ofRequest(String id) {
         return new Explanation(id, null, 0);
     }
 
-    /** Of the last draw at that time or before it in which the server stood, chosen or not. */
+    /**
+     * Creates an explainer of the last pick, not after that time, that had the endpoint as a candidate, chosen
+     * or not.
+     */
     public static Explanation ofServer(String id, long atNanos) {
         return new Explanation(null, id, atNanos);
     }
@@ -124,13 +135,13 @@
         };
     }
 
-    /** In the order in which they happened; empty where nothing was found. */
+    /** Returns the steps in the order in which they happened; empty if nothing was found. */
     public List<Step> steps() {
         return nearest == null ? List.copyOf(steps)
             : List.of(new Step(nearest.at(), "request " + nearest.request() + " is drawn for: " + nearest.chosen() + " takes it", nearest));
     }
 
-    /** In plain words, a line a step, with the draws as tables. */
+    /** Returns the explanation as text, one line per step, with the picks as tables. */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Step step : steps()) {
--- a/replay/src/main/java/weldhitch/replay/Player.java
+++ b/replay/src/main/java/weldhitch/replay/Player.java
@@ -15,43 +15,56 @@
 import weldhitch.decision.Watch;
 
 /**
- * Plays a capture by this build's own decisions and holds each against the captured one. Begins at the first snapshot,
- * and anew behind what is missing or damaged. Where snapshots follow one another with nothing missing, what the module
- * knows by then is held against each as well.
+ * Replays a capture with this build's balancer and compares each decision with the captured one. Starts at the
+ * first snapshot, and restarts at the next snapshot after dropped events, corruption or a divergence. Between
+ * snapshots without such a gap, the balancer's state is compared with each snapshot as well. Not thread-safe:
+ * one thread feeds it the entries in order.
  */
 public final class Player implements Consumer<Entry> {
-    /** Told of each event as it is played, and of what can't be. */
+    /** Notified of each replayed event, snapshot and corruption, on the thread that feeds the entries. */
     public interface Listener {
-        /** Before the event is played. */
+        /** Called before the event is replayed. */
         default void playing(Entry.Told told) {
         }
 
-        /** @param actions what this build decided */
+        /**
+         * Called after the event was replayed, before its actions are compared.
+         *
+         * @param number of the event, from 1
+         * @param actions what this build decided
+         */
         default void played(long number, Entry.Told told, List<Action> actions) {
         }
 
-        /** @param anew whether the module was made from it, as something is missing before it or nothing came before */
+        /**
+         * Called at each snapshot.
+         *
+         * @param anew whether replay restarts here: nothing was replayed before, or a gap or divergence
+         *     precedes it
+         */
         default void known(Entry.Known known, boolean anew) {
         }
 
+        /** Called for each part of a file that cannot be read. */
         default void damaged(Entry.Damage damage) {
         }
     }
 
     /**
-     * Where the two part.
+     * A point at which the replay diverges from the capture. Immutable.
      *
      * @param number of the event, from 1
-     * @param told the captured event with what was decided on it; null where what is known differs at a snapshot
-     * @param replayed what this build decides
-     * @param what in words
+     * @param at nanoseconds of the node's clock
+     * @param told the captured event with its actions; null if the state diverges at a snapshot
+     * @param replayed the actions that this build decides
+     * @param what description for people
      */
     public record Difference(long number, long at, Entry.Told told, List<Action> replayed, String what) {
     }
 
     private final Watch watch;
     private boolean restoreAtEach;
-    /** Whether the captured routes are left out, for these. */
+    /** Whether {@code routeOverride} replaces the captured routes. */
     private boolean otherRoutes;
     private Routes routes;
     private final List<Listener> listeners;
@@ -73,8 +86,11 @@
     private long untilTime = Long.MAX_VALUE;
 
     /**
-     * @param watch told why, or null
-     * @param restoreAtEach whether each snapshot is taken up, rather than held against what is known by then
+     * Creates a replayer of a complete capture.
+     *
+     * @param watch notified of the balancer's decision reasons, or null
+     * @param restoreAtEach whether to restore the balancer at each snapshot instead of comparing its state with
+     *     it
      */
     public Player(Watch watch, boolean restoreAtEach, Listener... listeners) {
         this.watch = watch;
@@ -82,13 +98,13 @@
         this.listeners = List.of(listeners);
     }
 
-    /** Begins at this snapshot, counted from 1. */
+    /** Starts at this snapshot, counted from 1. */
     public Player from(long snapshot) {
         from = snapshot;
         return this;
     }
 
-    /** Plays no event after this one, counted from 1, and none of a later time (nanoseconds). */
+    /** Replays no event after this one, counted from 1, and none with a later timestamp (nanoseconds). */
     public Player until(long number, long time) {
         until = number;
         untilTime = time;
@@ -96,8 +112,9 @@
     }
 
     /**
-     * Plays by these routes (none where null) in place of the captured ones, anew from each snapshot, so that each stretch
-     * tells where decisions first part. What was under way at a snapshot keeps its rules.
+     * Replays with these routes (null for none) in place of the captured ones, restoring at each snapshot, so
+     * that each section between two snapshots shows where decisions first diverge. Requests in flight at a
+     * snapshot keep the route rules they had.
      */
     public Player under(Routes others) {
         otherRoutes = true;
@@ -172,7 +189,7 @@
         listeners.forEach(l -> l.played(events + skipped, told, own));
         if (!own.equals(told.actions())) {
             differ(told.now(), told, own, "decisions differ");
-            // What follows would differ by this one; the next snapshot is a new beginning.
+            // Later decisions would diverge as a consequence; replay restarts at the next snapshot.
             module = null;
         }
     }
@@ -181,7 +198,7 @@
         differences.add(new Difference(events + skipped, at, told, own, what));
     }
 
-    /** The first part of two trees that is not the same, as a path with both values; null where there is none. */
+    /** Returns the first difference of two trees, as a path with both values, or null if they are equal. */
     private static String parts(String path, JsonNode own, JsonNode captured) {
         if (own.equals(captured)) {
             return null;
@@ -205,53 +222,60 @@
         return path + ": " + own + " here, " + captured + " in the capture";
     }
 
-    /** What the module knows after the last event played; null where none was. */
+    /** Returns the balancer's state after the last replayed event; null if no balancer is active. */
     public Snapshot snapshot() {
         return module == null ? null : module.snapshot();
     }
 
+    /** Returns the divergences found so far, in order. */
     public List<Difference> differences() {
         return List.copyOf(differences);
     }
 
-    /** Events played, and held against the capture. */
+    /** Returns the number of events that were replayed and compared with the capture. */
     public long events() {
         return events;
     }
 
-    /** Events that could not be played, for want of a snapshot before them. */
+    /** Returns the number of events that could not be replayed because no usable snapshot preceded them. */
     public long skipped() {
         return skipped;
     }
 
+    /** Returns the number of actions that this build decided on. */
     public long actions() {
         return actions;
     }
 
+    /** Returns the number of snapshots read. */
     public long snapshots() {
         return snapshots;
     }
 
-    /** How often the module was made from a snapshot. */
+    /** Returns how often the balancer was restored from a snapshot. */
     public long beginnings() {
         return anew;
     }
 
+    /** Returns the number of unreadable parts. */
     public long damages() {
         return damages;
     }
 
-    /** Events that the capture says were not written. */
+    /** Returns the number of events that the capture reports as dropped. */
     public long missed() {
         return missed;
     }
 
-    /** Nanoseconds from the first event played to the last. */
+    /** Returns the nanoseconds from the first replayed event to the last; 0 if there was none. */
     public long span() {
         return Math.max(0, lastAt - firstAt);
     }
 
-    /** The node's clock at the first event played, nanoseconds; the most there is where none was. */
+    /**
+     * Returns the node's clock at the first replayed event, in nanoseconds; {@link Long#MAX_VALUE} if there was
+     * none.
+     */
     public long firstAt() {
         return firstAt;
     }
--- a/replay/src/main/java/weldhitch/replay/Rename.java
+++ b/replay/src/main/java/weldhitch/replay/Rename.java
@@ -12,13 +12,16 @@
 import weldhitch.decision.Routes;
 import weldhitch.decision.Snapshot;
 
-/** Gives requests, servers, tenants and parts of paths other names, the same one each time. */
+/**
+ * Replaces the names of requests, endpoints, tenants and path segments in the entries of a capture slice, each
+ * name always by the same new one. Used by {@link Cut}; not thread-safe.
+ */
 final class Rename {
     private final Map<String, String> servers;
     private final Map<String, String> requests = new LinkedHashMap<>();
     private final Map<String, String> tenants = new LinkedHashMap<>();
     private final Map<String, String> parts = new LinkedHashMap<>();
-    /** Parts of paths by which routes are found. */
+    /** Path segments that stay because routes match on them, and names of request classes. */
     private final Set<String> spelledOut = new LinkedHashSet<>();
 
     Rename(List<Entry> entries) {
--- a/replay/src/main/java/weldhitch/replay/Summary.java
+++ b/replay/src/main/java/weldhitch/replay/Summary.java
@@ -12,14 +12,20 @@
 import weldhitch.decision.Watch;
 
 /**
- * Counts what a capture holds while it is played: requests by class and how they ended, refusals and failures by cause,
- * shares and latencies of servers, in all and by spans of time. Causes come from the module that is played.
+ * Counts the content of a capture while it is replayed: requests by class and how they ended, rejections and
+ * failures by cause, attempts and latencies by endpoint, and requests by interval of time. Causes come from the
+ * replayed balancer. Not thread-safe; notified on the replaying thread.
  */
 public final class Summary implements Watch, Player.Listener {
-    /** Latencies up to ten minutes, in microseconds, to two digits. */
+    /**
+     * Upper limit of recorded latencies: ten minutes, in microseconds. Histograms keep two significant digits.
+     */
     public static final long LONGEST_US = 600_000_000L;
 
-    /** How requests ended. {@code causes}: of those refused or failed. */
+    /**
+     * Counts of requests by how they ended; {@code causes} counts the rejected and failed ones by reason.
+     * Mutable.
+     */
     public static final class Counts {
         public long arrived;
         public long served;
@@ -30,7 +36,7 @@
         public long sends;
         public final Map<String, Long> causes = new TreeMap<>();
 
-        /** Counts these too. */
+        /** Adds the other counts to these. */
         public void add(Counts other) {
             arrived += other.arrived;
             served += other.served;
@@ -43,22 +49,26 @@
         }
 
         private void cause(Why why, String kind) {
-            causes.merge(kind + ": " + (why == null ? "unknown" : why.name().toLowerCase(Locale.ROOT).replace('_', ' ')), 1L, Long::sum);
+            causes.merge(kind + ": " + (why == null ? "unknown" : why.label()), 1L, Long::sum);
         }
     }
 
-    /** A server's part. */
+    /** Attempts, outcomes and latencies of one endpoint. Mutable. */
     public static final class Server {
         public long sends;
         public final Map<String, Long> outcomes = new TreeMap<>();
         private final Histogram latency = new Histogram(LONGEST_US, 2);
 
-        /** Milliseconds of served attempts. */
+        /**
+         * Returns a percentile (0 to 100) of the latencies of served attempts, in milliseconds; 0 if there are
+         * none.
+         */
         public double latencyMs(double percentile) {
             return latency.getTotalCount() == 0 ? 0 : latency.getValueAtPercentile(percentile) / 1000.0;
         }
     }
 
+    /** A request that has arrived and not ended yet, with the counts of the interval in which it arrived. */
     private record Open(String requestClass, long arrivedAt, Counts span) {
     }
 
@@ -66,16 +76,23 @@
     private final Map<String, Open> open = new LinkedHashMap<>();
     private final Map<String, Why> whys = new LinkedHashMap<>();
     private final Map<String, Long> aims = new LinkedHashMap<>();
+    /** Counts by request class; the key is "null" for requests without one. */
     public final Map<String, Counts> classes = new TreeMap<>();
+    /** Statistics by endpoint id. */
     public final Map<String, Server> servers = new TreeMap<>();
-    /** Microseconds from arrival to answer of those served, by class. */
+    /** Time from arrival to answer of served requests, in microseconds, by class. */
     public final Map<String, Histogram> answers = new TreeMap<>();
-    /** By the start of each span, milliseconds since the first event. */
+    /** Counts by interval; the key is the interval's start, in milliseconds since the first event. */
     public final Map<Long, Counts> spans = new TreeMap<>();
+    /** Descriptions of the parts of the capture that cannot be read. */
     public final List<String> damages = new ArrayList<>();
     private long firstAt = Long.MIN_VALUE;
 
-    /** @param spanNanos how long a span of {@link #spans} is */
+    /**
+     * Creates an empty summary.
+     *
+     * @param spanNanos length of an interval of {@link #spans}, nanoseconds
+     */
     public Summary(long spanNanos) {
         this.spanNanos = spanNanos;
     }
@@ -150,6 +167,7 @@
         }
     }
 
+    /** Applies the end of a request to the counts of its class and of its interval. */
     private interface End {
         void count(Counts counts, Why why);
     }
--- a/replay/src/main/java/weldhitch/replay/Verify.java
+++ b/replay/src/main/java/weldhitch/replay/Verify.java
@@ -4,8 +4,12 @@
 import weldhitch.replay.policy.RuleJudge;
 import java.util.function.Consumer;
 
-/** Holds a capture against the four rules, by what it says was told and decided; nothing is played. */
+/**
+ * Checks the captured events and actions against the four invariants, without replaying them. Checking restarts
+ * at the next snapshot after a gap, corruption or the start of another run. Not thread-safe.
+ */
 public final class Verify implements Consumer<Entry> {
+    /** The checker, which holds the violations found so far. */
     public final RuleJudge judge = new RuleJudge();
     private String run;
     private boolean reads;
@@ -27,6 +31,7 @@
         }
     }
 
+    /** Returns the number of unreadable parts. */
     public long damages() {
         return damages;
     }
--- a/replay/src/main/java/weldhitch/replay/package-info.java
+++ b/replay/src/main/java/weldhitch/replay/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A capture played again. {@code Player} does so and holds each decision against the capture; what listens to it counts,
- * explains or checks. {@code policy} is the rules that a node must keep, as a judge of what it did.
+ * Replays captures. {@code Replayer} feeds the events to this build's balancer and compares each decision with
+ * the capture; its listeners count and explain. {@code policy} checks a run against the invariants that a node
+ * must keep.
  */
 package weldhitch.replay;
--- a/replay/src/main/java/weldhitch/replay/policy/RuleJudge.java
+++ b/replay/src/main/java/weldhitch/replay/policy/RuleJudge.java
@@ -10,23 +10,30 @@
 import weldhitch.decision.Snapshot;
 
 /**
- * Holds what a node was told and what it decided against the four rules: one final answer in time and nothing after it;
- * no effect twice; nothing to a server that drains past the grace; no cold server pushed over; and, where requests are
- * bound to zones, nothing to others. It judges by events and
- * decisions alone, knows nothing of how decisions come about, and judges one node: what several send a cold server
- * together it can't see. Times are nanoseconds.
+ * Checks a node's events and actions against the four invariants: one final answer within the deadline and no
+ * attempt after it; no effect twice; no attempt to a draining endpoint after the grace period; no overload of
+ * an endpoint that is warming up; and, where a request has allowed zones, no attempt in another zone. It uses
+ * events and actions alone, independently of how decisions are made, and checks one node: it cannot see what
+ * several nodes together send to an endpoint that is warming up. Times are nanoseconds. Not thread-safe.
  */
 public final class RuleJudge {
-    /** What each limit of time is longer by on sockets. */
+    /** Added to each time limit to allow for delays on real sockets. */
     private static final long SLACK = 50_000_000L;
 
-    /** The four rules, and the operator's own on zones. */
+    /** The four invariants, and the operator's own rule on allowed zones. */
     public enum Rule { ONE_ANSWER, NO_EFFECT_TWICE, DRAIN, COLD, ZONE }
 
-    /** A rule broken; {@code subject} is the request or the server. */
+    /**
+     * A violation of an invariant. Immutable.
+     *
+     * @param at nanoseconds of the node's clock
+     * @param subject id of the request or of the endpoint
+     * @param what description for people
+     */
     public record Breach(Rule rule, long at, String subject, String what) {
     }
 
+    /** One attempt of a tracked request. */
     private static final class Try {
         final Server server;
         final long sentAt;
@@ -43,12 +50,13 @@
         }
     }
 
+    /** A request whose answer or attempts are still outstanding. */
     private static final class Held {
         final String id;
         final RequestClass about;
         final long deadline;
         final List<Try> tries = new ArrayList<>();
-        /** Those it may be sent to; null for any. */
+        /** The zones whose endpoints it may be sent to; null for any. */
         List<String> zones;
         boolean over;
 
@@ -67,6 +75,7 @@
         }
     }
 
+    /** One incarnation of an endpoint, as the endpoint lists describe it. */
     private static final class Server {
         final String id;
         final String zone;
@@ -75,7 +84,7 @@
         double size;
         ServerState state;
         long stateSince;
-        /** When calls were sent to it in the span that the rule on cold servers looks at. */
+        /** Times of the attempts sent to it within the window of the slow-start invariant. */
         final ArrayDeque<Long> sends = new ArrayDeque<>();
         boolean pushed;
 
@@ -96,7 +105,7 @@
     private long answered;
     private long now;
 
-    /** A beginning: what was open and listed then. What came before it is not judged. */
+    /** Starts checking from a snapshot's open requests and listed endpoints; nothing before it is checked. */
     public void begin(long at, Settings said, Snapshot snapshot) {
         now = at;
         settings = said;
@@ -138,7 +147,7 @@
         return held;
     }
 
-    /** An event and what was decided on it. */
+    /** Checks one event and the actions decided on it; to be called in their order. */
     public void told(long at, Event event, List<Action> actions) {
         now = at;
         if (event instanceof Arrival e) {
@@ -215,7 +224,7 @@
         forget(held);
     }
 
-    /** The final answer has been given, by what {@code how} says. */
+    /** Records the final answer of a request; {@code answer} describes it for a violation's text. */
     private void over(Held held, String how) {
         if (held == null) {
             return;
@@ -310,8 +319,9 @@
     }
 
     /**
-     * What a cold server may be sent in the rule's span: the multiple of what warm ones of its size were sent, scaled to
-     * its present capacity, and some for chance. Without a warm one there is no telling.
+     * Checks the load of an endpoint that is warming up. Within the invariant's window it may be sent the
+     * configured multiple of what warm endpoints of its weight were sent, scaled to its present capacity, plus
+     * a margin for chance. Without a warm endpoint there is no reference, so nothing is reported.
      */
     private void pushed(Server server) {
         Rules rules = settings.rules();
@@ -349,17 +359,17 @@
         return nanos / 1_000_000 + " ms";
     }
 
-    /** In the order in which they came to light. */
+    /** Returns the violations in the order in which they were detected. */
     public List<Breach> breaches() {
         return List.copyOf(breaches);
     }
 
-    /** Requests that got their final answer. */
+    /** Returns the number of requests that have received their final answer. */
     public long answered() {
         return answered;
     }
 
-    /** Requests that have none yet, and need not. */
+    /** Returns the number of requests without a final answer whose deadline has not passed. */
     public long open() {
         return requests.values().stream().filter(r -> !r.over).count();
     }
--- a/replay/src/main/java/weldhitch/replay/policy/package-info.java
+++ b/replay/src/main/java/weldhitch/replay/policy/package-info.java
@@ -1,2 +1,2 @@
-/** The rules that a node must keep, as a judge of events and decisions: free of I/O, clock and threads. */
+/** The invariants that a node must keep, checked on its events and actions: free of I/O, clock and threads. */
 package weldhitch.replay.policy;
--- a/replay/src/test/java/weldhitch/replay/CaptureProcess.java
+++ b/replay/src/test/java/weldhitch/replay/CaptureProcess.java
@@ -6,7 +6,7 @@
 import weldhitch.decision.RatioBalancer;
 import weldhitch.decision.Workload;
 
-/** Captures without an end, to be killed. */
+/** A process that captures a workload until {@link ReplayTest} kills it. */
 final class CaptureProcess {
     private CaptureProcess() {
     }
@@ -16,7 +16,7 @@
         RatioBalancer module = new RatioBalancer(workload.settings, 1);
         CaptureRules rules = new CaptureRules(1 << 20, 3600 * CaptureRules.SECOND, 1 << 30, CaptureRules.SECOND, 1 << 12);
         Capture capture = new Capture(Path.of(args[0]), rules, "n1", "test", workload.settings, module::beginSnapshot, System.err::println);
-        // Bounded, should nobody kill it.
+        // Ends by itself after a minute in case the test does not kill it.
         for (long end = System.nanoTime() + 60 * CaptureRules.SECOND; System.nanoTime() < end;) {
             workload.play((now, event) -> {
                 capture.before(now);
--- a/replay/src/test/java/weldhitch/replay/IncidentsTest.java
+++ b/replay/src/test/java/weldhitch/replay/IncidentsTest.java
@@ -14,7 +14,7 @@
 import weldhitch.capture.format.CaptureFiles;
 import weldhitch.capture.format.Entry;
 
-/** Incidents, cut from captures and renamed, that must not come again; and how they are cut. */
+/** Incidents that must not recur, as anonymized capture slices; and tests of slicing itself. */
 class IncidentsTest {
     private static final Path INCIDENTS = Path.of("replay/src/test/resources/incidents");
 
@@ -25,7 +25,7 @@
         return Excerpt.play(INCIDENTS.resolve(name)).decidesAlike().keepsTheRules();
     }
 
-    /** From the laboratory: four boxes of fifteen answer errors at once, which looks like speed. */
+    /** From the simulator: four endpoints of fifteen fail instantly, which looks like low latency. */
     @Test
     void boxesThatAnswerErrorsAtOnceAreLeftAlone() throws IOException {
         Excerpt excerpt = play("grey-boxes.cap");
@@ -39,7 +39,10 @@
         excerpt.servesAtLeast(0.95);
     }
 
-    /** From the laboratory: twice the usual load. What is refused has seen no server, and enrolments go before the rest. */
+    /**
+     * From the simulator: twice the usual load. Rejected requests were never sent to an endpoint, and
+     * enrolments are preferred to the rest.
+     */
     @Test
     void overloadTurnsAwayWhatIsWorthLeastForItsWork() throws IOException {
         Summary summary = play("overload.cap").summary();
@@ -50,7 +53,10 @@
         assertFalse(summary.classes.values().stream().anyMatch(c -> c.causes.containsKey("refused: unknown")));
     }
 
-    /** From loopback sockets: one server errs and resets, one is full and then gone; no booking runs twice. */
+    /**
+     * From loopback sockets: one endpoint fails and resets, one is full and then removed; no booking runs
+     * twice.
+     */
     @Test
     void failingServersCostNoBookingTwice() throws IOException {
         Summary summary = play("failing-servers.cap").servesAtLeast(0.98).summary();
--- a/replay/src/test/java/weldhitch/replay/PlayProcess.java
+++ b/replay/src/test/java/weldhitch/replay/PlayProcess.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import weldhitch.capture.format.CaptureFiles;
 
-/** Plays a capture in a process of its own. */
+/** Replays a capture in a separate process, so that {@link ReplayTest} can choose the options of its JVM. */
 final class PlayProcess {
     private PlayProcess() {
     }
--- a/replay/src/test/java/weldhitch/replay/Recorded.java
+++ b/replay/src/test/java/weldhitch/replay/Recorded.java
@@ -10,7 +10,9 @@
 import weldhitch.decision.RatioBalancer;
 import weldhitch.decision.Workload;
 
-/** A workload drawn from a seed as a capture of it, with a snapshot every so many events. */
+/**
+ * Creates the capture of a workload generated from a seed, with a snapshot at regular intervals of events.
+ */
 final class Recorded {
     private Recorded() {
     }
--- a/replay/src/test/java/weldhitch/replay/ReplayTest.java
+++ b/replay/src/test/java/weldhitch/replay/ReplayTest.java
@@ -29,6 +29,7 @@
 import weldhitch.decision.Workload;
 import weldhitch.testkit.Tests;
 
+/** Tests that replays are deterministic, and how gaps, corruption and divergences in a capture are handled. */
 class ReplayTest {
     @TempDir
     Path directory;
@@ -72,7 +73,7 @@
         assertEquals(Documents.tree(through.snapshot()), Documents.tree(anew.snapshot()));
     }
 
-    /** A timer and an arrival of one instant, in either order: each is played in the order that it was told. */
+    /** A timer and an arrival at the same time, in either order, are replayed in the captured order. */
     @Test
     void aTimerDueAtTheInstantOfAnArrivalIsPlayedInItsPlace() throws IOException {
         Set<String> outcomes = new TreeSet<>();
@@ -91,7 +92,7 @@
             long now = workload.now();
             String about = workload.settings.classes().get(0).name();
             tell.apply(now, new Membership(ListKind.ALL, List.of(new ServerEntry("a", workload.settings.zone(), 0, ServerState.READY, 1, 0))));
-            // More than the limit lets in: some wait, and a timer is asked for.
+            // More requests than the admission limit allows: some wait, and a timer is set.
             long due = Long.MAX_VALUE;
             for (int i = 0; i < 200; i++) {
                 for (Action action : tell.apply(now, new Arrival("r" + i, about, now + 1_000_000_000L, null, 0, false))) {
@@ -131,7 +132,7 @@
                 assertEquals(others, found.told().actions());
                 assertEquals(told.actions(), found.replayed());
                 assertEquals(told, new Entry.Told(found.told().now(), found.told().event(), found.replayed()));
-                // It goes on behind the next snapshot.
+                // Replay resumes at the next snapshot.
                 assertEquals(2, player.beginnings());
                 Player until = new Player(null, false).until(found.number() - 1, Long.MAX_VALUE);
                 entries.forEach(until);
@@ -175,7 +176,7 @@
         assertEquals(500, player.missed());
         assertEquals(2500, player.events());
         assertEquals(2, player.beginnings());
-        // The same hole unsaid is a difference.
+        // The same gap, when the capture does not report it, is a divergence.
         List<Entry> unsaid = holes.stream().map(e -> e instanceof Entry.Known k
             ? new Entry.Known(k.now(), k.node(), k.run(), k.build(), k.settings(), k.snapshot(), null) : e).toList();
         assertFalse(play(unsaid, false).differences().isEmpty());
@@ -204,7 +205,7 @@
         assertEquals(2, player.beginnings());
     }
 
-    /** Other heaps, collectors and compilers come to the same decisions. */
+    /** Other heap sizes, garbage collectors and compilers lead to the same decisions. */
     @Test
     void otherVirtualMachinesDecideAlike() throws Exception {
         Path file = Recorded.write(directory, Recorded.entries(7, 8000, 2000));
@@ -220,7 +221,10 @@
         }
     }
 
-    /** Ten captures whose process is killed outright while it writes: what is there decides alike to its last event. */
+    /**
+     * Ten captures whose process is killed while it writes: the events on the disk replay without divergence,
+     * up to the last one.
+     */
     @Test
     void capturesOfAKilledProcessPlayToTheirLastEvent() throws Exception {
         for (int i = 0; i < 10; i++) {
@@ -229,7 +233,7 @@
                 System.getProperty("java.class.path"), CaptureProcess.class.getName(), each.toString(), Integer.toString(i))
                 .redirectErrorStream(true).start();
             try {
-                // Once some blocks are there, in the middle of the next.
+                // Kill once some blocks are on the disk, in the middle of the next one.
                 long wanted = 150_000L + 40_000L * i;
                 Tests.await(() -> size(each) > wanted || !process.isAlive());
                 assertTrue(process.isAlive(), "it ended by itself");
--- a/replay/src/test/java/weldhitch/replay/policy/RuleJudgeTest.java
+++ b/replay/src/test/java/weldhitch/replay/policy/RuleJudgeTest.java
@@ -12,7 +12,7 @@
 import weldhitch.replay.policy.RuleJudge.Breach;
 import weldhitch.replay.policy.RuleJudge.Rule;
 
-/** What keeps the rules is passed, and each way of breaking one is found. */
+/** Tests that runs that keep the invariants pass, and that each kind of violation is reported. */
 class RuleJudgeTest {
     private static final long MS = 1_000_000L;
     private static final long S = 1000 * MS;
@@ -181,7 +181,10 @@
         expect(Rule.DRAIN, "no list has named it");
     }
 
-    /** Two warm servers with 20 calls each in two seconds: one just started at a quarter of its capacity may have 15 and some. */
+    /**
+     * Two warm endpoints get 20 attempts each in two seconds: an endpoint that has just started at a quarter of
+     * its capacity may get 15, plus a margin for chance.
+     */
     @Test
     void aColdServerIsNotPushedOver() {
         now += 20 * S;
--- a/steward/src/main/java/weldhitch/steward/core/Authority.java
+++ b/steward/src/main/java/weldhitch/steward/core/Authority.java
@@ -5,20 +5,23 @@
 import weldhitch.fleet.activation.Timing;
 
 /**
- * Who may lead: at most one steward at a time, by promises that run out (after Gray and Cheriton, "Leases", 1989). A steward
- * follows one leader for {@link Timing#authority} from its answer on and promises nothing else meanwhile; a leader counts
- * the same promise from the sending of what it answers, and for less, so that it stops before anybody may follow another.
- * What was promised before a crash is not known after it: a steward that starts promises nothing for as long.
+ * Leader election with leases: at most one coordinator leads at a time, by votes that expire (after Gray and
+ * Cheriton, "Leases", 1989). A coordinator votes for one leader for {@link Timing#authority} from its reply on,
+ * and for nobody else meanwhile. The leader counts the same vote from when it sent the message that the vote
+ * answers, and for a shorter time, so that it stops before any coordinator may vote for another. Votes given
+ * before a crash are unknown after it: a coordinator that has just started votes for nobody for the same time.
+ *
+ * <p>Not thread-safe; owned by {@link StewardCore}. Times are nanoseconds of this process's monotonic clock.
  */
 final class Authority {
     private final String name;
     private final int stewards;
     private final Timing timing;
-    /** Whom this steward follows, and until when. */
+    /** The coordinator that this one has voted for, in which of its terms, and until when the vote is valid. */
     private String follows;
     private long followsTerm;
     private long followsUntil;
-    /** This steward's own asking. */
+    /** This coordinator's own candidacy: its current term. */
     private long term;
     private boolean leads;
     private final Map<String, Long> promisedFrom = new HashMap<>();
@@ -26,17 +29,22 @@
     private long beat;
     private final Map<Long, Long> beatSentAt = new HashMap<>();
 
-    /** @param firstTerm beyond any that a former start of this steward has used, or far from them */
+    /**
+     * Creates the election state of a coordinator that has just started.
+     *
+     * @param stewards number of coordinators, this one included
+     * @param firstTerm higher than any term that an earlier start of this coordinator used, or far from them
+     */
     Authority(String name, int stewards, Timing timing, long now, long firstTerm) {
         this.name = name;
         this.stewards = stewards;
         this.timing = timing;
         term = firstTerm;
-        // As if somebody were followed: what was promised before this start is not known.
+        // As if a vote had just been given: those given before this start are unknown.
         followsUntil = now + timing.authority();
     }
 
-    /** Whether this steward may promise to follow {@code who} now. */
+    /** Whether this coordinator may vote for {@code candidate} now. */
     boolean free(String who, long now) {
         return who.equals(follows) || now >= followsUntil;
     }
@@ -45,12 +53,15 @@
         return followsUntil;
     }
 
-    /** Who is followed, null for nobody. */
+    /** Returns the coordinator that this one has voted for; null if there was none or the vote has expired. */
     String follows(long now) {
         return now < followsUntil ? follows : null;
     }
 
-    /** Promises to follow {@code who}, in its term {@code of}, from now on; false where another is followed. */
+    /**
+     * Votes for {@code candidate} in its term {@code candidateTerm}, from now on; false if a vote for another
+     * one is still valid.
+     */
     boolean promise(String who, long of, long now) {
         if (!free(who, now)) {
             return false;
@@ -61,14 +72,17 @@
         return true;
     }
 
-    /** Whom this steward promised to follow gives that term up, and never leads in it. */
+    /** The candidate that this coordinator voted for has abandoned that term, and will never lead in it. */
     void released(String who, long of, long now) {
         if (who.equals(follows) && of == followsTerm) {
             followsUntil = Math.min(followsUntil, now);
         }
     }
 
-    /** Gives up asking in this term, so that others may be followed; returns the term. */
+    /**
+     * Abandons this coordinator's candidacy in the current term, so that it may vote for others; returns the
+     * abandoned term.
+     */
     long giveUp(long now) {
         long given = term++;
         released(name, given, now);
@@ -76,7 +90,7 @@
         return given;
     }
 
-    /** Begins to ask the others; returns the term. */
+    /** Starts an election; returns the new term. */
     long ask(long now) {
         leads = false;
         term++;
@@ -89,14 +103,14 @@
         return term;
     }
 
-    /** Another promised to follow, by its answer to the asking of {@code of}. */
+    /** Records a vote by another coordinator, in reply to the vote request of term {@code votedInTerm}. */
     void granted(String who, long of) {
         if (of == term) {
             promisedFrom.merge(who, askedAt, Math::max);
         }
     }
 
-    /** Sends the next beat; returns its number. */
+    /** Records that the next heartbeat is sent now; returns its sequence number. */
     long beat(long now) {
         beatSentAt.put(++beat, now);
         beatSentAt.remove(beat - 64);
@@ -105,7 +119,10 @@
         return beat;
     }
 
-    /** Another follows on; returns whether that beat is one of this term's. */
+    /**
+     * Records another coordinator's acknowledgement of a heartbeat; returns whether that heartbeat belongs to
+     * the current term.
+     */
     boolean beaten(String who, long of, long number) {
         Long sentAt = of == term ? beatSentAt.get(number) : null;
         if (sentAt != null) {
@@ -118,20 +135,23 @@
         return term;
     }
 
-    /** Until when a majority follows this steward, this one among them; the past where none does. */
+    /**
+     * Returns until when a majority, this coordinator included, has voted for it; {@link Long#MIN_VALUE}
+     * without a majority.
+     */
     long until() {
         long[] from = promisedFrom.values().stream().mapToLong(Long::longValue).sorted().toArray();
         int majority = stewards / 2 + 1;
         return from.length < majority ? Long.MIN_VALUE : from[from.length - majority] + timing.authorityOfLeader();
     }
 
-    /** Whether this steward leads now; once it does not, it has to ask anew. */
+    /** Whether this coordinator is the leader now; once it is not, it has to start another election. */
     boolean leads(long now) {
         leads &= now < until();
         return leads;
     }
 
-    /** Takes the lead where a majority follows; true where that is new. */
+    /** Becomes the leader if a majority has voted for this coordinator; returns true only when that is new. */
     boolean take(long now) {
         if (leads || now >= until()) {
             return false;
@@ -145,7 +165,7 @@
         promisedFrom.clear();
     }
 
-    /** Stewards that follow, as of {@code now}, this one among them. */
+    /** Returns how many coordinators follow this one at {@code now}, itself included. */
     int following(long now) {
         return (int) promisedFrom.values().stream().filter(from -> now < from + timing.authorityOfLeader()).count();
     }
--- a/steward/src/main/java/weldhitch/steward/core/RouteState.java
+++ b/steward/src/main/java/weldhitch/steward/core/RouteState.java
@@ -13,15 +13,17 @@
 import weldhitch.fleet.activation.Version;
 
 /**
- * What the orders in force say of route versions and members.
+ * The route versions and members according to the committed commands; also builds the commands that change
+ * them. Immutable.
  *
  * @param roster incarnations by member
- * @param inForce the version settled last
+ * @param inForce the active version, the last one finalized
  * @param inForceBundle its text; empty for {@link Version#OWN_FILE}
  * @param pending the version prepared after it, or null
- * @param outcome how that was decided, or null while it is not
- * @param laid what was laid in, by the ids of its orders, the last one last; as many as are remembered
- * @param lastNumber the number of the version that was prepared last, 0 for none
+ * @param pendingBundle its text, or null
+ * @param outcome whether that version is committed or aborted, null while undecided
+ * @param laid ids of the submissions, the latest last; only the most recent are remembered
+ * @param lastNumber number of the version that was prepared last, 0 for none
  */
 public record RouteState(Map<String, String> roster, Version inForce, String inForceBundle, Version pending, String pendingBundle,
         Outcome outcome, List<String> laid, long lastNumber) {
@@ -31,6 +33,7 @@
     private static final String OUTCOME = "outcome";
     private static final String SETTLED = "settled";
 
+    /** Derives the state from the committed commands. */
     public static RouteState of(Epoch epoch) {
         Order roster = epoch.standing().get(ROSTER);
         Order prepared = epoch.standing().get(PREPARED);
@@ -67,7 +70,7 @@
         return new Outcome(number(order), true, terms.get("clock"), Long.parseLong(terms.get("moment")), List.of());
     }
 
-    /** The text of that version, where it is in force or pending; else null. */
+    /** Returns the text of that version if it is active or pending; otherwise null. */
     public String bundle(long number) {
         return pending != null && pending.number() == number ? pendingBundle
             : inForce.number() == number && number > 0 ? inForceBundle : null;
--- a/steward/src/main/java/weldhitch/steward/core/StewardCore.java
+++ b/steward/src/main/java/weldhitch/steward/core/StewardCore.java
@@ -25,55 +25,68 @@
 import weldhitch.fleet.error.FleetError;
 
 /**
- * A steward's decisions. All events carry the time of this process's monotonic clock. After each of them the owner writes
- * {@link #kept} to disk where it changed, before it carries out what was returned; where that fails it carries out nothing
- * and calls {@link #takeBack}.
+ * The decisions of a coordinator, as a pure event handler. Every event carries the time of this process's
+ * monotonic clock, in nanoseconds. After each event the owner writes {@link #kept} to disk if it has changed,
+ * before it executes the returned effects; if the write fails, it executes none of them and calls
+ * {@link #takeBack}.
  *
  * <p>Not thread-safe.
  */
 public final class StewardCore {
-    /** What becomes of a version where a member does not vote. */
+    /** What becomes of a version when a member does not vote. */
     public enum Absent {
-        /** The version ends, and the absent are named. */
+        /** The version is aborted, and the missing members are reported. */
         ABORT,
-        /** Members hold leases at all times, and a version is decided once those of the absent have run out. */
+        /**
+         * Members hold leases at all times, and a version is decided once the leases of the missing members
+         * have expired.
+         */
         FENCE
     }
 
     /**
-     * @param name this steward's, one of {@code stewards}
-     * @param incarnation new with each start, as no two proposers at work may share a name
+     * The configuration of one coordinator. Immutable.
+     *
+     * @param name this coordinator's name, one of {@code coordinators}
+     * @param incarnation unique for each start, as no two active proposers may share a name
+     * @param stewards names of all coordinators
+     * @param absent what becomes of a version when a member does not vote
      */
     public record Config(String name, String incarnation, List<String> stewards, Timing timing, Absent absent) {
+        /** Copies the list of coordinators. */
         public Config {
             stewards = List.copyOf(stewards);
         }
     }
 
-    /** What the owner is to do. */
+    /** An effect that the owner executes, once the acceptor's state is on disk. */
     public sealed interface Out {
     }
 
-    /** Tell another steward. */
+    /** Sends a message to another coordinator. */
     public record Send(String to, Peer message) implements Out {
     }
 
-    /** An event for the log. */
+    /** Writes an event to the log. */
     public record Say(String event) implements Out {
     }
 
-    /** Something is wrong, for the log. */
+    /** Reports an error in the log. */
     public record Wrong(FleetError error) implements Out {
     }
 
-    /** The file laid in by that id has become a version; {@code number} is its number, 0 where that is not known any more. */
+    /**
+     * The file submitted under that id has become a version; {@code versionNumber} is its number, 0 if that is
+     * not known any more.
+     */
     public record Laid(String id, long number) implements Out {
     }
 
-    /** A version that was laid in, and not decided upon yet. */
+    /** A version that was submitted here and is not prepared yet. */
     private record Waiting(String id, String file, String sha256, String bundle) {
     }
 
+    /** A member's vote on the pending version; {@code rejectionReasons} is empty if it accepts. */
     private record Vote(String incarnation, boolean yes, List<String> noes) {
     }
 
@@ -85,9 +98,15 @@
     private final SplittableRandom random;
     private final boolean votes;
     private final Authority authority;
-    /** What is known here of the clock of who leads; a leader goes on from it where a moment was told by it. */
+    /**
+     * What is known here about the leader's clock; a new leader continues it if an activation time was
+     * announced by it.
+     */
     private final ClockEstimate followed;
-    /** The fleet's clock of this leadership: this process's own, so far ahead, and by how much it may differ from the former's. */
+    /**
+     * The fleet clock of this leadership: this process's clock plus {@code clockOffset}, which deviates from
+     * the former leader's clock by at most {@code clockError}. Nanoseconds.
+     */
     private String clock;
     private long ahead;
     private long clockError;
@@ -95,16 +114,16 @@
     private RouteState routes;
 
     private long nextAskAt;
-    /** Until when a majority is waited for; 0 while none is asked for. */
+    /** Until when this candidate waits for a majority of votes; 0 if there is no election in progress. */
     private long asksUntil;
     private long nextBeatAt;
-    /** Of this leadership: its own first decision is known, so that all earlier ones are too. */
+    /** Whether the first command of this leadership is committed, so that all earlier ones are known too. */
     private boolean opened;
     private long ledSince;
     private final Map<String, Peer.Beat> lastBeat = new HashMap<>();
     private final Map<String, Long> answeredAt = new HashMap<>();
     private final Map<String, long[]> heard = new HashMap<>();
-    /** Since when something has been promised or taken here that has not come to an end. */
+    /** Since when this acceptor has had a promise or an accepted value that is not committed. */
     private long openSince;
 
     private Proposer proposer;
@@ -128,8 +147,12 @@
     private final Deque<Waiting> waiting = new ArrayDeque<>();
 
     /**
-     * @param kept what was on disk
-     * @param votes whether it takes part in decisions; false where its disk may have lost some
+     * Restores a coordinator that has just started.
+     *
+     * @param kept the acceptor's state on disk
+     * @param votes whether it votes; false if its disk may have lost a promise
+     * @param now time of this process's monotonic clock, in nanoseconds
+     * @param seed of the random election and retry delays, and of the first term
      */
     public StewardCore(Config config, Kept kept, boolean votes, long now, long seed) {
         this.config = config;
@@ -143,7 +166,7 @@
         nextAskAt = now + timing.authority() + jitter(timing.authority() / 4);
     }
 
-    /** For tests that show what breaks where one is left out. */
+    /** Enables or disables each safeguard, for tests that show what breaks without it. */
     void safeguards(boolean leaseInMoment, boolean firstDecision, boolean leasesWithheld, boolean everyVote) {
         waitsForLeases = leaseInMoment;
         opensFirst = firstDecision;
@@ -151,12 +174,15 @@
         wantsEveryVote = everyVote;
     }
 
-    /** What must be on disk before anything returned is carried out. */
+    /** Returns the acceptor's state, which must be on disk before any returned effect is executed. */
     public Kept kept() {
         return acceptor.kept();
     }
 
-    /** The disk did not take what {@link #kept} says: back to what is on it, and nothing of this steward's is under way. */
+    /**
+     * The state that {@link #kept} returned could not be written: returns to the state on disk, and abandons
+     * the proposal and the leadership of this coordinator.
+     */
     public void takeBack(Kept onDisk) {
         acceptor = new Acceptor(config.name(), onDisk);
         routes = RouteState.of(onDisk.decided());
@@ -165,38 +191,39 @@
         opened = false;
     }
 
+    /** Returns the route versions and members as committed. */
     public RouteState routes() {
         return routes;
     }
 
-    /** The last decision known here. */
+    /** Returns the last generation known here to be committed. */
     public long generation() {
         return acceptor.decided().generation();
     }
 
-    /** Whether this steward leads, knows all that was decided, and may act. */
+    /** Whether this coordinator is the leader, knows all committed commands, and may act. */
     public boolean leads(long now) {
         return authority.leads(now) && opened;
     }
 
-    /** When this steward's lead began, by its clock; 0 where it does not lead. */
+    /** Returns when this coordinator's leadership began, by its clock; 0 if it is not the leader. */
     public long ledSince() {
         return ledSince;
     }
 
-    /** Who leads as far as is known here, or null. */
+    /** Returns the leader as far as known here, or null. */
     public String leader(long now) {
         return authority.leads(now) ? config.name() : config.name().equals(authority.follows(now)) ? null : authority.follows(now);
     }
 
-    /** Stewards that follow this one, itself among them. */
+    /** Returns how many coordinators follow this one, itself included. */
     public int following(long now) {
         return authority.following(now);
     }
 
     // ---- time ----
 
-    /** Something may be due. To be called at least every {@link #tickEvery}. */
+    /** Does what is due by now. To be called at least every {@link #tickEvery}. */
     public List<Out> tick(long now) {
         List<Out> out = new ArrayList<>();
         lapse(now, out);
@@ -209,7 +236,8 @@
                 beat(now, out);
             }
         } else if (asksUntil > 0 && now >= asksUntil) {
-            // Two that ask at once may have half of the others each: both let go, and ask again at moments of their own.
+            // Two concurrent candidates may get half of the other votes each: both release them, and retry
+            // after random delays.
             asksUntil = 0;
             nextAskAt = now + jitter(timing.authority());
             others(new Peer.Release(authority.giveUp(now)), out);
@@ -227,7 +255,7 @@
         return out;
     }
 
-    /** How often {@link #tick} is wanted, in nanoseconds. */
+    /** Returns the interval at which {@link #tick} has to be called, in nanoseconds. */
     public long tickEvery() {
         return timing.authority() / 40;
     }
@@ -236,7 +264,10 @@
         return span <= 0 ? 0 : random.nextLong(span);
     }
 
-    /** A leader whose authority has run out, as one that stood still, stops before it does anything else. */
+    /**
+     * A leader whose lease has expired, for example because its process was suspended, steps down before it
+     * does anything else.
+     */
     private void lapse(long now, List<Out> out) {
         if (ledSince > 0 && !authority.leads(now)) {
             ledSince = 0;
@@ -262,9 +293,9 @@
         }
     }
 
-    // ---- other stewards ----
+    // ---- other coordinators ----
 
-    /** A message of another steward. */
+    /** Handles a message of another coordinator. */
     public List<Out> on(long now, String from, Peer message) {
         List<Out> out = new ArrayList<>();
         lapse(now, out);
@@ -310,7 +341,8 @@
         nextAskAt = authority.followsUntil() + jitter(timing.authority() / 2);
         Peer.Beat before = lastBeat.put(from, beat);
         Long answered = answeredAt.get(from);
-        // Between the sending of a beat and the leader's hearing of its answer lies the moment in which it was answered.
+        // The heartbeat was acknowledged at some moment between its sending and the arrival of the
+        // acknowledgement at the leader.
         if (before != null && answered != null && before.term() == beat.term() && beat.heard() == before.number()
                 && before.clock().equals(beat.clock())) {
             long middle = before.now() + (beat.heardAt() - before.now()) / 2;
@@ -323,7 +355,7 @@
         }
     }
 
-    /** Tells another what is decided, where it knows less. */
+    /** Sends the committed state to another coordinator if that one knows an earlier one. */
     private void catchUp(String other, long knows, List<Out> out) {
         if (knows < generation()) {
             out.add(new Send(other, new Peer.Ballots(config.name(), new Message.Decide(acceptor.decided()))));
@@ -353,7 +385,8 @@
         settleAt = Long.MAX_VALUE;
         nextBeatAt = now;
         if (routes.pending() != null && routes.outcome() != null && routes.outcome().clock().equals(followed.clock())) {
-            // A moment is told by the former leader's clock: it goes on here, as well as it is known.
+            // The activation time was announced by the former leader's clock: continue that clock, as precisely
+            // as it is known.
             clock = followed.clock();
             ahead = followed.otherAt(now) - now;
             clockError = followed.error(now);
@@ -380,7 +413,10 @@
         tell(proposer.begin(), now, out);
     }
 
-    /** Carries a proposer's message to all acceptors, this steward's own among them, and takes up what comes of it. */
+    /**
+     * Sends a proposer's message to all acceptors, this coordinator's own included, and handles the reply of
+     * the latter.
+     */
     private void tell(Message message, long now, List<Out> out) {
         Message next = message;
         while (next != null) {
@@ -402,7 +438,7 @@
         }
     }
 
-    /** Something was decided, by whomever: what is in force here follows. */
+    /** Adopts the state that was committed, by whichever proposer. */
     private void learned(long now, List<Out> out) {
         Epoch epoch = acceptor.decided();
         RouteState next = RouteState.of(epoch);
@@ -444,7 +480,7 @@
         }
     }
 
-    /** Proposes what is next, where nothing is under way. */
+    /** Proposes the next command, unless a proposal is in progress. */
     private void advance(long now, List<Out> out) {
         if (!votes || proposer != null) {
             return;
@@ -457,7 +493,7 @@
             openSince = now;
         }
         if (!opened || now - openSince > timing.authority()) {
-            // Ends whatever a leader before, or a steward that laid in a version, left undecided.
+            // Completes whatever a former leader, or a coordinator with a submission, left undecided.
             propose(RouteState.opens(config.name(), OPENS + orderId()), now, out);
         } else if (!joining.isEmpty() || !leaving.isEmpty()) {
             propose(routes.roster(config.name(), orderId(), joining, leaving), now, out);
@@ -470,7 +506,10 @@
         }
     }
 
-    /** A version that was laid in here is proposed by this steward, leader or not; whoever leads then collects the votes. */
+    /**
+     * Proposes a version that was submitted here, whether or not this coordinator leads; the current leader
+     * collects the votes.
+     */
     private void layIn(long now, List<Out> out) {
         if (waiting.isEmpty() || routes.pending() != null) {
             return;
@@ -503,8 +542,8 @@
     }
 
     /**
-     * The moment lies beyond the end of every lease that was given up to now, by this leader or one before it; while the
-     * proposal is under way none is given.
+     * Chooses an activation time after the expiry of every lease granted so far, by this leader or an earlier
+     * one; while the proposal is in progress, no lease is granted.
      */
     private void commit(long now, List<Out> out) {
         long moment = now + ahead + (long) (((waitsForLeases ? timing.lease() : 0) + timing.lead())
@@ -519,7 +558,8 @@
             }
             return;
         }
-        // The clock by which the moment was told is lost. It was told to lie so far behind its decision, and that is past.
+        // The clock of the activation time is lost. That time was set by a bounded margin after the commit was
+        // proposed: once that margin has passed, so has the activation time.
         if (settleAt == Long.MAX_VALUE) {
             settleAt = now + (long) ((timing.lease() + 3 * timing.lead()) * (1 + 4 * timing.drift()));
         }
@@ -532,7 +572,8 @@
     // ---- members ----
 
     /**
-     * A member's call, answered by the state of now. It may change what is proposed next, so the owner ticks soon after.
+     * Handles a member's call, and answers it from the current state. The call may change what is proposed
+     * next, so the owner calls {@link #tick} soon after.
      */
     public MemberAnswer member(long now, MemberCall call) {
         if (!leads(now)) {
@@ -568,7 +609,7 @@
         return lines.stream().limit(20).map(l -> l.length() > LONGEST_LINE ? l.substring(0, LONGEST_LINE) : l).toList();
     }
 
-    /** Members that have a lease of this leader's, as of {@code now}. */
+    /** Returns the members that hold a lease of this leader at {@code now}. */
     public Set<String> leased(long now) {
         Set<String> leased = new HashSet<>();
         leasedAt.forEach((member, at) -> {
@@ -581,12 +622,12 @@
 
     // ---- operators ----
 
-    /** A version was laid in; {@code id} names this laying in for good. */
+    /** Submits a version; {@code submissionId} identifies this submission permanently. */
     public List<Out> lay(long now, String id, String file, String sha256, String bundle) {
         List<Out> out = new ArrayList<>();
         lapse(now, out);
         if (routes.laid().contains(id)) {
-            // Decided before this process started, or by another's hand.
+            // Prepared before this process started, or by another coordinator.
             out.add(new Laid(id, 0));
             return out;
         }
@@ -597,7 +638,10 @@
         return out;
     }
 
-    /** An operator says that this member is gone for good. Only a leader can act on it: false elsewhere. */
+    /**
+     * Removes a member for good, at an operator's request. Only the leader can do so; returns false on any
+     * other coordinator.
+     */
     public boolean gone(long now, String member) {
         if (!leads(now)) {
             return false;
--- a/steward/src/main/java/weldhitch/steward/core/package-info.java
+++ b/steward/src/main/java/weldhitch/steward/core/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A steward's decisions: who leads and for how long, what leases are given, and how a route version is decided, upon the
- * consensus of {@code weldhitch.control.order}. Free of I/O, clock and threads. See docs/design/activation.md.
+ * The coordinator's decisions: leader election, member leases and the two-phase commit of route versions, on
+ * top of the consensus of {@code weldhitch.consensus}. Free of I/O, clocks and threads. See
+ * docs/design/activation.md.
  */
 package weldhitch.steward.core;
--- a/steward/src/main/java/weldhitch/steward/run/Peers.java
+++ b/steward/src/main/java/weldhitch/steward/run/Peers.java
@@ -13,7 +13,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import weldhitch.steward.core.Peer;
 
-/** Carries words to other stewards. None is waited for: what is lost is said again by whoever needs it. */
+/**
+ * Sends messages to other coordinators over HTTP, without waiting for any and without retries: whoever depends
+ * on a lost message sends it again. Beyond the maximum of requests in flight to a peer, messages are dropped.
+ * Called on the decision thread of {@link Steward}.
+ */
 final class Peers {
     private static final int MOST_UNDER_WAY = 64;
 
--- a/steward/src/main/java/weldhitch/steward/run/Steward.java
+++ b/steward/src/main/java/weldhitch/steward/run/Steward.java
@@ -51,8 +51,10 @@
 import weldhitch.steward.core.StewardCore;
 
 /**
- * A steward: decisions on one thread, which alone touches {@link StewardCore} and the disk; sockets on another. Nothing that
- * was decided is told before it is on disk.
+ * A coordinator process: decisions run on one thread, which alone accesses {@link StewardCore} and the disk;
+ * sockets are served by another. No decision is sent out before it is on disk.
+ *
+ * <p>The public methods may be called from any thread.
  */
 public final class Steward implements Closeable {
     private static final int MOST_BYTES = 4 << 20;
@@ -60,7 +62,11 @@
     private static final long LOOK_MS = 200;
     private static final long LONGEST_WATCH_MS = 2000;
 
-    /** A member's call that waits for news. */
+    /**
+     * A member's long poll that waits for an update.
+     *
+     * @param until when it is answered at the latest, by the monotonic clock
+     */
     private record Held(MemberRequest request, long until, Consumer<MemberReply> answer) {
     }
 
@@ -80,7 +86,7 @@
     private final List<Held> held = new ArrayList<>();
     private InetSocketAddress bound;
     private long lostMajoritySince;
-    /** What is known of zones, of this lead alone; null before the first. */
+    /** Zone loads reported under the current leadership only; null before the first. */
     private ZoneBoard zones;
     private Turns turns;
     private long softSince;
@@ -112,10 +118,10 @@
     }
 
     /**
-     * Starts a steward; it is ready once this returns.
+     * Starts a coordinator; it accepts requests once this returns.
      *
-     * @param log takes one line for each event
-     * @throws FleetException with what is wrong and what to do
+     * @param log receives one line for each event
+     * @throws FleetException with the cause and the remedy
      */
     public static Steward start(StewardSettings settings, Consumer<String> log) throws FleetException {
         Steward steward = new Steward(settings, log);
@@ -143,12 +149,12 @@
         bound = (InetSocketAddress) channel.localAddress();
     }
 
-    /** Where it listens. */
+    /** Returns the address that the server is bound to. */
     public InetSocketAddress address() {
         return bound;
     }
 
-    // ---- on the thread of decisions ----
+    // ---- on the decision thread ----
 
     private void tick() {
         act(() -> core.tick(System.nanoTime()));
@@ -184,7 +190,7 @@
         });
     }
 
-    /** Takes a decision, writes it, and only then carries out what it asks. */
+    /** Handles an event, writes the new state to disk, and only then executes the effects. */
     private void act(Supplier<List<StewardCore.Out>> work) {
         try {
             Kept before = core.kept();
@@ -240,7 +246,7 @@
             answer.accept(reply(first, request, now));
         }
         if (call.voted() != 0 || !first.joined()) {
-            // It may be the last vote that was missing; a decision answers all that wait.
+            // The call may bring the last missing vote; a newly committed command answers all pending calls.
             tick();
         }
     }
@@ -256,7 +262,10 @@
         }
     }
 
-    /** What is known under this lead alone begins anew with it: what a former one granted is not known here. */
+    /**
+     * Zone loads and poll slots are known under the current leadership only, and start empty with it: what a
+     * former leader granted is not known here.
+     */
     private void underThisLead() {
         if (zones == null || softSince != core.ledSince()) {
             softSince = core.ledSince();
@@ -298,6 +307,10 @@
 
     // ---- sockets ----
 
+    /**
+     * Handles the HTTP requests of members, peers and operators on the event loop; everything that needs the
+     * state is passed on to the decision thread.
+     */
     private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -381,7 +394,7 @@
         }
 
         private void refuse(Channel channel, int status, String why) {
-            FleetError error = new FleetError.MessageRefused(String.valueOf(channel.remoteAddress()), why);
+            FleetError.Description error = new FleetError.MessageRefused(String.valueOf(channel.remoteAddress()), why).describe();
             String body;
             try {
                 body = StewardJson.JSON.writeValueAsString(Map.of("type", error.type(), "where", error.where(), "what", error.what(), "remedy",
--- a/steward/src/main/java/weldhitch/steward/run/StewardSettings.java
+++ b/steward/src/main/java/weldhitch/steward/run/StewardSettings.java
@@ -21,11 +21,12 @@
 import weldhitch.steward.core.StewardCore.Absent;
 
 /**
- * A steward's configuration, checked.
+ * The validated configuration of a coordinator. Immutable.
  *
- * @param listen on loopback
- * @param stewards where this one reaches each, by name, itself among them; 1, 3 or 5
- * @param directory holds the log, and {@code versions}, into which files are laid
+ * @param listen a loopback address
+ * @param stewards addresses of all coordinators by name, this one included; 1, 3 or 5
+ * @param directory holds the log, and {@code versions}, where files are submitted
+ * @param absent what becomes of a version when a member does not vote
  */
 public record StewardSettings(String name, String cluster, InetSocketAddress listen, Map<String, InetSocketAddress> stewards,
         Path directory, Absent absent, Timing timing) {
@@ -33,11 +34,16 @@
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
     private static final Pattern SPAN = Pattern.compile("([0-9]{1,6})(ms|s)");
 
-    /** What a file says, or all that is wrong with it. */
+    /**
+     * The result of reading a file.
+     *
+     * @param settings null if the file is invalid
+     * @param errors all errors; empty if the file is valid
+     */
     public record Read(StewardSettings settings, List<SettingUnusable> errors) {
     }
 
-    /** Reads and checks a file; blocks on it. */
+    /** Reads and validates a file; blocks on I/O. */
     public static Read read(Path file) {
         String text;
         try {
@@ -54,6 +60,7 @@
         }
     }
 
+    /** Parses one file and collects all of its errors. */
     private static final class Reader {
         private final String file;
         private final Lines lines;
@@ -97,7 +104,7 @@
             return value.textValue();
         }
 
-        /** Loopback alone, as nothing here knows who calls. */
+        /** Only loopback addresses, as requests are not authenticated. */
         private InetSocketAddress address(JsonNode value, String key) {
             InetSocketAddress address = value.isTextual() ? Addresses.read(value.textValue()) : null;
             if (address != null) {
@@ -139,7 +146,7 @@
                     return path;
                 }
             } catch (InvalidPathException e) {
-                // Told below.
+                // Reported below.
             }
             error("directory", value.isMissingNode() ? "is missing" : value + " is no absolute path",
                 "expected a directory for this steward alone, beginning with /");
--- a/steward/src/main/java/weldhitch/steward/run/VersionFiles.java
+++ b/steward/src/main/java/weldhitch/steward/run/VersionFiles.java
@@ -17,14 +17,21 @@
 import weldhitch.operator.OperatorFile;
 
 /**
- * The directory into which operators lay versions, {@code NAME.toml}, and the names of members that are gone for good,
- * {@code NAME.gone}; by rename, so that none is seen half written. What became a version goes to {@code taken}, what is none to
- * {@code refused}.
+ * The directory where operators submit versions, as {@code NAME.toml}, and name members that are removed for
+ * good, as {@code NAME.gone}; by rename, so that no file is read half written. A file that became a version is
+ * moved to {@code taken}, an invalid one to {@code refused}.
+ *
+ * <p>Not thread-safe; used on the decision thread of {@link Steward}.
  */
 final class VersionFiles {
     private static final int MOST_BYTES = 256 << 10;
 
-    /** A file as found. */
+    /**
+     * A submitted file.
+     *
+     * @param id unique for this file name, content, modification time and size
+     * @param text its content
+     */
     record Found(Path path, String id, String sha256, String text) {
     }
 
@@ -39,7 +46,10 @@
         refused = Files.createDirectories(this.directory.resolve("refused"));
     }
 
-    /** What is new since the last look; what can't be a version is put aside, with an error for each. */
+    /**
+     * Returns the files that are new since the last scan; a file that is no valid version is moved aside, with
+     * an error for each.
+     */
     List<Found> look(List<FleetError> errors) {
         List<Found> found = new ArrayList<>();
         for (Path file : list(".toml")) {
@@ -66,14 +76,14 @@
             } catch (CharacterCodingException e) {
                 refuse(file, 0, "is not UTF-8", errors);
             } catch (IOException e) {
-                // Gone between the look and the reading: somebody took it back.
+                // Deleted between the scan and the read: the operator has withdrawn it.
                 seen.remove(file);
             }
         }
         return found;
     }
 
-    /** Members that an operator says are gone for good, and the files that say so. */
+    /** Returns the members that an operator has removed for good, with the files that name them. */
     Map<String, Path> gone() {
         Map<String, Path> gone = new HashMap<>();
         list(".gone").forEach(file -> gone.put(file.getFileName().toString().replaceFirst("\\.gone$", ""), file));
@@ -88,7 +98,7 @@
         }
     }
 
-    /** Puts aside what became version {@code number}. */
+    /** Moves a file aside that became the version with this number. */
     void took(Path file, long number) {
         move(file, taken.resolve(number + "-" + file.getFileName()));
     }
@@ -103,7 +113,8 @@
         try {
             Files.move(from, to, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            // It stays where it is, known by its stamp; a start knows it by its id.
+            // The file stays where it is, and the next scan finds it again; a version that is prepared already
+            // is recognized by its submission id.
         }
     }
 }
--- a/steward/src/main/java/weldhitch/steward/run/package-info.java
+++ b/steward/src/main/java/weldhitch/steward/run/package-info.java
@@ -1,2 +1,5 @@
-/** A steward as a process: its configuration, its log on disk, what it is told over HTTP/1.1, and the files laid into its directory. */
+/**
+ * The coordinator as a process: its configuration, its state log on disk, its HTTP/1.1 server, and the
+ * directory for submitted files.
+ */
 package weldhitch.steward.run;
--- a/steward/src/test/java/weldhitch/steward/core/ActivationTest.java
+++ b/steward/src/test/java/weldhitch/steward/core/ActivationTest.java
@@ -22,13 +22,16 @@
 import weldhitch.steward.core.StewardCore.Absent;
 import weldhitch.steward.core.World.Without;
 
-/** Stewards and members together: one outcome a version, one version at a moment, and an end once all reach each other. */
+/**
+ * Coordinators and members together: each version has one outcome, one version is active at a time, and the
+ * cluster converges once all processes reach each other.
+ */
 class ActivationTest {
     private static final long MILLI = World.MILLI;
     private static final long SECOND = World.SECOND;
     private static final Timing TIMES = Timing.USUAL;
 
-    /** A quiet network. */
+    /** A reliable network with a constant delay. */
     private static final World.Oracle QUIET = (from, to, now) -> 2 * MILLI;
 
     private static World world(World.Oracle oracle, Absent absent) {
@@ -75,7 +78,9 @@
         assertTrue(w.told().contains("had no vote in time from m2"), w.told());
     }
 
-    /** Where members hold leases at all times the absent one is left out, and serves nothing meanwhile. */
+    /**
+     * If members hold leases at all times, the missing member is left out, and rejects all requests meanwhile.
+     */
     @Test
     void withFencesTheAbsentOneIsLeftOut() {
         World w = world(QUIET, Absent.FENCE);
@@ -97,7 +102,10 @@
 
     // ---- schedules drawn from a seed ----
 
-    /** Loss, doubling, reordering, clocks of different rates, crashes before and after the disk, pauses, cuts. */
+    /**
+     * Loss, duplication, reordering, clocks of different rates, crashes before and after the write to disk,
+     * pauses, partitions.
+     */
     private static final class Drawn implements World.Oracle {
         final SplittableRandom random;
         final double loss;
@@ -153,6 +161,7 @@
         }
     }
 
+    /** The result of one schedule; {@code violation} is null if all invariants held. */
     private record Played(World world, String wrong) {
     }
 
@@ -209,7 +218,7 @@
         w.heal();
         w.run(w.now + 45 * SECOND);
         String wrong = w.broken.isEmpty() ? null : w.broken.get(0);
-        // Each of two members may be wrong by what it knew its error to be.
+        // Each of two members may deviate by as much as it knew its clock error to be.
         if (wrong == null && w.overlap() > 2 * w.worstError + MILLI) {
             wrong = "two versions at one moment: overlap " + w.overlap() / MILLI + " ms, error " + w.worstError / MILLI + " ms";
         }
@@ -230,12 +239,12 @@
             return played.wrong == null ? null : "seed " + seed + ": " + played.wrong + "\n" + played.world.told();
         }).filter(java.util.Objects::nonNull).limit(3).toList();
         assertEquals(List.of(), wrong, () -> String.join("\n\n", wrong));
-        // The schedules are of use only if both come about often.
+        // The schedules are useful only if both outcomes are frequent.
         assertTrue(schedules < 100 || outcomes.getOrDefault(true, 0) > schedules / 4 && outcomes.getOrDefault(false, 0) > schedules / 20, outcomes.toString());
         System.out.println(schedules + " schedules, versions committed and aborted: " + outcomes);
     }
 
-    /** A fault of one process: what, whom, from when on, for how long. */
+    /** A fault of one process: its kind, the process, and when it starts; the duration depends on the kind. */
     private record Placed(int what, String whom, long at) {
         static final long[] LASTS = {300 * MILLI, 3 * SECOND, 3 * SECOND, 3 * SECOND};
 
@@ -279,8 +288,9 @@
     }
 
     /**
-     * Every placement of up to two faults (a process killed and started anew, stopped for 3 s, not heard for 3 s, hearing
-     * nothing for 3 s) on a grid of time from before a version is laid in until it is settled; 3 stewards, 2 members.
+     * Every combination of up to two faults (a process killed and restarted, paused for 3 s, its messages lost
+     * for 3 s, messages to it lost for 3 s) on a grid of times from before a version is submitted until it is
+     * finalized; 3 coordinators, 2 members.
      */
     @Test
     void noPlacementOfTwoFaultsBreaksIt() {
@@ -320,7 +330,7 @@
         System.out.println(n * (n + 1) / 2 + " placements of one or two faults");
     }
 
-    /** Each safeguard is there for something: without it some schedule breaks the promise. */
+    /** Each safeguard is necessary: without it some schedule violates an invariant. */
     @ParameterizedTest
     @EnumSource(value = Without.class, names = {"NOTHING", "EVERY_VOTE", "DRIFT"}, mode = EnumSource.Mode.EXCLUDE)
     void eachSafeguardIsMissed(Without without) {
@@ -328,7 +338,9 @@
             without + " is not missed in any schedule");
     }
 
-    /** A member that did not vote serves by the old version without end: a commit without it is one too early. */
+    /**
+     * A member that did not vote serves the old version indefinitely: a commit without its vote is premature.
+     */
     @Test
     void everyVoteIsMissed() {
         for (Without without : List.of(Without.NOTHING, Without.EVERY_VOTE)) {
@@ -341,7 +353,7 @@
         }
     }
 
-    /** A member whose clock runs slow holds its lease for longer than a steward whose clock runs fast counts it. */
+    /** A member with a slow clock holds its lease for longer than a coordinator with a fast clock assumes. */
     @Test
     void theBoundOnDriftIsMissed() {
         Timing times = new Timing(2 * SECOND, 3 * SECOND, 50 * MILLI, 10 * SECOND, 0.05);
@@ -371,7 +383,7 @@
         }
     }
 
-    /** Two starts of one proposer that share a name share its ballots, by which two values can be decided. */
+    /** Two starts of a proposer under one name share their ballots, by which two values can be committed. */
     @Test
     void aNameOfItsOwnForEachStartIsMissed() {
         for (boolean sameName : new boolean[] {false, true}) {
@@ -382,7 +394,7 @@
             var second = proposer(sameName ? "p#1" : "p#2", names, "Y", 1);
             round(second, up, List.of("b", "c"), List.of("b", "c"), true);
             assertEquals("Y", won(second));
-            // The word of it is lost; another finishes what was begun, as far as it sees.
+            // The announcement is lost; another proposer completes what was started, as far as it sees it.
             var third = proposer("q", names, "Z", 2);
             round(third, up, List.of("a", "b"), List.of("a", "b"), true);
             assertEquals(sameName ? "X" : "Y", third.outcome() instanceof Proposer.Lost l
@@ -399,7 +411,7 @@
         return ((Proposer.Won) p.outcome()).epoch().order().id();
     }
 
-    /** Asks for promises of some, proposes to others, and tells nobody of the end. */
+    /** Runs phase 1 with some acceptors and phase 2 with others, and announces no result. */
     private static void round(Proposer p, Map<String, Acceptor> up, List<String> promise,
             List<String> propose, boolean answered) {
         Message prepare = p.begin();
--- a/steward/src/test/java/weldhitch/steward/core/World.java
+++ b/steward/src/test/java/weldhitch/steward/core/World.java
@@ -17,8 +17,10 @@
 import weldhitch.steward.core.StewardCore.Absent;
 
 /**
- * Stewards and members in virtual time, each by a clock of its own, over a network that an {@link Oracle} rules. It knows the
- * true time and holds what members serve by against each other.
+ * Coordinators and members in virtual time, each with a clock of its own, over a network that an {@link Oracle}
+ * controls. It knows the true time, and checks the versions that members serve against each other.
+ *
+ * <p>Single-threaded.
  */
 final class World {
     static final long MILLI = 1_000_000L;
@@ -27,38 +29,42 @@
     private static final long CALL_LASTS = 800 * MILLI;
     private static final long TICK = 100 * MILLI;
 
-    /** Decides what befalls each message; a schedule. */
+    /** Decides the fate of each message, and other faults: one schedule. */
     interface Oracle {
-        /** How long a message takes, below 0 where it is lost. */
+        /** Returns the delay of a message in nanoseconds, below 0 if it is lost. */
         long delay(String from, String to, long now);
 
-        /** Whether the message comes once more. */
+        /** Whether the message is delivered twice. */
         default boolean doubled() {
             return false;
         }
 
-        /** Whether the steward crashes on this event, before its state is on disk, or after it and before it answers. */
+        /**
+         * Whether the coordinator crashes on this event: 0 for no, 1 before its state is on disk, 2 after that
+         * and before it sends anything.
+         */
         default int crash(String steward, String event, long now) {
             return 0;
         }
 
-        /** How much faster than true time a clock runs. */
+        /** Returns the clock's rate relative to true time. */
         default double rate(String process) {
             return 1;
         }
 
-        /** How long a member takes to build a version's table. */
+        /** Returns how long a member takes to build a version's table, in nanoseconds. */
         default long building(String member) {
             return 30 * MILLI;
         }
     }
 
-    /** A safeguard that is left out, to see that it is missed. */
+    /** A safeguard that is disabled, to show that it is necessary. */
     enum Without {
         NOTHING, LEASE_IN_MOMENT, SILENCE_AFTER_START, LEASE_FROM_SENDING, NEW_INCARNATION_OF_MEMBER, FENCE_BEFORE_JOIN, DRIFT,
         CLOCK_THAT_RUNS_ON, FIRST_DECISION, LEASES_WITHHELD, EVERY_VOTE
     }
 
+    /** Work scheduled for a time; events at the same time run in the order of their sequence numbers. */
     record Event(long at, long number, Runnable work) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -66,6 +72,7 @@
         }
     }
 
+    /** A process with its own clock, which can be killed, restarted, paused and resumed. */
     private abstract class Process {
         final String name;
         final double rate;
@@ -87,7 +94,9 @@
             return offset + (long) ((now - (without == Without.CLOCK_THAT_RUNS_ON ? lostToPauses : 0)) * rate);
         }
 
-        /** Runs it, or once the process goes on; not at all where it has ended since. */
+        /**
+         * Runs the work now, or once a paused process resumes; not at all if the process has been killed since.
+         */
         void event(Runnable work) {
             int start = starts;
             Runnable guarded = () -> {
@@ -132,6 +141,7 @@
         }
     }
 
+    /** A coordinator with its simulated disk. */
     final class Steward extends Process {
         StewardCore core;
         Kept disk = Kept.FIRST;
@@ -145,7 +155,8 @@
         void start() {
             starts++;
             up = true;
-            // Without the lease in it the moment comes sooner by as much; without a bound on drift clocks count as equal.
+            // Without the lease in it, the activation time is earlier by as much; without a drift bound, clocks
+            // count as equally fast.
             Timing timing = without == Without.DRIFT
                 ? new Timing(times.authority(), times.lease(), times.lead(), times.vote(), 0) : times;
             long since = without == Without.SILENCE_AFTER_START ? local() - times.authority() : local();
@@ -160,7 +171,7 @@
             after(TICK, () -> {
                 if (up && of == starts) {
                     event(() -> {
-                        // Ticks missed while it stood still come as one.
+                        // Ticks missed during a pause are delivered as one.
                         if (local() - lastTick >= TICK / 2) {
                             lastTick = local();
                             act("tick", () -> core.tick(local()));
@@ -171,6 +182,7 @@
             });
         }
 
+        /** An event for the coordinator's core. */
         private interface Work {
             List<StewardCore.Out> run();
         }
@@ -210,6 +222,7 @@
         }
     }
 
+    /** A member that polls the coordinators and serves a route version. */
     final class Member extends Process {
         MemberCore core;
         Standing standing;
@@ -253,7 +266,7 @@
                             });
                             if (steward.up) {
                                 send(to, name, () -> {
-                                    // An answer comes to the process that asked, on its connection.
+                                    // An answer arrives at the process that sent the call, on its connection.
                                     if (of == starts) {
                                         event(() -> answered(sentAt, number, answer[0]));
                                     }
@@ -264,7 +277,7 @@
                 });
                 after(CALL_LASTS, () -> {
                     if (up && of == starts && number == call) {
-                        // No answer: the next one is asked.
+                        // No answer: call the next coordinator.
                         event(() -> {
                             if (number == call) {
                                 asks++;
@@ -287,7 +300,7 @@
                 int of = starts;
                 after(POLL, () -> ask(of));
             }
-            // What comes late is taken all the same, as from a connection that was slow.
+            // A late answer is processed all the same, as one from a slow connection.
             todo(core.answered(without == Without.LEASE_FROM_SENDING ? local() : sentAt, local(), a));
         }
 
@@ -315,7 +328,10 @@
             }
         }
 
-        /** The version by which a request on a route that differs in all versions is decided now; below 0 where it is refused. */
+        /**
+         * Returns the version by which a request is handled now, on a route that differs in all versions; below
+         * 0 if it is rejected.
+         */
         long serves() {
             if (!up || paused || standing.fencedAt(local()) || standing.doubtAt(local())) {
                 return -1;
@@ -336,7 +352,7 @@
     private final Map<Long, Epoch> decisions = new HashMap<>();
     private final Map<String, Epoch> byBallot = new HashMap<>();
     private final Map<Long, Boolean> outcomes = new HashMap<>();
-    /** By version: the first and last true time in which any member served by it. */
+    /** By version: the first and last true time at which any member served it. */
     final TreeMap<Long, long[]> served = new TreeMap<>();
     final List<String> broken = new ArrayList<>();
     long worstError;
@@ -394,7 +410,7 @@
         }
     }
 
-    /** One ballot stands for one value. */
+    /** Checks that no ballot stands for two values. */
     private void taken(Kept kept) {
         if (kept.taken() != null) {
             Epoch other = byBallot.putIfAbsent(kept.generation() + " " + kept.takenBallot(), kept.taken());
@@ -404,7 +420,7 @@
         }
     }
 
-    /** At no moment do two stewards take themselves for the leader. */
+    /** Checks that no two coordinators consider themselves the leader at any moment. */
     private void oneLeads() {
         long leaders = stewards.values().stream().filter(s -> s.up && !s.paused && s.core != null && s.core.leads(s.local())).count();
         if (leaders > 1) {
@@ -412,7 +428,7 @@
         }
     }
 
-    /** A lease given after a version was committed brings that word. */
+    /** Checks that a lease granted after a version was committed carries that commit. */
     private void leased(Steward by, MemberAnswer a) {
         if (!a.lease()) {
             return;
@@ -432,7 +448,7 @@
         while (!due.isEmpty() && due.peek().at <= until) {
             Event next = due.poll();
             if (next.at > now) {
-                // What is served is looked at as time is about to go on, and once more when it has.
+                // Observe the served versions just before time advances, and again after.
                 look();
                 now = next.at;
                 look();
@@ -455,7 +471,10 @@
         }
     }
 
-    /** By how much an older version was still served by after a newer one was, at the worst; below 0 for never. */
+    /**
+     * Returns the maximum time for which an older version was still served after a newer one; below 0 if it
+     * never was.
+     */
     long overlap() {
         long worst = Long.MIN_VALUE;
         for (Map.Entry<Long, long[]> older : served.entrySet()) {
@@ -466,7 +485,7 @@
         return worst;
     }
 
-    /** All that is down starts, all that stands goes on. */
+    /** Restarts all processes that are down, and resumes all that are paused. */
     void heal() {
         stewards.values().forEach(s -> {
             s.resume();
@@ -482,7 +501,7 @@
         });
     }
 
-    /** Why it is not at rest, or null. */
+    /** Returns why the cluster has not converged, or null if it has. */
     String unrest() {
         long generations = stewards.values().stream().mapToLong(s -> s.core.generation()).distinct().count();
         if (generations != 1) {
@@ -493,7 +512,7 @@
         }
         long inForce = stewards.get(stewardNames.get(0)).core.routes().inForce().number();
         for (Member member : members.values()) {
-            // One that can't serve by what is in force serves nothing.
+            // A member that cannot serve the active version serves nothing.
             if (member.serves() != (member.refusesAll && inForce > 0 ? -1 : inForce)) {
                 return member.name + " serves by " + member.serves() + ", " + inForce + " is in force";
             }
--- a/steward/src/test/java/weldhitch/steward/run/StewardSettingsTest.java
+++ b/steward/src/test/java/weldhitch/steward/run/StewardSettingsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import weldhitch.fleet.error.FleetError.SettingUnusable;
 
-/** Broken files are refused with file, line, key and what was expected, all of it at once. */
+/** Invalid files are rejected with file, line, key and the expected value, all errors at once. */
 class StewardSettingsTest {
     private static final String GOOD = "version = 1\nname = \"s1\"\ncluster = \"kigali\"\nlisten = \"127.0.0.1:0\"\n"
         + "directory = \"/tmp/s1\"\n[stewards]\ns1 = \"127.0.0.1:7101\"\ns2 = \"127.0.0.1:7102\"\ns3 = \"127.0.0.1:7103\"\n";
--- a/steward/src/test/java/weldhitch/steward/run/StewardTest.java
+++ b/steward/src/test/java/weldhitch/steward/run/StewardTest.java
@@ -24,11 +24,11 @@
 import weldhitch.testkit.Tests;
 import weldhitch.testkit.Wire;
 
-/** One steward on sockets and disk: what it refuses, and what it keeps. */
+/** One coordinator on real sockets and a real disk: what it rejects, and what it persists. */
 class StewardTest {
     private static final Timing TIMES = new Timing(200_000_000L, 300_000_000L, 50_000_000L, 1_000_000_000L, 0.002);
 
-    /** A member's call with what it tells of zones. */
+    /** A member's call with its zone loads. */
     private static final String MEMBER = "{\"cluster\":\"kigali\",\"waitMillis\":0,\"turnFrom\":-1,\"call\":{\"member\":\"n\",\"incarnation\":\"x\","
         + "\"generation\":0,\"voted\":0,\"yes\":false,\"leaves\":false},\"zones\":%s}";
 
@@ -70,7 +70,10 @@
         Files.move(beside, directory.resolve("versions").resolve(name));
     }
 
-    /** Malformed, oversized, foreign or nonsense: 4xx with the type of the error, the connection closed, nothing changed. */
+    /**
+     * Malformed, oversized, foreign or invalid requests: 4xx with the error's type, the connection is closed,
+     * and nothing changes.
+     */
     @Test
     void whatMakesNoSenseIsRefusedAndChangesNothing() throws Exception {
         try (Steward steward = start()) {
@@ -113,7 +116,7 @@
             lay("bad.toml", "version = 1\n[class.read]\ndeadlin = \"1s\"\n# end\n");
             lay("torn.toml", "version = 1\n[class.read]\ndeadline = \"1s\"\n");
             lay("good.toml", "version = 1\n[class.read]\ndeadline = \"1s\"\n# end\n");
-            // No member is there to say no.
+            // There is no member that could reject the version.
             Tests.await(() -> state(steward).path("inForce").path("number").asLong() == 1);
             assertTrue(log.stream().anyMatch(l -> l.contains("bundle-unusable: " + directory.resolve("versions/bad.toml") + ":3: class.read.deadlin")),
                 log.toString());
@@ -123,7 +126,7 @@
         }
     }
 
-    /** What was in force is so after a start, and a file that was taken is not taken twice. */
+    /** The active version is restored by a restart, and a file that was accepted is not accepted again. */
     @Test
     void aStartGoesOnFromTheDisk() throws Exception {
         try (Steward steward = start()) {
@@ -139,7 +142,7 @@
         }
     }
 
-    /** A steward whose log may have lost a promise says so, and decides nothing. */
+    /** A coordinator whose log may have lost a promise reports it, and does not vote. */
     @Test
     void aDamagedLogIsSuspectAndItsStewardDoesNotVote() throws Exception {
         try (Steward steward = start()) {
--- a/testkit/src/main/java/weldhitch/testkit/DiscoveryStandIn.java
+++ b/testkit/src/main/java/weldhitch/testkit/DiscoveryStandIn.java
@@ -8,10 +8,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A stand-in for discovery: a list that a test changes, told to nodes that watch it or ask for it. */
+/**
+ * A fake discovery service: serves an endpoint list that the test changes, by poll or long poll. Thread-safe:
+ * the list is guarded by the object's monitor.
+ */
 public final class DiscoveryStandIn implements Closeable {
     private static final Pattern WATCH = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
 
+    /** One list entry; {@code since} is the list version that changed it last. Immutable. */
     private record Host(String dial, String health, int since) {
     }
 
@@ -21,9 +25,10 @@
     private boolean silent;
     private long toldAt;
     private int toldVersion;
-    /** The version that the last answer brought. */
+    /** The list version in the latest response. */
     private int answered;
 
+    /** Starts to listen at once, with an empty list. */
     public DiscoveryStandIn() throws IOException {
         peer = new Peer(wire -> {
             for (Message m = wire.message(); m != null; m = wire.message()) {
@@ -38,17 +43,17 @@
         return peer.address();
     }
 
-    /** A server that is ready from now on. */
+    /** Lists the endpoint as ready. */
     public DiscoveryStandIn push(String name, String dial) {
         return change(name, dial, "ready");
     }
 
-    /** The server drains from now on. */
+    /** Lists the endpoint as draining. */
     public DiscoveryStandIn drain(String name) {
         return change(name, hosts.get(name).dial, "draining");
     }
 
-    /** The server is gone from now on. */
+    /** Removes the endpoint from the list. */
     public DiscoveryStandIn gone(String name) {
         return change(name, hosts.get(name).dial, "gone");
     }
@@ -59,20 +64,23 @@
         return this;
     }
 
-    /** Answers nothing until {@link #speak}; calls wait. */
+    /** Suspends all responses until {@link #speak}; polls stay pending. */
     public synchronized DiscoveryStandIn silence() {
         silent = true;
         return this;
     }
 
-    /** Answers again. */
+    /** Resumes responses. */
     public synchronized DiscoveryStandIn speak() {
         silent = false;
         notifyAll();
         return this;
     }
 
-    /** Waits until a node has been told of the newest change and says when that was, by {@link System#nanoTime}. */
+    /**
+     * Waits until a node has received the newest list version; returns {@link System#nanoTime} of that
+     * moment.
+     */
     public synchronized long awaitTold() throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(Tests.WAIT_S);
         while (toldVersion < version) {
--- a/testkit/src/main/java/weldhitch/testkit/FaultLink.java
+++ b/testkit/src/main/java/weldhitch/testkit/FaultLink.java
@@ -14,11 +14,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A relay on loopback between a client and a server that can be told to misbehave: to delay, trickle, swallow, cut or
- * close one direction. What it is told holds for bytes not yet passed on, of all its connections and of new ones.
+ * A TCP proxy on loopback that injects faults between a client and a server: delay, jitter, limited bandwidth,
+ * dropped bytes, resets, half-close. A fault applies to bytes not yet forwarded, on all open connections and on
+ * new ones. Thread-safe; each connection uses two daemon threads of its own.
  */
 public final class FaultLink implements Closeable {
-    /** The two ways through the link. */
+    /** The direction in which bytes are forwarded. */
     public enum Way { TO_SERVER, TO_CLIENT }
 
     private static final int CHUNK = 16 * 1024;
@@ -30,20 +31,21 @@
     private final Direction toClient = new Direction();
     private volatile boolean refusing;
 
-    /** How one way behaves. Guarded by itself. */
+    /** Faults in force for one direction. Guarded by its own monitor. */
     private static final class Direction {
         final AtomicLong passed = new AtomicLong();
         long delayMs;
-        /** Besides the delay, a time drawn for each piece, up to this. */
+        /** Upper bound of a random time added to the delay of each chunk; 0 for none. */
         int jitterMs;
         SplittableRandom random = new SplittableRandom(0);
-        /** How many more bytes pass before the connections are reset; below 0 for no bound. */
+        /** How many more bytes are forwarded before the connections are reset; below 0 for no limit. */
         long left = -1;
         long bytesPerSecond;
         boolean swallowing;
         boolean held;
     }
 
+    /** The two sockets of one proxied connection. Immutable. */
     private record Pair(Socket client, Socket server) {
         void end(boolean reset) {
             for (Socket socket : new Socket[] {client, server}) {
@@ -53,13 +55,17 @@
                     }
                     socket.close();
                 } catch (IOException e) {
-                    // it has ended already
+                    // already closed
                 }
             }
         }
     }
 
-    /** {@code address}: the server's, as host and port. */
+    /**
+     * Starts to listen at once.
+     *
+     * @param address host and port of the server
+     */
     public FaultLink(String address) throws IOException {
         int colon = address.lastIndexOf(':');
         server = new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
@@ -108,7 +114,7 @@
         }
     }
 
-    /** Passes bytes on as the way is told to at each moment. */
+    /** Forwards bytes, applying the faults in force when each chunk is written. */
     private static void pass(byte[] bytes, int count, OutputStream out, Direction way, Pair pair)
             throws IOException, InterruptedException {
         int at = 0;
@@ -126,7 +132,7 @@
                 long wait = (at == 0 ? way.delayMs + (way.jitterMs == 0 ? 0 : way.random.nextInt(way.jitterMs)) : 0)
                     + (way.bytesPerSecond == 0 ? 0 : 1000L * next / way.bytesPerSecond);
                 if (wait > 0) {
-                    // A time that the link was told to take; a word that it shall behave otherwise ends it.
+                    // The injected delay; a change of the faults notifies and ends it early.
                     way.wait(wait);
                 }
                 if (way.swallowing) {
@@ -141,7 +147,7 @@
                     }
                 }
             }
-            // Counted first: whoever reads these bytes finds them counted.
+            // Counted before the write, so that whoever reads these bytes finds them counted.
             way.passed.addAndGet(next);
             out.write(bytes, at, next);
             out.flush();
@@ -149,17 +155,17 @@
         }
     }
 
-    /** Where clients connect, as host and port. */
+    /** Host and port to which clients connect. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** How many bytes have been passed on that way. */
+    /** Number of bytes forwarded in that direction. */
     public long passed(Way way) {
         return of(way).passed.get();
     }
 
-    /** How many connections it holds. */
+    /** Number of open proxied connections. */
     public int connections() {
         return open.size();
     }
@@ -168,6 +174,7 @@
         return way == Way.TO_SERVER ? toServer : toClient;
     }
 
+    /** A change of the faults of one direction, applied under its monitor. */
     private interface Word {
         void to(Direction way);
     }
@@ -181,12 +188,15 @@
         return this;
     }
 
-    /** Each piece that comes is passed on so many milliseconds late. */
+    /** Forwards each chunk {@code millis} late. */
     public FaultLink delay(Way way, long millis) {
         return tell(way, d -> d.delayMs = millis);
     }
 
-    /** Each piece is passed on later by a time of its own, drawn from the seed, up to so many milliseconds; both ways. */
+    /**
+     * Delays each chunk by a further random time below {@code millis}, drawn from the seed; both
+     * directions.
+     */
     public FaultLink jitter(int millis, long seed) {
         for (Way way : Way.values()) {
             tell(way, d -> {
@@ -197,27 +207,30 @@
         return this;
     }
 
-    /** After so many more bytes to the client, resets each connection that has more to pass: within a message, mostly. */
+    /**
+     * After so many more bytes to the client, resets each connection that has more to forward, which is mostly
+     * within a message.
+     */
     public FaultLink cutAfter(long bytes) {
         return tell(Way.TO_CLIENT, d -> d.left = bytes);
     }
 
-    /** Passes on so many bytes a second at the most; 0 for no bound. */
+    /** Limits the bandwidth of a direction in bytes a second; 0 for no limit. */
     public FaultLink trickle(Way way, long bytesPerSecond) {
         return tell(way, d -> d.bytesPerSecond = bytesPerSecond);
     }
 
-    /** Takes all and passes nothing on, with connections left open: a machine that vanished. */
+    /** Reads and drops all bytes but leaves connections open, as when a machine has vanished. */
     public FaultLink swallow(Way way) {
         return tell(way, d -> d.swallowing = true);
     }
 
-    /** Keeps back what comes until {@link #heal}: nothing is lost, unlike by {@link #swallow}. */
+    /** Pauses forwarding until {@link #heal}; unlike with {@link #swallow}, nothing is lost. */
     public FaultLink hold(Way way) {
         return tell(way, d -> d.held = true);
     }
 
-    /** From here on behaves as a plain relay; what was swallowed stays lost. */
+    /** Ends all faults; bytes dropped so far stay lost. */
     public FaultLink heal() {
         refusing = false;
         for (Way way : Way.values()) {
@@ -233,20 +246,20 @@
         return this;
     }
 
-    /** Resets all connections; new ones are taken. */
+    /** Resets all open connections; new ones are accepted. */
     public FaultLink cut() {
         open.forEach(pair -> pair.end(true));
         open.clear();
         return this;
     }
 
-    /** Resets new connections as soon as they come up. */
+    /** Resets new connections as soon as they are accepted, until {@link #heal}. */
     public FaultLink refuse() {
         refusing = true;
         return this;
     }
 
-    /** Ends one way of all connections in order, as a peer does that has no more to say; the other way goes on. */
+    /** Half-closes all connections: an orderly end of one direction (FIN), while the other goes on. */
     public FaultLink closeOneWay(Way way) throws IOException {
         for (Pair pair : open) {
             (way == Way.TO_SERVER ? pair.server : pair.client).shutdownOutput();
--- a/testkit/src/main/java/weldhitch/testkit/HeldDial.java
+++ b/testkit/src/main/java/weldhitch/testkit/HeldDial.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A listener to which dials do not come up until it is released: its backlog is full. The system tries each again a second
- * after it began, so a dial comes up that long after its start at the soonest.
+ * A listener whose full backlog stalls connection attempts until it is released. The kernel retransmits a
+ * SYN one second after the first, so a stalled attempt takes at least that long. Used from one test thread.
  */
 public final class HeldDial implements Closeable {
     private static final int BACKLOG = 1;
@@ -21,6 +21,7 @@
     private final ServerSocket listener;
     private final List<Closeable> open = new CopyOnWriteArrayList<>();
 
+    /** Listens and fills the backlog at once. */
     public HeldDial() throws IOException {
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         for (int i = 0; i <= BACKLOG; i++) {
@@ -33,7 +34,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Waits until a dial to it is under way. */
+    /** Waits until a connection attempt to it is under way (state SYN_SENT). */
     public void awaitDial() {
         String port = String.format(Locale.ROOT, ":%04X 02", listener.getLocalPort());
         Tests.await(() -> lines("/proc/net/tcp", port) || lines("/proc/net/tcp6", port));
@@ -47,7 +48,7 @@
         }
     }
 
-    /** Lets dials come up, and waits for one. */
+    /** Empties the backlog, so that connection attempts succeed, and waits for one. */
     public Wire release() throws IOException {
         listener.setSoTimeout(Tests.WAIT_S * 1000);
         for (int i = 0; i <= BACKLOG; i++) {
@@ -58,7 +59,7 @@
         return wire;
     }
 
-    /** Lets dials come up, now and later, and gives each connection to this behaviour. */
+    /** Empties the backlog and hands each connection, now and later, to this handler on a thread of its own. */
     public void release(Behaviour behaviour) {
         Tests.daemon(() -> {
             for (Wire wire = release(); ; wire = new Wire(listener.accept())) {
--- a/testkit/src/main/java/weldhitch/testkit/HeldPort.java
+++ b/testkit/src/main/java/weldhitch/testkit/HeldPort.java
@@ -7,19 +7,22 @@
 import java.net.Socket;
 
 /**
- * A port of loopback for a listener that comes later. A socket that is bound to it and does not listen keeps it: the system
- * gives it to nobody who asks for any free port and to no outgoing connection, dials to it are refused, and a listener that
- * names it may have it, again and again. A port that was only looked up and let go is taken by any connection in between.
+ * Reserves a loopback port for a listener that starts later, by a socket that is bound to it and does not
+ * listen. The kernel then assigns the port neither as an ephemeral port nor to an outgoing connection,
+ * refuses connection attempts to it, and lets a listener bind to it explicitly, any number of times. A port
+ * that was only looked up and released may be taken by any connection in between. Immutable.
  */
 public final class HeldPort implements Closeable {
     private final Socket holder = new Socket();
 
+    /** Reserves a free port at once. */
     public HeldPort() throws IOException {
-        // Both sockets have to allow the other: listeners of Java's channels do so by themselves.
+        // Both sockets need SO_REUSEADDR; Java's server channels set it by themselves.
         holder.setReuseAddress(true);
         holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
+    /** The reserved port. */
     public int number() {
         return holder.getLocalPort();
     }
--- a/testkit/src/main/java/weldhitch/testkit/HttpUpstream.java
+++ b/testkit/src/main/java/weldhitch/testkit/HttpUpstream.java
@@ -13,24 +13,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stand-in server that plays a script: each request takes the next step, and once the script is played, the usual
- * one. It counts what it has run by request, as the rule on effects asks.
+ * An HTTP server that follows a script: each request gets the next step, and the default step once the
+ * script is used up. It counts executions by request id, so that tests can check that no non-idempotent
+ * request runs twice. Thread-safe; each connection has a thread of its own.
  *
- * <pre>{@code new HttpUpstream("s1").next(refuse(), after(50, answer("late"))).usually(answer("x"))}</pre>
+ * <pre>{@code
+ * new ScriptedHttpServer("s1").enqueue(reject(), delayed(50, respond("late"))).byDefault(respond("x"))
+ * }</pre>
  */
 public final class HttpUpstream implements Closeable {
-    /** What becomes of one request. */
+    /** How the server treats one request. Immutable. */
     public sealed interface Step permits Answer, Refuse, Fail, After, ResetUnread, ResetRun, Stall, Spoil, Hang {
-        /** Whether the request runs. */
+        /** Whether the request is executed. */
         default boolean runs() {
             return true;
         }
     }
 
+    /** Status 200 with a body. */
     private record Answer(String body) implements Step { }
 
+    /** A status without a body. */
     private record Fail(int status) implements Step { }
 
+    /** Another step, a while later. */
     private record After(long millis, Step then) implements Step {
         @Override
         public boolean runs() {
@@ -38,14 +44,19 @@
         }
     }
 
+    /** A reset after the request was executed. */
     private record ResetRun() implements Step { }
 
+    /** The first half of the body, then nothing. */
     private record Stall(String half) implements Step { }
 
+    /** Bytes that are no HTTP response. */
     private record Spoil(String noise) implements Step { }
 
+    /** No response at all. */
     private record Hang() implements Step { }
 
+    /** Status 503 with the promise that the request was not executed. */
     private record Refuse() implements Step {
         @Override
         public boolean runs() {
@@ -53,6 +64,7 @@
         }
     }
 
+    /** A reset before the body is read. */
     private record ResetUnread() implements Step {
         @Override
         public boolean runs() {
@@ -60,52 +72,58 @@
         }
     }
 
-    /** Serves with this body. */
+    /** Executes and responds with status 200 and this body. */
     public static Step answer(String body) {
         return new Answer(body);
     }
 
-    /** Turns away, with the word that it never ran. */
+    /** Rejects with status 503 and {@code X-Never-Ran}: the request is not executed. */
     public static Step refuse() {
         return new Refuse();
     }
 
-    /** Runs and answers with this status and no body. */
+    /** Executes and responds with this status and no body. */
     public static Step fail(int status) {
         return new Fail(status);
     }
 
-    /** Plays the step so many milliseconds later. */
+    /** Performs the step so many milliseconds later. */
     public static Step after(long millis, Step then) {
         return new After(millis, then);
     }
 
-    /** Resets once the head has come and before the body is read: it never runs. */
+    /** Resets after the head and before the body is read: the request is not executed. */
     public static Step resetBeforeLastByte() {
         return new ResetUnread();
     }
 
-    /** Runs and resets with nothing answered. */
+    /** Executes and resets without a response. */
     public static Step resetAfterLastByte() {
         return new ResetRun();
     }
 
-    /** Runs, answers the first half of this body and then says nothing, with the connection open. */
+    /** Executes, sends the first half of this body, then stalls with the connection open. */
     public static Step stallMidAnswer(String body) {
         return new Stall(body);
     }
 
-    /** Runs and answers with what can't be read. */
+    /** Executes and responds with these bytes, which are no HTTP response. */
     public static Step spoil(String noise) {
         return new Spoil(noise);
     }
 
-    /** Runs and never answers. */
+    /** Executes and never responds. */
     public static Step hang() {
         return new Hang();
     }
 
-    /** A request whose last byte has come (or, where it was reset unread, its head), and when. */
+    /**
+     * A received request. Immutable.
+     *
+     * @param id its trace id
+     * @param atNanos {@link System#nanoTime} when its last byte had arrived, or its head where it was reset
+     *     unread
+     */
     public record Seen(String id, long atNanos, Step step) {
     }
 
@@ -117,20 +135,20 @@
     private final CountDownLatch closed = new CountDownLatch(1);
     private Step usual;
 
-    /** Listens at once; serves with its name until told otherwise. */
+    /** Starts to listen at once; the default step responds with the server's name. */
     public HttpUpstream(String name) throws IOException {
         this.name = name;
         usual = answer(name);
         peer = new Peer(this::serve);
     }
 
-    /** Adds steps that are played once each, in order, before the usual one. */
+    /** Appends steps that are used once each, in order, before the default step. */
     public synchronized HttpUpstream next(Step... steps) {
         script.addAll(List.of(steps));
         return this;
     }
 
-    /** What becomes of every request that the script has no step for. */
+    /** Sets the step for every request for which the script has none. */
     public synchronized HttpUpstream usually(Step step) {
         usual = step;
         return this;
@@ -157,14 +175,14 @@
                 return;
             }
         }
-        // The caller has ended it: kept open, each would cost a descriptor to the end of the test.
+        // The client has ended it; left open, each would cost a descriptor until the end of the test.
         wire.close();
     }
 
-    /** False where nothing more is read on the connection. */
+    /** Performs a step; false where nothing more is read on the connection. */
     private boolean play(Wire wire, Step step) throws Exception {
         if (step instanceof After after) {
-            // The time its work takes by the script; a close of the server ends it.
+            // The scripted processing time; closing the server ends it early.
             closed.await(after.millis, TimeUnit.MILLISECONDS);
             return play(wire, after.then);
         } else if (step instanceof Answer answer) {
@@ -191,6 +209,7 @@
         return "HTTP/1.1 " + status + " x\r\nContent-Length: " + length + "\r\n\r\n";
     }
 
+    /** The server's name. */
     public String name() {
         return name;
     }
@@ -200,17 +219,17 @@
         return peer.address();
     }
 
-    /** How often the request of this id was run. */
+    /** How often the request of this id was executed. */
     public int executions(String id) {
         return executions.getOrDefault(id, 0);
     }
 
-    /** All requests that came, in the order of their coming. */
+    /** All received requests, in order of arrival. */
     public List<Seen> seen() {
         return List.copyOf(seen);
     }
 
-    /** The most connections that came up within so many milliseconds. */
+    /** The most connections accepted within any {@code millis}. */
     public int peakOfConnections(long millis) {
         List<Long> at = peer.accepted();
         int peak = 0;
--- a/testkit/src/main/java/weldhitch/testkit/Message.java
+++ b/testkit/src/main/java/weldhitch/testkit/Message.java
@@ -2,24 +2,33 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** An HTTP message as it came over the wire. */
+/**
+  * An HTTP message as received, unparsed. Immutable, except that the body array is not copied.
+ *
+ * @param head start line and headers including the empty line
+ */
 public record Message(String head, byte[] body) {
+    /** The request line or status line. */
     public String firstLine() {
         return head.substring(0, head.indexOf('\r'));
     }
 
+    /** The status code of a response. */
     public int status() {
         return Integer.parseInt(head.substring(9, 12));
     }
 
+    /** The value of a header by its lower-case name; null where it is absent. */
     public String field(String name) {
         return field(head, name);
     }
 
+    /** The body in ISO 8859-1. */
     public String text() {
         return new String(body, StandardCharsets.ISO_8859_1);
     }
 
+    /** The value of a header in {@code head} by its lower-case name; null where it is absent. */
     public static String field(String head, String name) {
         for (String line : head.split("\r\n")) {
             if (line.toLowerCase(java.util.Locale.ROOT).startsWith(name + ":")) {
--- a/testkit/src/main/java/weldhitch/testkit/NodeTexts.java
+++ b/testkit/src/main/java/weldhitch/testkit/NodeTexts.java
@@ -2,20 +2,29 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** What nodes are configured by and asked, as text, for the tests of every module. */
+/**
+ * Builds node configurations, endpoint list entries and HTTP requests as text, for the tests of every module.
+ * Stateless and thread-safe.
+ */
 public final class NodeTexts {
     private NodeTexts() {
     }
 
+    /** An endpoint list entry in JSON with health {@code ready}; {@code address} is host and port. */
     public static String host(String name, String address) {
         return host(name, address, "ready");
     }
 
+    /** An endpoint list entry in JSON; {@code address} is host and port. */
     public static String host(String name, String address, String health) {
         return "{\"host\":\"" + name + "\",\"dial\":\"" + address + "\",\"site\":\"a\",\"class\":\"k\",\"block\":1,"
             + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
+    /**
+     * The balancer settings in JSON; {@code more} is appended to the object as it is and starts with a
+     * comma.
+     */
     public static String settings(String more) {
         return "{\"areas\":[\"a\"],\"az\":\"a\",\"layer\":0,\"me\":0,\"siblings\":1,\"quantumS\":0.002,\"classes\":["
             + "{\"name\":\"read\",\"effect\":\"read_like\",\"aimS\":4.0,\"deadlineS\":8.0},"
@@ -28,6 +37,14 @@
             + "\"fallMultiple\":3,\"overloadForS\":3}" + more + "}";
     }
 
+    /**
+     * A node's configuration file in JSON.
+     *
+     * @param discovery host and port of the discovery service
+     * @param known entries of the cached endpoint list, separated by commas
+     * @param sockets the node's socket limit
+     * @param moreSettings appended to the balancer settings as it is; starts with a comma
+     */
     public static byte[] config(String discovery, String known, int sockets, String moreSettings) {
         return ("{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery + "\",\"seed\":\"0f\","
             + "\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":" + sockets + "},\"known\":{\"seq\":0,"
@@ -35,16 +52,18 @@
             .getBytes(StandardCharsets.UTF_8);
     }
 
+    /** A GET request of class {@code read} with the given trace id. */
     public static String get(String id) {
         return "GET /read/x?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + id + "\r\nX-Qos: read\r\n"
             + "X-Expires-In: 8.000\r\n\r\n";
     }
 
-    /** A request of the class whose answers are passed on as they come. */
+    /** A GET request of class {@code feed}, whose responses the node streams. */
     public static String feed(String id) {
         return get(id).replace("/read/", "/feed/").replace("X-Qos: read", "X-Qos: feed");
     }
 
+    /** A non-idempotent POST request of class {@code book} with the given trace id. */
     public static String post(String id, String body) {
         return "POST /book HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + id + "\r\nX-Qos: book\r\n"
             + "X-Expires-In: 8.000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
--- a/testkit/src/main/java/weldhitch/testkit/Peer.java
+++ b/testkit/src/main/java/weldhitch/testkit/Peer.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A listening peer that gives each connection to its behaviour, on a thread of its own. */
+/** A TCP server on loopback that runs its handler on each connection, on a thread of its own. Thread-safe. */
 public final class Peer implements Closeable {
     public final ServerSocket listener;
     public final BlockingQueue<Message> requests = new LinkedBlockingQueue<>();
@@ -20,6 +20,7 @@
     private final java.util.concurrent.atomic.AtomicInteger serving =
         new java.util.concurrent.atomic.AtomicInteger();
 
+    /** Starts to listen at once on a free port. */
     public Peer(Behaviour behaviour) throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         Tests.daemon(() -> {
@@ -40,7 +41,7 @@
         });
     }
 
-    /** A server that notes each request and answers it by {@code answer}. */
+    /** An HTTP server that queues each request in {@link #requests} and responds with {@code answer}'s text. */
     public static Peer answering(java.util.function.Function<Message, String> answer) throws IOException {
         Peer[] self = new Peer[1];
         java.util.concurrent.CountDownLatch set = new java.util.concurrent.CountDownLatch(1);
@@ -56,16 +57,17 @@
         return self[0];
     }
 
-    /** When each connection came up, by {@link System#nanoTime}, in order. */
+    /** {@link System#nanoTime} at which each connection was accepted, in order. */
     public List<Long> accepted() {
         return List.copyOf(accepted);
     }
 
-    /** Connections whose behaviour has not ended. */
+    /** Number of connections whose handler has not returned. */
     public int serving() {
         return serving.get();
     }
 
+    /** Waits for the next request and removes it from the queue; fails when none arrives in time. */
     public Message next() throws InterruptedException {
         Message m = requests.poll(Tests.WAIT_S, TimeUnit.SECONDS);
         if (m == null) {
@@ -74,6 +76,7 @@
         return m;
     }
 
+    /** Waits for the next connection and removes it from the queue; fails when none arrives in time. */
     public Wire connection() throws InterruptedException {
         Wire w = connections.poll(Tests.WAIT_S, TimeUnit.SECONDS);
         if (w == null) {
@@ -82,6 +85,7 @@
         return w;
     }
 
+    /** Host and port. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
--- a/testkit/src/main/java/weldhitch/testkit/RuleKeeper.java
+++ b/testkit/src/main/java/weldhitch/testkit/RuleKeeper.java
@@ -13,13 +13,18 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * A caller that holds a node to its rules: one final answer for each request and nothing after it; nothing unsafe run
- * twice, nor run and then refused; nothing sent to a server a grace after the node was told of its drain.
+ * A client that checks a node's invariants: exactly one final response for each request; no non-idempotent
+ * request executed twice, or executed and then rejected; nothing sent to a draining endpoint once a grace
+ * period after the node was notified is over. Thread-safe.
  */
 public final class RuleKeeper implements Closeable {
-    /** One request as it ended. */
+    /**
+     * A completed request. Immutable.
+     *
+     * @param unsafe whether it is non-idempotent
+     */
     public record Asked(String id, boolean unsafe, int status, String body) {
-        /** Whether the answer says that trying again is harmless. */
+        /** Whether the response promises that the request had no effect, so that a retry is harmless. */
         public boolean refused() {
             return status == 429 || status == 503;
         }
@@ -30,17 +35,17 @@
     private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
     private final Set<Wire> open = ConcurrentHashMap.newKeySet();
 
-    /** {@code port}: where the node listens on loopback. */
+    /** @param port the node's port on loopback */
     public RuleKeeper(int port) {
         this.port = port;
     }
 
-    /** Asks on a connection of its own, waits for the one answer and sees that nothing comes behind it. */
+    /** Sends a request on a new connection, waits for its response and checks that nothing follows it. */
     public Asked ask(String id, boolean unsafe, String request) throws IOException {
         Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), port));
         open.add(wire);
-        // Closed as soon as it has ended: a caller of thousands a second would hold a descriptor for each request, and
-        // once the process has none left, the node it shares the process with can't accept the next connection.
+        // Closed as soon as it has ended: at thousands of requests a second each would occupy a descriptor, and
+        // once the process has none left, a node in the same process can't accept the next connection.
         try {
             return ask(wire, id, unsafe, request);
         } finally {
@@ -60,7 +65,7 @@
         if (asked.put(id, result) != null) {
             broken.add(id + ": asked twice by the test");
         }
-        // With its own side ended the node has nothing to wait for and ends too; what comes till then is too much.
+        // After this half-close the node closes too; any byte that arrives until then is one too many.
         wire.socket.shutdownOutput();
         try {
             byte[] behind = wire.rest();
@@ -68,16 +73,17 @@
                 broken.add(id + ": " + behind.length + " bytes behind its final answer");
             }
         } catch (SocketException e) {
-            // a reset brings nothing behind the answer either
+            // after a reset nothing follows the response either
         }
         return result;
     }
 
+    /** All completed requests, in no particular order. */
     public List<Asked> asked() {
         return List.copyOf(asked.values());
     }
 
-    /** The rules broken so far, a line each; none where all were kept. */
+    /** The invariants violated so far, one line each; empty where all hold. */
     public List<String> broken(List<HttpUpstream> servers) {
         List<String> all = new ArrayList<>(broken);
         for (Asked a : asked.values()) {
@@ -95,7 +101,11 @@
         return all;
     }
 
-    /** What the server was sent later than {@code graceNanos} after {@code toldNanos} of {@link System#nanoTime}. */
+    /**
+     * Requests that the server received later than {@code graceNanos} after {@code toldNanos}, one line each.
+     *
+     * @param toldNanos {@link System#nanoTime} at which the node was notified that the endpoint drains
+     */
     public static List<String> sentAfterDrain(HttpUpstream server, long toldNanos, long graceNanos) {
         return server.seen().stream().filter(s -> s.atNanos() - toldNanos > graceNanos)
             .map(s -> s.id() + ": sent to " + server.name() + " " + (s.atNanos() - toldNanos) / 1_000_000
--- a/testkit/src/main/java/weldhitch/testkit/Tests.java
+++ b/testkit/src/main/java/weldhitch/testkit/Tests.java
@@ -1,24 +1,29 @@
 package weldhitch.testkit;
 
-/** What every test on sockets shares: how long it waits at the most, and threads that end with it. */
+/** Timeout, polling and daemon threads shared by tests that use sockets. Thread-safe. */
 public final class Tests {
-    /** The longest that a test waits for anything, in seconds: a bound for a noisy machine, no verdict. */
+    /**
+     * Upper bound for any wait of a test, in seconds: generous for a noisy machine, not itself an
+     * assertion.
+     */
     public static final int WAIT_S = 20;
 
     private Tests() {
     }
 
-    /** Work of a peer, which ends with its connection however that goes. */
+    /** The body of a daemon thread. Its exceptions are ignored, as a peer's thread ends with its connection. */
     public interface Work {
+        /** Runs on a thread of its own until the connection ends. */
         void run() throws Exception;
     }
 
+    /** Starts a daemon thread that runs {@code work} and ignores its exceptions. */
     public static Thread daemon(Work work) {
         Thread thread = new Thread(() -> {
             try {
                 work.run();
             } catch (Exception e) {
-                // a peer of a test ends with its connection
+                // the peer's connection has ended, and its thread with it
             }
         });
         thread.setDaemon(true);
@@ -26,12 +31,12 @@
         return thread;
     }
 
-    /** Waits until it holds; fails where it does not within {@link #WAIT_S} seconds. */
+    /** Polls until the condition is true; fails after {@link #WAIT_S} seconds. */
     public static void await(java.util.function.BooleanSupplier condition) {
         await(WAIT_S, condition);
     }
 
-    /** Waits until it holds; fails where it does not within so many seconds. */
+    /** Polls until the condition is true; fails after {@code seconds}. */
     public static void await(int seconds, java.util.function.BooleanSupplier condition) {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         while (!condition.getAsBoolean()) {
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Callers.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Callers.java
@@ -15,29 +15,37 @@
 import weldhitch.testkit.Tests;
 import weldhitch.testkit.Wire;
 
-/** Callers of many nodes: each asks one node, one request after the other, and notes what came of every one. */
+/**
+ * Generates load: each client sends one request at a time to one node and records its completion. Clients
+ * run on threads of their own; they are added from one thread, and the records may be read from any.
+ */
 public final class Callers implements Closeable {
-    /** What came of a request; not taken: its connection, used before, was closed in the instant in which it was written. */
+    /**
+     * How a request completed: answered; its reused connection was closed just as it was written; the
+     * connection broke; no response in time; more bytes after the final response.
+     */
     public enum End { ANSWERED, NOT_TAKEN, BROKEN, NOTHING, MORE_THAN_ONE }
 
     /**
-     * One request, in the chronicle's nanoseconds.
+     * A completed request. Times are nanoseconds on the event log's clock. Immutable.
      *
+     * @param unsafe whether it is non-idempotent
      * @param sentAt when its last byte was written
-     * @param status 0 where no answer came
+     * @param status 0 without a response
+     * @param version the route version that the response names, or null
      */
     public record Asked(String id, String node, boolean unsafe, long sentAt, long endedAt, End end, int status, String version) {
-        /** Whether the answer says that trying again is harmless. */
+        /** Whether the response promises that the request had no effect, so that a retry is harmless. */
         public boolean refused() {
             return status == 429 || status == 503;
         }
     }
 
-    /** Makes the text of a request of its id, the odd ones unsafe. */
+    /** Builds the text of a request from its id and whether it is non-idempotent, which odd numbers are. */
     public interface Asking extends BiFunction<String, Boolean, String> {
     }
 
-    /** Each asks by ids of its own: so many at most, an even figure, as odd ones are unsafe. */
+    /** Size of each client's own range of request numbers: even, because odd numbers are non-idempotent. */
     private static final int MOST_BY_ONE = 1_000_000;
 
     private final Chronicle chronicle;
@@ -47,14 +55,14 @@
     private final CountDownLatch over = new CountDownLatch(1);
     private final List<Thread> threads = new ArrayList<>();
 
-    /** @param waitMs how long a caller waits for an answer before it takes it for lost */
+    /** @param waitMs how long a client waits for a response before it counts as lost, in milliseconds */
     public Callers(Chronicle chronicle, Asking asking, long waitMs) {
         this.chronicle = chronicle;
         this.asking = asking;
         this.waitMs = waitMs;
     }
 
-    /** From here on asks that node about every so many milliseconds, while it listens. */
+    /** Adds a client that sends a request to the node about every {@code everyMs}, while the node listens. */
     public Callers ask(Program node, long everyMs) {
         int first = MOST_BY_ONE * threads.size();
         threads.add(Tests.daemon(() -> {
@@ -95,7 +103,7 @@
         return wire;
     }
 
-    /** Returns the connection where it may carry another request, else null. */
+    /** Sends one request; returns the connection where it may carry another, else null. */
     private Wire askOnce(Wire wire, String node, String id, boolean unsafe, boolean reused) {
         long sentAt = 0;
         try {
@@ -103,7 +111,7 @@
             sentAt = chronicle.now();
             Message answer = wire.message();
             if (answer == null) {
-                // A connection between requests may be closed in the instant in which the next one is written.
+                // An idle connection may be closed in the instant in which the next request is written.
                 note(id, node, unsafe, sentAt, reused ? End.NOT_TAKEN : End.BROKEN, null);
                 return null;
             }
@@ -125,7 +133,7 @@
         try {
             wire.close();
         } catch (IOException e) {
-            // it has ended already
+            // already closed
         }
         return null;
     }
@@ -135,11 +143,12 @@
             answer == null ? null : Message.field(answer.head(), "x-route-version")));
     }
 
+    /** All completed requests so far, in order of completion. */
     public List<Asked> asked() {
         return List.copyOf(asked);
     }
 
-    /** Ends the asking, once the requests under way have ended. */
+    /** Stops the clients and waits for the requests in flight to complete. */
     @Override
     public void close() throws IOException {
         over.countDown();
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Chronicle.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Chronicle.java
@@ -5,11 +5,13 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** What was seen of all processes and peers of a test, in one order and by one clock: that of this process. */
+/** The log of all events of a test, in one order and on the clock of this process. Thread-safe. */
 public final class Chronicle {
     /**
-     * @param at nanoseconds since the chronicle began
-     * @param who the process, link or peer that it is about
+     * One event. Immutable.
+     *
+     * @param at nanoseconds since the event log was created
+     * @param who the process, link or peer that it concerns
      */
     public record Entry(long at, String who, String what) {
         @Override
@@ -21,12 +23,12 @@
     private final long began = System.nanoTime();
     private final List<Entry> entries = new ArrayList<>();
 
-    /** Nanoseconds since the chronicle began. */
+    /** Nanoseconds since the event log was created. */
     public long now() {
         return System.nanoTime() - began;
     }
 
-    /** Notes that this happened now, and returns when that is. */
+    /** Appends an event at the current time and returns that time. */
     public synchronized long note(String who, String what) {
         long at = now();
         entries.add(new Entry(at, who, what));
@@ -34,12 +36,12 @@
         return at;
     }
 
-    /** What was noted so far, in its order. */
+    /** All entries so far, in order. */
     public synchronized List<Entry> entries() {
         return List.copyOf(entries);
     }
 
-    /** Waits for an entry from the {@code from}-th on that fits, and returns it; fails after so many seconds. */
+    /** Waits for the first matching entry from index {@code from} on; fails after {@code seconds}. */
     public synchronized Entry await(int from, int seconds, Predicate<Entry> fits) throws InterruptedException {
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         int next = from;
@@ -57,7 +59,7 @@
         }
     }
 
-    /** The last entries, a line each: for the message of a test that fails. */
+    /** The last {@code count} entries, one line each: for the message of a failing test. */
     public synchronized String last(int count) {
         return entries.subList(Math.max(0, entries.size() - count), entries.size()).stream().map(Entry::toString)
             .collect(Collectors.joining("\n"));
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
@@ -7,33 +7,35 @@
 import java.util.stream.Collectors;
 
 /**
- * One fault of a schedule, as data: drawn from a seed, printed as a line, read again and so played again.
+ * One fault of a schedule: drawn from a seed, and formatted and parsed as a line of text, so that a
+ * schedule can be repeated. Immutable.
  *
- * @param atMs when it begins, in milliseconds since the schedule did
+ * @param atMs when it begins, in milliseconds since the start of the schedule
  * @param target the process, or the edge as {@code from>to}
- * @param lastsMs how long until it is taken back
- * @param figure milliseconds of a delay or jitter, bytes a second of a drip, bytes before a cut; 0 for the others
+ * @param lastsMs how long until it is reverted, in milliseconds
+ * @param figure milliseconds of a delay or jitter, bytes a second of a throttled link, bytes before a reset;
+ *     0 for the others
  */
 public record Fault(long atMs, Kind kind, String target, long lastsMs, int figure) {
-    /** What is done. */
+    /** The kind of disturbance. */
     public enum Kind {
-        /** SIGKILL, and a new start under the same name when it is taken back. */
+        /** SIGKILL, and a restart under the same name when it is reverted. */
         KILL(true),
-        /** SIGSTOP, and SIGCONT when it is taken back. */
+        /** SIGSTOP, and SIGCONT when it is reverted. */
         STOP(true),
-        /** All connections reset, new ones too. */
+        /** All connections are reset, new ones too. */
         CUT(false),
-        /** What goes to the far side is lost, its answers come: the caller is not heard. */
+        /** Bytes to the server are lost, those from it arrive. */
         ONE_WAY_THERE(false),
-        /** What comes back is lost: the caller is heard and hears nothing. */
+        /** Bytes from the server are lost, those to it arrive. */
         ONE_WAY_BACK(false),
-        /** Every piece comes later. */
+        /** Every chunk is delayed by the same time. */
         DELAY(false),
-        /** Every piece comes later by a time of its own. */
+        /** Every chunk is delayed by a random time of its own. */
         JITTER(false),
-        /** So many bytes a second pass. */
+        /** The bandwidth of responses is limited. */
         DRIP(false),
-        /** After so many more bytes of answers the connections are reset, within a message. */
+        /** The connections are reset after so many more bytes of responses, within a message. */
         CUT_WITHIN(false);
 
         private final boolean ofProcess;
@@ -42,19 +44,20 @@
             this.ofProcess = ofProcess;
         }
 
-        /** Whether it befalls a process, not an edge. */
+        /** Whether it targets a process rather than an edge. */
         public boolean ofProcess() {
             return ofProcess;
         }
     }
 
     /**
-     * Draws a schedule: each target suffers at most one fault at a time, and all are taken back by the end.
+     * Draws a schedule in which each target has at most one fault at a time and all are reverted by the end.
      *
      * @param processes names of processes that may be killed or stopped
      * @param edges names of edges that may fail
-     * @param spanMs the time in which all of it happens
-     */
+      * @param spanMs length of the schedule in milliseconds
+      * @param count the most faults to draw; fewer where they don't fit without overlap
+      */
     public static List<Fault> draw(long seed, List<String> processes, List<String> edges, long spanMs, int count) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> drawn = new ArrayList<>();
@@ -85,13 +88,17 @@
         return target.equals(other.target) && atMs <= other.atMs + other.lastsMs && other.atMs <= atMs + lastsMs;
     }
 
-    /** A schedule as text, a line a fault, which {@link #read} takes. */
+    /** A schedule as text, one fault a line, as {@link #read} parses it. */
     public static String print(List<Fault> schedule) {
         return schedule.stream().map(f -> f.atMs + " " + f.kind + " " + f.target + " " + f.lastsMs + " " + f.figure)
             .collect(Collectors.joining("\n"));
     }
 
-    /** @throws IllegalArgumentException that names the line which is no fault */
+    /**
+     * Parses a schedule.
+     *
+     * @throws IllegalArgumentException naming the line that can't be parsed
+     */
     public static List<Fault> read(String text) {
         return text.lines().filter(l -> !l.isBlank()).map(line -> {
             String[] part = line.trim().split(" +");
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Faults.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Faults.java
@@ -8,12 +8,19 @@
 import weldhitch.testkit.FaultLink;
 import weldhitch.testkit.FaultLink.Way;
 
-/** Plays a schedule of faults on processes and links, and knows afterwards who suffered when. */
+/**
+ * Injects a schedule of faults into processes and links, and records which target was affected when. The
+ * schedule runs on the calling thread; the recorded intervals may be read from any thread.
+ */
 public final class Faults {
-    /** From when to when somebody suffered, in the chronicle's nanoseconds. */
+    /**
+     * The interval in which a target was affected by a fault, on the event log's clock in nanoseconds.
+     * Immutable.
+     */
     public record Spell(String target, Fault.Kind kind, long from, long to) {
     }
 
+    /** The begin or the end of a fault. Immutable. */
     private record Step(long atMs, Fault fault, boolean begins) {
     }
 
@@ -22,14 +29,19 @@
     private final Map<String, FaultLink> edges;
     private final List<Spell> spells = new ArrayList<>();
 
-    /** The maps may be added to until a schedule is played. */
+    /**
+     * Entries may be added to the maps until a schedule runs.
+     *
+     * @param processes processes by target name
+     * @param edges links by edge name, {@code from>to}
+     */
     public Faults(Chronicle chronicle, Map<String, Program> processes, Map<String, FaultLink> edges) {
         this.chronicle = chronicle;
         this.processes = processes;
         this.edges = edges;
     }
 
-    /** Plays all of it; returns once the last fault is taken back. */
+    /** Runs the schedule; returns once the last fault is reverted. */
     public void play(List<Fault> schedule) throws Exception {
         List<Step> steps = new ArrayList<>();
         for (Fault fault : schedule) {
@@ -54,7 +66,7 @@
         }
     }
 
-    /** The schedule's own time: nothing else can end this wait. */
+    /** Waits for the schedule's next step: a plain timed wait, which nothing notifies. */
     private void waitUntil(long at) throws InterruptedException {
         synchronized (this) {
             for (long left = at - chronicle.now(); left > 0; left = at - chronicle.now()) {
@@ -82,19 +94,21 @@
         switch (fault.kind()) {
             case KILL -> processes.get(fault.target()).start();
             case STOP -> processes.get(fault.target()).signal("CONT");
-            // What was swallowed is gone from a stream: its connections can't go on, as those of a machine that is back.
+            // Bytes were dropped from the streams, so their connections can't go on, as after a machine's
+            // return.
             case ONE_WAY_THERE, ONE_WAY_BACK -> edges.get(fault.target()).heal().cut();
             default -> edges.get(fault.target()).heal();
         }
     }
 
-    /** Whether the target suffered at any moment from {@code from} to {@code to}, in the chronicle's nanoseconds. */
+    /** Whether the target was affected at any time between the two, on the event log's clock in nanoseconds. */
     public boolean suffered(String target, long from, long to) {
         synchronized (spells) {
             return spells.stream().anyMatch(s -> s.target.equals(target) && s.from <= to && from <= s.to);
         }
     }
 
+    /** All intervals of faults that were reverted, in the order of their ends. */
     public List<Spell> spells() {
         synchronized (spells) {
             return List.copyOf(spells);
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Judge.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Judge.java
@@ -6,16 +6,19 @@
 import weldhitch.testkit.fleet.Callers.Asked;
 import weldhitch.testkit.fleet.Callers.End;
 
-/** Holds what callers and servers saw of many nodes against the four rules. */
+/**
+ * Checks the four invariants of many nodes against what clients and servers recorded. Immutable; reads the
+ * records at each call.
+ */
 public final class Judge {
     private static final long MILLI = 1_000_000L;
 
     private final Faults faults;
     private final List<HttpUpstream> servers;
-    /** The chronicle's clock against the one that servers note by. */
+    /** {@link System#nanoTime} at which the event log began: converts the servers' times to its clock. */
     private final long chronicleBegan;
 
-    /** @param chronicle the one by whose clock callers and faults were noted */
+    /** @param chronicle the event log on whose clock requests and faults were recorded */
     public Judge(Chronicle chronicle, Faults faults, List<HttpUpstream> servers) {
         this.faults = faults;
         this.servers = servers;
@@ -23,10 +26,12 @@
     }
 
     /**
-     * One final answer in time, and nothing unsafe twice or refused after it may have run. A node that was killed or stood
-     * still while it held a request could not answer; what servers ran is judged all the same.
+     * Violations of: one final response in time; no non-idempotent request executed twice, or rejected
+     * after it was executed. A node that was killed or suspended with a request in flight is excused from
+     * responding; executions are checked all the same.
      *
-     * @param graceMs how late an answer may come after the caller's {@code waitMs}
+     * @param waitMs the clients' timeout in milliseconds
+     * @param graceMs how much later than that a response may arrive, in milliseconds
      */
     public List<String> broken(List<Asked> asked, long waitMs, long graceMs) {
         List<String> broken = new ArrayList<>();
@@ -59,8 +64,9 @@
     }
 
     /**
-     * What a server got from a node later than a grace after the node was told of its drain. A node that stood still when
-     * it should have been told was told when it went on.
+     * Requests that a server received from a node later than a grace period after the node was notified
+     * that the endpoint drains, one line each. A node that was suspended at that time counts as notified
+     * when it resumed.
      */
     public List<String> sentAfterDrain(ListServiceStandIn list, List<String> nodes, long graceMs) {
         List<String> broken = new ArrayList<>();
@@ -79,12 +85,16 @@
     }
 
     /**
-     * The rule on cold servers: in no window of {@code spanMs} more calls of all nodes together than {@code multiple} times
-     * what the server can do then, with the slack of the rule, {@code N + 3 sqrt(N) + 3}.
+     * The slow-start invariant: in no window of {@code spanMs} does the server receive more requests, of
+     * all nodes together, than {@code N + 3 sqrt(N) + 3}, where N is {@code multiple} times its capacity at
+     * that time.
      *
-     * @param bornAt when it started, by the chronicle's clock
-     * @param warmPerSecond what it does a second once it is warm
-     * @param startShare what share of that it does at its start, growing evenly to all of it over {@code coldMs}
+     * @param bornAt when it started, on the event log's clock in nanoseconds
+     * @param warmPerSecond its capacity once warm, in requests a second
+     * @param startShare its capacity at the start as a fraction of that, which grows linearly to 1 over
+     *     {@code coldMs}
+     * @param coldMs how long it warms up, in milliseconds
+     * @return the first violation, or an empty list
      */
     public List<String> pushedOver(HttpUpstream server, long bornAt, double warmPerSecond, double startShare, long coldMs,
             double multiple, long spanMs) {
--- a/testkit/src/main/java/weldhitch/testkit/fleet/ListServiceStandIn.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/ListServiceStandIn.java
@@ -21,20 +21,28 @@
 import weldhitch.testkit.Wire;
 
 /**
- * A list service that many nodes share, of a fixed capacity: it works through calls in turn, those of callers that have
- * gone too, and turns away what finds its queue full. Each node has an address of its own here, by which it is told where
- * it reaches each server.
+ * A fake discovery service of limited capacity that many nodes share: it processes calls one by one, also
+ * those of clients that have disconnected, and rejects calls when its queue is full. Each node has an
+ * address of its own here, by which it gets the endpoint addresses that it shall use. Thread-safe: the list
+ * is guarded by the object's monitor.
  */
 public final class ListServiceStandIn implements Closeable {
     private static final Pattern WATCH = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
 
+    /** One list entry; {@code since} is the list version that changed it last. Immutable. */
     private record Host(String health, long bornMillis, int since) {
     }
 
+    /** A queued call, by the number of list entries in its response. */
     private record Work(int lines, CompletableFuture<Void> done) {
     }
 
-    /** A call as it came: when, by the chronicle's clock, whose, and whether it asked for a list rather than to watch. */
+    /**
+     * A received call. Immutable.
+     *
+     * @param at nanoseconds on the event log's clock
+     * @param whole whether it requests the complete list rather than changes
+     */
     public record Call(long at, String node, boolean whole) {
     }
 
@@ -56,9 +64,11 @@
     private long linesWritten;
 
     /**
-     * @param callMicros work of each call
-     * @param lineMicros work of each line of an answer
-     * @param longestQueue calls that wait at most
+     * Starts to process calls at once.
+     *
+     * @param callMicros processing time of each call in microseconds
+     * @param lineMicros processing time of each list entry of a response in microseconds
+     * @param longestQueue the most calls that may be queued
      */
     public ListServiceStandIn(Chronicle chronicle, long callMicros, long lineMicros, int longestQueue) {
         this.chronicle = chronicle;
@@ -68,19 +78,24 @@
         Tests.daemon(() -> {
             while (closed.getCount() > 0) {
                 Work work = queue.take();
-                // The time that the work takes by the script; a close ends it.
+                // The simulated processing time; closing the service ends it early.
                 closed.await(callMicros + lineMicros * work.lines, TimeUnit.MICROSECONDS);
                 work.done.complete(null);
             }
         });
     }
 
-    /** The zone of each server by its name; all in zone a where it is not told. */
+    /** Sets the zone of each server by its name; without it all are in zone a. */
     public void zones(UnaryOperator<String> zoneOf) {
         zones = zoneOf;
     }
 
-    /** An address for one node, which reaches servers where {@code dial} says; host and port. */
+    /**
+     * Listens on a further address, for one node.
+     *
+     * @param dial the address of each server as this node shall use it, by server name
+     * @return host and port
+     */
     public String addressFor(String node, Map<String, String> dial) throws IOException {
         dials.put(node, Map.copyOf(dial));
         Peer peer = new Peer(wire -> serve(node, wire));
@@ -104,7 +119,7 @@
         }
     }
 
-    /** Breaks what is open and resets every call until {@link #back}. */
+    /** Resets pending calls and every new one until {@link #back}. */
     public void goAway() {
         away = true;
         chronicle.note("list service", "away");
@@ -113,12 +128,13 @@
         }
     }
 
+    /** Serves calls again. */
     public void back() {
         away = false;
         chronicle.note("list service", "back");
     }
 
-    /** Adds or changes an entry, in the list of every node. */
+    /** Adds or changes an entry in the list of every node. */
     public synchronized void put(String server, String health, long bornMillis) {
         hosts.put(server, new Host(health, bornMillis, ++version));
         chronicle.note("list service", server + " is " + health + " in version " + version);
@@ -165,7 +181,7 @@
         return list.toString();
     }
 
-    /** One line of a list. */
+    /** One list entry in JSON. */
     public static String entry(String server, String dial, String health, long bornMillis, String zone) {
         return "{\"host\":\"" + server + "\",\"dial\":\"" + dial + "\",\"site\":\"" + zone + "\",\"class\":\"k\",\"block\":1,\"health\":\""
             + health + "\",\"share\":1.0,\"born_ms\":" + bornMillis + "}";
@@ -179,12 +195,15 @@
         });
     }
 
-    /** When the node was first told that the server drains, by the chronicle's clock; null where it never was. */
+    /**
+     * When the node was first notified that the server drains, in nanoseconds on the event log's clock;
+     * null where it never was.
+     */
     public Long drainToldAt(String node, String server) {
         return drainTold.get(node + ">" + server);
     }
 
-    /** Whether every one of these nodes has been answered with the newest version. */
+    /** Whether every one of these nodes has received the newest list version. */
     public synchronized boolean allTold(Iterable<String> nodes) {
         for (String node : nodes) {
             if (told.getOrDefault(node, 0) < version) {
@@ -194,11 +213,12 @@
         return true;
     }
 
+    /** All calls received so far, in order of arrival. */
     public synchronized List<Call> calls() {
         return List.copyOf(calls);
     }
 
-    /** The most calls in any {@code millis} of the chronicle's time. */
+    /** The most calls received within any {@code millis}. */
     public int peak(long millis) {
         List<Call> all = calls();
         int peak = 0;
@@ -211,6 +231,7 @@
         return peak;
     }
 
+    /** Number of list entries processed for responses so far. */
     public synchronized long linesWritten() {
         return linesWritten;
     }
--- a/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
@@ -22,16 +22,19 @@
 import weldhitch.testkit.Tests;
 import weldhitch.testkit.Wire;
 
-/** Processes of the packaged node before servers and one list service, with a link that can fail on every edge. */
+/**
+ * Processes of the packaged node with their servers and one fake discovery service, with a fault-injecting
+ * link on every edge. Owns all of them and their temporary files; used from one test thread.
+ */
 public class NodeFleet implements Closeable {
-    /** How long a caller waits. */
+    /** How long a client waits for a response, in milliseconds. */
     public static final long WAIT_MS = 3000;
 
     public final Chronicle chronicle = new Chronicle();
     public final ListServiceStandIn list;
     public final List<HttpUpstream> servers = new ArrayList<>();
     public final Map<String, Program> nodes = new LinkedHashMap<>();
-    /** All that faults may befall: the nodes, and what a test adds. */
+    /** All processes that faults may target: the nodes, and those that a test adds. */
     public final Map<String, Program> processes = new LinkedHashMap<>();
     /** Links by edge: {@code n0>list}, {@code n0>s1}. */
     public final Map<String, FaultLink> edges = new LinkedHashMap<>();
@@ -42,16 +45,19 @@
     private final CountDownLatch over = new CountDownLatch(1);
 
     /**
-     * @param list the one that all nodes ask; it is told of the servers here
+     * Starts the servers and the discovery service and writes the configurations; nodes are not started yet.
+     *
+     * @param serverMillis processing time of each request at a server, in milliseconds
      * @param born when the servers start, Unix time in milliseconds; 0 for long ago
      * @param linkServers whether nodes reach servers by links, which cost four threads a connection
+     * @param service creates the discovery service that all nodes poll; the servers are listed here
      */
     public NodeFleet(int nodeCount, int serverCount, long serverMillis, long born, boolean linkServers, ListService service)
             throws Exception {
         this(nodeCount, serverCount, serverMillis, born, linkServers, service, null);
     }
 
-    /** @param operatorFile the text of each node's operator file by its name, or null for none */
+    /** @param operatorFile creates each node's route configuration, or null for none */
     public NodeFleet(int nodeCount, int serverCount, long serverMillis, long born, boolean linkServers, ListService service,
             OperatorFileOf operatorFile) throws Exception {
         list = service.on(chronicle);
@@ -87,39 +93,47 @@
         faults = new Faults(chronicle, processes, edges);
     }
 
-    /** Makes the list service, once the clock that it notes by is there. */
+    /** Creates the discovery service, once the event log exists. */
     public interface ListService {
+        /** Called once, from the constructor. */
         ListServiceStandIn on(Chronicle chronicle);
     }
 
-    /** A node's configuration as it is written; a test may have one differ from the others. */
+    /** Called with each node's configuration before it is written; a test may override it to change one. */
     protected String configOf(String node, String text) {
         return text;
     }
 
-    /** The zone of a server; asked while the fleet is being made. */
+    /** The zone of a server; called from the constructor. */
     protected String zoneOf(String server) {
         return "a";
     }
 
-    /** Whether all nodes reach a server by one link that can fail, the edge {@code *>server}; asked while the fleet is being made. */
+    /**
+     * Whether all nodes reach a server by one shared link, the edge {@code *>server}; called from the
+     * constructor.
+     */
     protected boolean linkOnce(HttpUpstream server) {
         return false;
     }
 
-    /** Makes the operator file of a node. */
+    /** Creates the route configuration of a node, as text. */
     public interface OperatorFileOf {
+        /** Called once for each node, from the constructor. */
         String text(String node, NodeFleet fleet) throws IOException;
     }
 
-    /** A link that can fail, as the edge of that name; returns where it listens. */
+    /** Adds a fault-injecting link as the edge of that name; returns host and port on which it listens. */
     public String link(String edge, String address) throws IOException {
         FaultLink link = new FaultLink(address);
         edges.put(edge, link);
         return link.address();
     }
 
-    /** The command that the deploy file names, with a heap for many on one machine, by the jar that a property names. */
+    /**
+     * The command of the deploy file, with a heap that lets many run on one machine, and with the jar that
+     * the system property {@code weldhitch.fleet.jar} names, where it is set.
+     */
     private static List<String> command(String more) throws Exception {
         String jar = System.getProperty("weldhitch.fleet.jar", "");
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(line -> line.startsWith("run = "))
@@ -140,13 +154,18 @@
             .replace("\"me\":0,\"siblings\":1", "\"me\":" + self + ",\"siblings\":" + siblings);
     }
 
-    /** A request that its caller waits {@link #WAIT_MS} for. */
+    /** A request with {@link #WAIT_MS} as its deadline. */
     public static String request(String id, boolean unsafe) {
         String text = unsafe ? NodeTexts.post(id, "body") : NodeTexts.get(id);
         return text.replace("X-Expires-In: 8.000", "X-Expires-In: " + WAIT_MS / 1000.0);
     }
 
-    /** Starts all nodes at once; each is noted as READY once it says so, and is asked from then on, as by a front. */
+    /**
+     * Starts all nodes at once. Each is logged as READY once its readiness check succeeds, and gets load
+     * from then on, as from a front-end.
+     *
+     * @param askEveryMs milliseconds between requests to a node; 0 for no load
+     */
     public void start(long askEveryMs) throws Exception {
         for (Program node : nodes.values()) {
             node.start();
@@ -167,7 +186,7 @@
         }
     }
 
-    /** Lets so much of the play's own time pass; the fleet's close ends it. */
+    /** Waits for {@code millis} of test time; closing the fleet ends the wait early. */
     public void pass(long millis) throws InterruptedException {
         over.await(millis, TimeUnit.MILLISECONDS);
     }
@@ -185,7 +204,10 @@
         }
     }
 
-    /** Waits until all nodes have been ready; returns when the last was, by the chronicle. */
+    /**
+     * Waits until all nodes have been ready; returns when the last was, on the event log's clock in
+     * nanoseconds.
+     */
     public long awaitReady() throws InterruptedException {
         long last = 0;
         for (String name : nodes.keySet()) {
@@ -194,11 +216,16 @@
         return last;
     }
 
-    /** Ends the asking and judges: all broken rules, a line each. */
+    /**
+     * Stops the load and checks the invariants.
+     *
+     * @param drains whether to check requests to draining endpoints too
+     * @return all violations, one line each
+     */
     public List<String> judge(boolean drains) throws IOException {
         callers.close();
         Judge judge = new Judge(chronicle, faults, servers);
-        // A noisy machine gets a second; the guard of a node itself is at 50 ms.
+        // One second of tolerance for a noisy machine; the node's own limit is 50 ms.
         List<String> broken = new ArrayList<>(judge.broken(callers.asked(), WAIT_MS, 1000));
         if (drains) {
             broken.addAll(judge.sentAfterDrain(list, List.copyOf(nodes.keySet()), 2050));
