--- a/testkit/src/main/java/weldhitch/testkit/fleet/Program.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Program.java
@@ -12,7 +12,10 @@
 import java.util.regex.Pattern;
 import weldhitch.testkit.Tests;
 
-/** A process of the program that a test started, by its name in the chronicle; started anew it keeps the name. */
+/**
+ * A process that a test starts, signals and restarts, known by one name in the event log. Its standard error is
+ * copied to the event log. Thread-safe.
+ */
 public final class Program implements Closeable {
     private static final Pattern LISTENS = Pattern.compile("listens on \\S*?127\\.0\\.0\\.1:(\\d+)");
 
@@ -25,7 +28,7 @@
     private volatile int port;
     private volatile boolean stopped;
 
-    /** Starts nothing yet. */
+    /** Does not start the process. */
     public Program(Chronicle chronicle, String name, List<String> command, Map<String, String> environment) {
         this.chronicle = chronicle;
         this.name = name;
@@ -33,11 +36,12 @@
         this.environment = Map.copyOf(environment);
     }
 
+    /** The name in the event log. */
     public String name() {
         return name;
     }
 
-    /** Starts it, or starts it anew where it has ended; what it logs goes to the chronicle. */
+    /** Starts or restarts the process and copies its log to the event log; fails where it is running. */
     public synchronized Program start() throws IOException {
         if (process != null && process.isAlive()) {
             throw new IllegalStateException(name + " runs");
@@ -70,7 +74,7 @@
         return this;
     }
 
-    /** The port on loopback that its log names; waits for it, and fails where it ended instead. */
+    /** Waits for the loopback port that its log names; fails where the process ends instead. */
     public int port() throws InterruptedException {
         CountDownLatch heard;
         synchronized (this) {
@@ -82,21 +86,22 @@
         return port;
     }
 
-    /** The port where it listens, 0 while it does not. */
+    /** The port on which it listens; 0 while it does not. */
     public int portNow() {
         return running() ? port : 0;
     }
 
-    /** Whether it was started and neither ended nor stands still. */
+    /** Whether it has been started and has neither ended nor been suspended. */
     public synchronized boolean running() {
         return process != null && process.isAlive() && !stopped;
     }
 
+    /** Whether the process exists, suspended or not. */
     public synchronized boolean alive() {
         return process != null && process.isAlive();
     }
 
-    /** The exit status of a process that has ended. */
+    /** Waits for the process to end and returns its exit status; fails when it does not end in time. */
     public int awaitEnd() throws InterruptedException {
         Process started;
         synchronized (this) {
@@ -108,7 +113,10 @@
         return started.exitValue();
     }
 
-    /** Sends a signal by its short name, TERM, HUP, STOP, CONT or KILL, to this process alone. */
+    /**
+     * Sends a signal by its short name (TERM, HUP, STOP, CONT or KILL) to this process; none where it has
+     * ended.
+     */
     public synchronized void signal(String signal) throws IOException, InterruptedException {
         if (process == null || !process.isAlive()) {
             return;
--- a/testkit/src/main/java/weldhitch/testkit/fleet/package-info.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Several processes of the program with faults between them: what starts them, what breaks them by a schedule drawn from a
- * seed, and what judges them from outside, on one clock.
+ * End-to-end tests with several processes: starts them, injects faults by a schedule drawn from a seed,
+ * generates load and checks the invariants from outside, all on the clock of one event log.
  */
 package weldhitch.testkit.fleet;
--- a/testkit/src/main/java/weldhitch/testkit/package-info.java
+++ b/testkit/src/main/java/weldhitch/testkit/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Stand-in servers and scripted peers on loopback for the tests of every module. Main code never uses it.
+ * Test doubles on loopback for the tests of every module: scripted servers, a fault-injecting proxy, a fake
+ * discovery service and a client that checks invariants. Production code never uses this package.
  */
 package weldhitch.testkit;
--- a/testkit/src/test/java/weldhitch/testkit/FaultLinkTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/FaultLinkTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.testkit.FaultLink.Way;
 
+/** Tests of {@link FaultLink}: each fault, in each direction that it applies to. */
 class FaultLinkTest {
     private static Wire client(FaultLink link) throws IOException {
         int port = Integer.parseInt(link.address().substring(link.address().indexOf(':') + 1));
@@ -73,7 +74,7 @@
             long start = System.nanoTime();
             wire.write(get("1"));
             assertEquals(200, wire.message().body().length);
-            // 240 bytes and more at 2,000 a second; only the lower bound is sure.
+            // At least 240 bytes at 2,000 bytes a second; only the lower bound of the time is certain.
             assertTrue(System.nanoTime() - start > 80_000_000L, "came at once");
             link.heal().swallow(Way.TO_SERVER);
             wire.write(get("2"));
--- a/testkit/src/test/java/weldhitch/testkit/HeldPortTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/HeldPortTest.java
@@ -11,8 +11,9 @@
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
 
+/** Tests of {@link HeldPort}. */
 class HeldPortTest {
-    /** What the system asks before it gives a port to an outgoing connection or to one who wants any. */
+    /** Binds without SO_REUSEADDR: the check by which the kernel chooses ephemeral ports. */
     @Test
     void nobodyElseGetsIt() throws Exception {
         try (HeldPort port = new HeldPort(); Socket other = new Socket()) {
--- a/testkit/src/test/java/weldhitch/testkit/RuleKeeperTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/RuleKeeperTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A caller that held everyone to the rules and noticed nothing would hold nobody: each breach is shown to it. */
+/** Violates each invariant on purpose: a checker that finds nothing would let every other test pass. */
 class RuleKeeperTest {
     private static final String UNSAFE = "POST /x HTTP/1.1\r\nX-Trace-Id: %s\r\nContent-Length: 0\r\n\r\n";
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
 
-    /** What a node of this behaviour is found to have broken. */
+    /** The violations found for a node that gives this answer and executes its request so often. */
     private static List<String> broken(String answer, int executions) throws Exception {
         try (HttpUpstream server = new HttpUpstream("s");
                 Peer node = new Peer(wire -> {
@@ -61,7 +61,7 @@
                 caller.ask("r" + i, true, UNSAFE.formatted("r" + i));
             }
             assertEquals(300, caller.asked().size());
-            // 300 or more at either end without the closes; what other threads open meanwhile is far less.
+            // Without the closes it would be 300 or more at either end; other threads open far fewer meanwhile.
             Tests.await(() -> system.getOpenFileDescriptorCount() - before < 100);
         }
     }
--- a/testkit/src/test/java/weldhitch/testkit/fleet/JudgeTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/fleet/JudgeTest.java
@@ -13,7 +13,7 @@
 import weldhitch.testkit.fleet.Callers.Asked;
 import weldhitch.testkit.fleet.Callers.End;
 
-/** A judge that finds nothing wrong with anything would let every test pass: each rule is broken here on purpose. */
+/** Violates each invariant on purpose: a checker that finds nothing would let every other test pass. */
 class JudgeTest {
     private static final long SECOND = 1_000_000_000L;
     private final Chronicle chronicle = new Chronicle();
@@ -72,7 +72,8 @@
                 run(server, "n0-" + i);
             }
             Judge judge = new Judge(chronicle, none, List.of(server));
-            // 10 a second when warm, 0.3 of that at the start: 9 calls in 1 s at three times as much, 21 with the slack.
+            // Warm capacity 10 requests a second, 0.3 of that at the start: 9 requests in 1 s at a
+            // multiple of three, 21 with the slack.
             assertTrue(judge.pushedOver(server, born, 10, 0.3, 5000, 3, 1000).get(0).contains("40 calls"));
             assertEquals(List.of(), judge.pushedOver(server, born, 40, 0.3, 5000, 3, 1000));
         }
