--- a/bench/src/main/java/weldhitch/bench/Nanoseconds.java
+++ b/bench/src/main/java/weldhitch/bench/AverageTimeBenchmark.java
@@ -20,4 +20,4 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(2)
-public abstract class Nanoseconds {}
+public abstract class AverageTimeBenchmark {}
--- a/bench/src/main/java/weldhitch/bench/CaptureForms.java
+++ b/bench/src/main/java/weldhitch/bench/CaptureEncodingBenchmark.java
@@ -33,44 +33,46 @@
  * end. Avro uses its schema at run time and Protocol Buffers a descriptor, without generated classes:
  * slower than with those, but of the same size.
  */
-public class CaptureForms extends Nanoseconds {
-    private static final int FULL = 256 << 10;
-    private static final String[] ARRIVAL = {
+public class CaptureEncodingBenchmark extends AverageTimeBenchmark {
+    private static final int BLOCK_BYTES = 256 << 10;
+    private static final String[] ARRIVAL_FIELDS = {
         "since", "request", "requestClass", "tenant", "method", "deadlineAfter", "cost", "target"
     };
-    private static final String[] ENDED = {"since", "request", "attempt", "server", "outcome", "latency"};
+    private static final String[] ENDED_FIELDS = {"since", "request", "attempt", "server", "outcome", "latency"};
 
     @Param({"sbe", "avro", "protobuf"})
     private String form;
 
     private final Random random = new Random(1);
-    private Form records;
-    private long number;
+    private RecordEncoding encoding;
+    private long requestCount;
 
     /** Encodes both records in one format; a request's end of attempt follows its arrival. Not thread-safe. */
-    private interface Form {
-        void arrival(long since, long request, int requestClass, long deadlineAfter, String target) throws Exception;
+    private interface RecordEncoding {
+        void writeArrival(long sinceNanos, long request, int requestClass, long deadlineAfter, String target)
+                throws Exception;
 
-        void ended(long since, long request, int server, int outcome, long latency) throws Exception;
+        void writeAttemptEnded(long sinceNanos, long request, int server, int outcome, long latency) throws Exception;
 
         /** Returns the buffer's content and resets it. */
-        byte[] take() throws Exception;
+        byte[] drain() throws Exception;
 
         int length() throws Exception;
     }
 
     /** Simple Binary Encoding, by the encoders that captures use. */
-    private static final class Sbe implements Form {
-        private final ExpandableDirectByteBuffer buffer = new ExpandableDirectByteBuffer(2 * FULL);
+    private static final class SbeEncoding implements RecordEncoding {
+        private final ExpandableDirectByteBuffer buffer = new ExpandableDirectByteBuffer(2 * BLOCK_BYTES);
         private final MessageHeaderEncoder header = new MessageHeaderEncoder();
-        private final ArrivalEncoder arrival = new ArrivalEncoder();
-        private final AttemptEndedEncoder ended = new AttemptEndedEncoder();
-        private int at;
+        private final ArrivalEncoder arrivalEncoder = new ArrivalEncoder();
+        private final AttemptEndedEncoder endedEncoder = new AttemptEndedEncoder();
+        private int offset;
 
         @Override
-        public void arrival(long since, long request, int requestClass, long deadlineAfter, String target) {
-            arrival.wrapAndApplyHeader(buffer, at, header);
-            arrival.since((int) since)
+        public void writeArrival(long sinceNanos, long request, int requestClass, long deadlineAfter, String target) {
+            arrivalEncoder.wrapAndApplyHeader(buffer, offset, header);
+            arrivalEncoder
+                    .since((int) sinceNanos)
                     .request(request)
                     .requestClass(requestClass)
                     .tenant(ArrivalEncoder.tenantNullValue())
@@ -79,67 +81,72 @@
                     .cost(0)
                     .hasTarget((short) 1)
                     .target(target);
-            at = arrival.limit();
+            offset = arrivalEncoder.limit();
         }
 
         @Override
-        public void ended(long since, long request, int server, int outcome, long latency) {
-            ended.wrapAndApplyHeader(buffer, at, header);
-            ended.since((int) since)
+        public void writeAttemptEnded(long sinceNanos, long request, int server, int outcome, long latency) {
+            endedEncoder.wrapAndApplyHeader(buffer, offset, header);
+            endedEncoder
+                    .since((int) sinceNanos)
                     .request(request)
                     .attempt(0)
                     .server(server)
                     .outcome((short) outcome)
                     .latency(latency)
                     .loadCount(0);
-            at = ended.limit();
+            offset = endedEncoder.limit();
         }
 
         @Override
-        public byte[] take() {
-            byte[] all = new byte[at];
-            buffer.getBytes(0, all);
-            at = 0;
-            return all;
+        public byte[] drain() {
+            byte[] encoded = new byte[offset];
+            buffer.getBytes(0, encoded);
+            offset = 0;
+            return encoded;
         }
 
         @Override
         public int length() {
-            return at;
+            return offset;
         }
     }
 
     /** Avro, by generic records. */
-    private static final class Avro implements Form {
-        private final ByteArrayOutputStream out = new ByteArrayOutputStream(2 * FULL);
+    private static final class AvroEncoding implements RecordEncoding {
+        private final ByteArrayOutputStream out = new ByteArrayOutputStream(2 * BLOCK_BYTES);
         private final BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
-        private final GenericData.Record arrival = new GenericData.Record(schema("Arrival", ARRIVAL, "target"));
-        private final GenericData.Record ended = new GenericData.Record(schema("Ended", ENDED, ""));
-        private final GenericDatumWriter<GenericData.Record> arrivals = new GenericDatumWriter<>(arrival.getSchema());
-        private final GenericDatumWriter<GenericData.Record> ends = new GenericDatumWriter<>(ended.getSchema());
-
-        private static Schema schema(String name, String[] fields, String text) {
-            SchemaBuilder.FieldAssembler<Schema> all =
+        private final GenericData.Record arrivalRecord =
+                new GenericData.Record(schema("Arrival", ARRIVAL_FIELDS, "target"));
+        private final GenericData.Record endedRecord = new GenericData.Record(schema("Ended", ENDED_FIELDS, ""));
+        private final GenericDatumWriter<GenericData.Record> arrivalWriter =
+                new GenericDatumWriter<>(arrivalRecord.getSchema());
+        private final GenericDatumWriter<GenericData.Record> endedWriter =
+                new GenericDatumWriter<>(endedRecord.getSchema());
+
+        private static Schema schema(String name, String[] fields, String stringField) {
+            SchemaBuilder.FieldAssembler<Schema> assembler =
                     SchemaBuilder.record(name).fields();
             for (String field : fields) {
-                all = field.equals(text)
-                        ? all.requiredString(field)
-                        : field.equals("cost") ? all.requiredDouble(field) : all.requiredLong(field);
+                assembler = field.equals(stringField)
+                        ? assembler.requiredString(field)
+                        : field.equals("cost") ? assembler.requiredDouble(field) : assembler.requiredLong(field);
             }
-            return all.endRecord();
+            return assembler.endRecord();
         }
 
         @Override
-        public void arrival(long since, long request, int requestClass, long deadlineAfter, String target)
+        public void writeArrival(long sinceNanos, long request, int requestClass, long deadlineAfter, String target)
                 throws Exception {
-            fill(arrival, since, request, (long) requestClass, 65_535L, 1L, deadlineAfter, 0.0, target);
-            arrivals.write(arrival, encoder);
+            fill(arrivalRecord, sinceNanos, request, (long) requestClass, 65_535L, 1L, deadlineAfter, 0.0, target);
+            arrivalWriter.write(arrivalRecord, encoder);
         }
 
         @Override
-        public void ended(long since, long request, int server, int outcome, long latency) throws Exception {
-            fill(ended, since, request, 0L, (long) server, (long) outcome, latency);
-            ends.write(ended, encoder);
+        public void writeAttemptEnded(long sinceNanos, long request, int server, int outcome, long latency)
+                throws Exception {
+            fill(endedRecord, sinceNanos, request, 0L, (long) server, (long) outcome, latency);
+            endedWriter.write(endedRecord, encoder);
         }
 
         private static void fill(GenericData.Record record, Object... values) {
@@ -149,10 +156,10 @@
         }
 
         @Override
-        public byte[] take() {
-            byte[] all = out.toByteArray();
+        public byte[] drain() {
+            byte[] encoded = out.toByteArray();
             out.reset();
-            return all;
+            return encoded;
         }
 
         @Override
@@ -162,27 +169,27 @@
     }
 
     /** Protocol Buffers, by dynamic messages. */
-    private static final class Protobuf implements Form {
-        private final byte[] buffer = new byte[2 * FULL];
+    private static final class ProtobufEncoding implements RecordEncoding {
+        private final byte[] buffer = new byte[2 * BLOCK_BYTES];
         private CodedOutputStream out = CodedOutputStream.newInstance(buffer);
-        private final Descriptor arrival;
-        private final Descriptor ended;
+        private final Descriptor arrivalType;
+        private final Descriptor endedType;
 
-        Protobuf() throws Exception {
-            FileDescriptor file = FileDescriptor.buildFrom(
+        ProtobufEncoding() throws Exception {
+            FileDescriptor fileDescriptor = FileDescriptor.buildFrom(
                     FileDescriptorProto.newBuilder()
                             .setName("records")
                             .setSyntax("proto3")
-                            .addMessageType(message("Arrival", ARRIVAL))
-                            .addMessageType(message("Ended", ENDED))
+                            .addMessageType(messageType("Arrival", ARRIVAL_FIELDS))
+                            .addMessageType(messageType("Ended", ENDED_FIELDS))
                             .build(),
                     new FileDescriptor[0]);
-            arrival = file.findMessageTypeByName("Arrival");
-            ended = file.findMessageTypeByName("Ended");
+            arrivalType = fileDescriptor.findMessageTypeByName("Arrival");
+            endedType = fileDescriptor.findMessageTypeByName("Ended");
         }
 
-        private static DescriptorProto message(String name, String[] fields) {
-            DescriptorProto.Builder message = DescriptorProto.newBuilder().setName(name);
+        private static DescriptorProto messageType(String name, String[] fields) {
+            DescriptorProto.Builder builder = DescriptorProto.newBuilder().setName(name);
             for (int i = 0; i < fields.length; i++) {
                 Type type = switch (fields[i]) {
                     case "target" -> Type.TYPE_STRING;
@@ -190,39 +197,40 @@
                     case "request" -> Type.TYPE_FIXED64;
                     default -> Type.TYPE_INT64;
                 };
-                message.addField(FieldDescriptorProto.newBuilder()
+                builder.addField(FieldDescriptorProto.newBuilder()
                         .setName(fields[i])
                         .setNumber(i + 1)
                         .setType(type)
                         .setLabel(FieldDescriptorProto.Label.LABEL_OPTIONAL));
             }
-            return message.build();
+            return builder.build();
         }
 
-        private void write(Descriptor of, Object... values) throws Exception {
-            DynamicMessage.Builder message = DynamicMessage.newBuilder(of);
+        private void write(Descriptor type, Object... values) throws Exception {
+            DynamicMessage.Builder builder = DynamicMessage.newBuilder(type);
             for (int i = 0; i < values.length; i++) {
-                message.setField(of.getFields().get(i), values[i]);
+                builder.setField(type.getFields().get(i), values[i]);
             }
-            out.writeMessageNoTag(message.build());
+            out.writeMessageNoTag(builder.build());
         }
 
         @Override
-        public void arrival(long since, long request, int requestClass, long deadlineAfter, String target)
+        public void writeArrival(long sinceNanos, long request, int requestClass, long deadlineAfter, String target)
                 throws Exception {
-            write(arrival, since, request, (long) requestClass, 0L, 1L, deadlineAfter, 0.0, target);
+            write(arrivalType, sinceNanos, request, (long) requestClass, 0L, 1L, deadlineAfter, 0.0, target);
         }
 
         @Override
-        public void ended(long since, long request, int server, int outcome, long latency) throws Exception {
-            write(ended, since, request, 0L, (long) server, (long) outcome, latency);
+        public void writeAttemptEnded(long sinceNanos, long request, int server, int outcome, long latency)
+                throws Exception {
+            write(endedType, sinceNanos, request, 0L, (long) server, (long) outcome, latency);
         }
 
         @Override
-        public byte[] take() {
-            byte[] all = Arrays.copyOf(buffer, length());
+        public byte[] drain() {
+            byte[] encoded = Arrays.copyOf(buffer, length());
             out = CodedOutputStream.newInstance(buffer);
-            return all;
+            return encoded;
         }
 
         @Override
@@ -233,36 +241,36 @@
 
     @Setup
     /** Creates the encoding under test. */
-    public void begin() throws Exception {
-        records = switch (form) {
-            case "sbe" -> new Sbe();
-            case "avro" -> new Avro();
-            default -> new Protobuf();
+    public void createEncoding() throws Exception {
+        encoding = switch (form) {
+            case "sbe" -> new SbeEncoding();
+            case "avro" -> new AvroEncoding();
+            default -> new ProtobufEncoding();
         };
     }
 
     /** Encodes one request, with times, servers and latencies spread as in service, and random request ids. */
     @Benchmark
     public Object request() throws Exception {
-        if (records.length() >= FULL) {
-            records.take();
+        if (encoding.length() >= BLOCK_BYTES) {
+            encoding.drain();
         }
-        put();
-        return records;
+        writeRequest();
+        return encoding;
     }
 
-    private void put() throws Exception {
-        long id = random.nextLong();
-        number++;
-        records.arrival(
+    private void writeRequest() throws Exception {
+        long requestId = random.nextLong();
+        requestCount++;
+        encoding.writeArrival(
                 50_000 + random.nextInt(4_000_000),
-                id,
+                requestId,
                 random.nextInt(4),
                 1_500_000_000L - random.nextInt(1_000_000),
                 "/view-slots");
-        records.ended(
+        encoding.writeAttemptEnded(
                 50_000 + random.nextInt(4_000_000),
-                id,
+                requestId,
                 random.nextInt(15),
                 0,
                 20_000_000L + random.nextInt(200_000_000));
@@ -270,16 +278,16 @@
 
     @TearDown
     /** Fills one buffer and prints the bytes a request, plain and compressed. */
-    public void size() throws Exception {
-        records.take();
-        int count = 0;
-        while (records.length() < FULL) {
-            put();
-            count++;
+    public void printSizes() throws Exception {
+        encoding.drain();
+        int requests = 0;
+        while (encoding.length() < BLOCK_BYTES) {
+            writeRequest();
+            requests++;
         }
-        byte[] block = records.take();
+        byte[] block = encoding.drain();
         System.out.printf(
                 "%s: %.1f bytes a request, %.1f under zstd%n",
-                form, (double) block.length / count, (double) Zstd.compress(block, 3).length / count);
+                form, (double) block.length / requests, (double) Zstd.compress(block, 3).length / requests);
     }
 }
--- a/bench/src/main/java/weldhitch/bench/VersionSwitch.java
+++ b/bench/src/main/java/weldhitch/bench/VersionSwitchBenchmark.java
@@ -7,32 +7,32 @@
 import org.openjdk.jmh.annotations.Level;
 import org.openjdk.jmh.annotations.Param;
 import org.openjdk.jmh.annotations.Setup;
-import weldhitch.decision.Balancing.NewRoutes;
-import weldhitch.decision.FlatSettings;
-import weldhitch.decision.RatioBalancer;
-import weldhitch.decision.RoutePattern;
-import weldhitch.decision.RouteRules;
-import weldhitch.decision.RouteUses;
-import weldhitch.decision.Routes;
+import weldhitch.decision.balancing.RatioBalancer;
+import weldhitch.decision.balancing.RouteStates;
+import weldhitch.decision.event.RoutesChanged;
+import weldhitch.decision.routing.RoutePattern;
+import weldhitch.decision.routing.RoutePolicy;
+import weldhitch.decision.routing.RouteTable;
+import weldhitch.decision.settings.FlatSettingsParser;
 
 /**
  * Benchmarks the event loop's cost of switching to another route configuration: prepared in advance, as on
  * another thread, or built during the switch.
  */
-public class VersionSwitch extends Nanoseconds {
+public class VersionSwitchBenchmark extends AverageTimeBenchmark {
     @Param({"10", "1000"})
     private int routes;
 
-    private RatioBalancer module;
-    private Routes[] versions;
+    private RatioBalancer balancer;
+    private RouteTable[] versions;
     private int next;
-    private RouteUses made;
+    private RouteStates preparedRoutes;
 
     @Setup
     /** Creates the balancer and two route configurations that differ in their deadlines. */
-    public void module() {
-        module = new RatioBalancer(
-                new FlatSettings(Map.of(
+    public void setUpBalancer() {
+        balancer = new RatioBalancer(
+                new FlatSettingsParser(Map.of(
                                 "classes.count",
                                 "1",
                                 "classes.0.name",
@@ -45,46 +45,46 @@
                                 "3"))
                         .settings(),
                 1);
-        versions = new Routes[] {version(1_000_000_000L), version(2_000_000_000L)};
+        versions = new RouteTable[] {buildRoutes(1_000_000_000L), buildRoutes(2_000_000_000L)};
     }
 
-    private Routes version(long deadline) {
-        List<Routes.Route> all = new ArrayList<>();
+    private RouteTable buildRoutes(long deadlineNanos) {
+        List<RouteTable.Route> routeList = new ArrayList<>();
         for (int i = 0; i < routes; i++) {
-            all.add(new Routes.Route(
+            routeList.add(new RouteTable.Route(
                     "r" + i,
                     2,
                     new RoutePattern("read", "GET", List.of("read", "c" + i), false),
-                    new RouteRules(
-                            deadline,
+                    new RoutePolicy(
+                            deadlineNanos,
                             0,
                             0,
                             null,
-                            RouteRules.RETRYABLE,
-                            new RouteRules.Budget(0.1, 1),
+                            RoutePolicy.RETRYABLE,
+                            new RoutePolicy.RetryBudgetSettings(0.1, 1),
                             null,
                             null,
                             Map.of())));
         }
-        return new Routes(all);
+        return new RouteTable(routeList);
     }
 
     @Setup(Level.Invocation)
     /** Prepares the next route configuration; not part of the measurement. */
-    public void ahead() {
+    public void prepareNext() {
         next ^= 1;
-        made = module.routes().then(versions[next], 1);
+        preparedRoutes = balancer.routes().prepareNext(versions[next], 1);
     }
 
     @Benchmark
     /** Switches to the prepared route configuration. */
-    public Object madeAhead() {
-        return module.handle(0, new NewRoutes(versions[next], made));
+    public Object switchPrepared() {
+        return balancer.handle(0, new RoutesChanged(versions[next], preparedRoutes));
     }
 
     @Benchmark
     /** Switches to a route configuration that is built during the switch. */
-    public Object madeThen() {
-        return module.handle(0, new NewRoutes(versions[next]));
+    public Object switchUnprepared() {
+        return balancer.handle(0, new RoutesChanged(versions[next]));
     }
 }
--- a/capture/src/main/java/weldhitch/capture/format/CaptureFiles.java
+++ b/capture/src/main/java/weldhitch/capture/format/CaptureFiles.java
@@ -18,49 +18,49 @@
  * Stateless and thread-safe.
  */
 public final class CaptureFiles {
-    private static final Pattern NAME = Pattern.compile("weldhitch-(\\d{13,19})-(\\d{6,18})\\.cap");
+    private static final Pattern SEGMENT_NAME = Pattern.compile("weldhitch-(\\d{13,19})-(\\d{6,18})\\.cap");
 
     private CaptureFiles() {}
 
     /**
      * A segment file, as its name describes it. Immutable.
      *
-     * @param begunMillis when it was started, milliseconds since the epoch
+     * @param startedAtMillis when it was started, milliseconds since the epoch
      * @param number its number in the directory, from 1
      */
-    public record Segment(Path file, long begunMillis, long number) {
+    public record SegmentFile(Path path, long startedAtMillis, long number) {
         /** Returns the segment with this file's name, or null if the name is not that of a segment. */
-        public static Segment of(Path file) {
-            Matcher name = NAME.matcher(file.getFileName().toString());
-            return name.matches()
-                    ? new Segment(file, Long.parseLong(name.group(1)), Long.parseLong(name.group(2)))
+        public static SegmentFile parse(Path path) {
+            Matcher matcher = SEGMENT_NAME.matcher(path.getFileName().toString());
+            return matcher.matches()
+                    ? new SegmentFile(path, Long.parseLong(matcher.group(1)), Long.parseLong(matcher.group(2)))
                     : null;
         }
 
-        static Segment named(Path directory, long begunMillis, long number) {
-            return new Segment(
-                    directory.resolve(String.format("weldhitch-%013d-%06d.cap", begunMillis, number)),
-                    begunMillis,
+        static SegmentFile create(Path directory, long startedAtMillis, long number) {
+            return new SegmentFile(
+                    directory.resolve(String.format("weldhitch-%013d-%06d.cap", startedAtMillis, number)),
+                    startedAtMillis,
                     number);
         }
 
         /** Returns the segment that follows this one in the same directory. */
-        public Segment next(long begunMillis) {
-            return named(file.getParent(), begunMillis, number + 1);
+        public SegmentFile successor(long startedAtMillis) {
+            return create(path.getParent(), startedAtMillis, number + 1);
         }
     }
 
     /** Returns the first segment of an empty directory; the file is not created. */
-    public static Segment first(Path directory, long begunMillis) {
-        return Segment.named(directory, begunMillis, 1);
+    public static SegmentFile firstSegment(Path directory, long startedAtMillis) {
+        return SegmentFile.create(directory, startedAtMillis, 1);
     }
 
     /** Returns the segments of a directory, the oldest first. */
-    public static List<Segment> in(Path directory) throws IOException {
+    public static List<SegmentFile> segmentsIn(Path directory) throws IOException {
         try (Stream<Path> files = Files.list(directory)) {
-            return files.map(Segment::of)
+            return files.map(SegmentFile::parse)
                     .filter(s -> s != null)
-                    .sorted(Comparator.comparingLong(Segment::number))
+                    .sorted(Comparator.comparingLong(SegmentFile::number))
                     .toList();
         }
     }
@@ -70,21 +70,21 @@
      *
      * @throws CaptureFormatException if a file is not a capture of this format
      */
-    public static void read(Collection<Path> paths, Consumer<Entry> to) throws IOException {
+    public static void read(Collection<Path> paths, Consumer<CaptureEntry> sink) throws IOException {
         List<Path> files = new ArrayList<>();
         for (Path path : paths) {
             if (Files.isDirectory(path)) {
-                List<Segment> segments = in(path);
+                List<SegmentFile> segments = segmentsIn(path);
                 if (segments.isEmpty()) {
                     throw new NoSuchFileException(path.toString(), null, "holds no segments of a capture");
                 }
-                segments.forEach(s -> files.add(s.file()));
+                segments.forEach(s -> files.add(s.path()));
             } else {
                 files.add(path);
             }
         }
         for (Path file : files) {
-            SegmentReader.read(file, to);
+            SegmentReader.read(file, sink);
         }
     }
 }
--- a/capture/src/main/java/weldhitch/capture/format/Documents.java
+++ b/capture/src/main/java/weldhitch/capture/format/DocumentCodec.java
@@ -1,5 +1,6 @@
 package weldhitch.capture.format;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -11,56 +12,73 @@
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
 import java.util.List;
-import weldhitch.capture.policy.Missed;
-import weldhitch.decision.Balancing.Settings;
-import weldhitch.decision.RouteRules;
-import weldhitch.decision.Routes;
-import weldhitch.decision.Snapshot;
+import weldhitch.capture.policy.DroppedEvents;
+import weldhitch.decision.routing.RoutePolicy;
+import weldhitch.decision.routing.RouteTable;
+import weldhitch.decision.settings.BalancerSettings;
+import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
  * Encodes and decodes the parts of a capture that are rare, large and change in form over time, as
  * self-describing CBOR (RFC 8949). Unknown fields are ignored; a missing or invalid field is named in the
  * error. Stateless and thread-safe.
  */
-public final class Documents {
-    private static final ObjectMapper MAPPER = CBORMapper.builder()
+public final class DocumentCodec {
+    private static final ObjectMapper MAPPER = DocumentNames.register(CBORMapper.builder())
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
-            .addMixIn(RouteRules.Hedge.class, Hedges.class)
+            .addMixIn(RoutePolicy.HedgingPolicy.class, HedgingMixIn.class)
             .build();
 
-    private Documents() {}
+    private DocumentCodec() {}
 
     /** Jackson mix-in that writes the kind of a route's hedging rule by name. */
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "kind")
     @JsonSubTypes({
-        @JsonSubTypes.Type(value = RouteRules.HedgeAfter.class, name = "after"),
-        @JsonSubTypes.Type(value = RouteRules.HedgePercentile.class, name = "percentile"),
-        @JsonSubTypes.Type(value = RouteRules.HedgeOff.class, name = "off")
+        @JsonSubTypes.Type(value = RoutePolicy.HedgeAfterDelay.class, name = "after"),
+        @JsonSubTypes.Type(value = RoutePolicy.HedgeAtPercentile.class, name = "percentile"),
+        @JsonSubTypes.Type(value = RoutePolicy.HedgingDisabled.class, name = "off")
     })
-    private interface Hedges {}
+    private interface HedgingMixIn {}
 
     /**
-     * The content of an {@link Entry.Known} document, without its time; the component names are the CBOR names.
+     * The content of an {@link CaptureEntry.SnapshotRecord} document, without its time; the component names are the CBOR names.
      */
-    private record KnownDocument(
-            String node, String run, String build, Settings settings, Snapshot snapshot, Missed missed) {}
+    private record SnapshotDocument(
+            String node,
+            String run,
+            String build,
+            BalancerSettings settings,
+            BalancerSnapshot snapshot,
+            @JsonProperty("missed") DroppedEvents dropped) {}
 
-    static byte[] known(Entry.Known known) {
-        return write(new KnownDocument(
-                known.node(), known.run(), known.build(), known.settings(), known.snapshot(), known.missed()));
+    static byte[] encodeSnapshot(CaptureEntry.SnapshotRecord snapshotRecord) {
+        return encode(new SnapshotDocument(
+                snapshotRecord.node(),
+                snapshotRecord.runId(),
+                snapshotRecord.build(),
+                snapshotRecord.settings(),
+                snapshotRecord.snapshot(),
+                snapshotRecord.dropped()));
     }
 
-    static Entry.Known known(long now, byte[] content) throws CaptureFormatException {
-        ObjectNode document = read(content, new TypeReference<ObjectNode>() {});
+    static CaptureEntry.SnapshotRecord decodeSnapshot(long timestamp, byte[] content) throws CaptureFormatException {
+        ObjectNode document = decode(content, new TypeReference<ObjectNode>() {});
         if (document.get("snapshot") instanceof ObjectNode snapshot) {
             upgrade(snapshot);
         }
-        KnownDocument read = read(write(document), new TypeReference<KnownDocument>() {});
-        if (read.settings == null || read.snapshot == null) {
+        SnapshotDocument decoded = decode(encode(document), new TypeReference<SnapshotDocument>() {});
+        if (decoded.settings == null || decoded.snapshot == null) {
             throw new CaptureFormatException("document: settings or snapshot: null, expected both");
         }
-        return new Entry.Known(now, read.node, read.run, read.build, read.settings, read.snapshot, read.missed);
+        return new CaptureEntry.SnapshotRecord(
+                timestamp,
+                decoded.node,
+                decoded.run,
+                decoded.build,
+                decoded.settings,
+                decoded.snapshot,
+                decoded.dropped);
     }
 
     /**
@@ -84,24 +102,26 @@
         }
     }
 
-    static byte[] routes(Routes routes) {
-        return routes == null ? new byte[0] : write(routes.all());
+    static byte[] routes(RouteTable routes) {
+        return routes == null ? new byte[0] : encode(routes.routes());
     }
 
-    static Routes routes(byte[] content) throws CaptureFormatException {
+    static RouteTable routes(byte[] content) throws CaptureFormatException {
         try {
-            return content.length == 0 ? null : new Routes(read(content, new TypeReference<List<Routes.Route>>() {}));
+            return content.length == 0
+                    ? null
+                    : new RouteTable(decode(content, new TypeReference<List<RouteTable.Route>>() {}));
         } catch (IllegalArgumentException e) {
             throw new CaptureFormatException("routes: " + e.getMessage(), e);
         }
     }
 
     /** Returns a snapshot as a tree, to compare two field by field and to show them to people. */
-    public static JsonNode tree(Snapshot snapshot) {
+    public static JsonNode toTree(BalancerSnapshot snapshot) {
         return MAPPER.valueToTree(snapshot);
     }
 
-    private static byte[] write(Object value) {
+    private static byte[] encode(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
@@ -109,7 +129,7 @@
         }
     }
 
-    private static <T> T read(byte[] content, TypeReference<T> type) throws CaptureFormatException {
+    private static <T> T decode(byte[] content, TypeReference<T> type) throws CaptureFormatException {
         try {
             T value = MAPPER.readValue(content, type);
             if (value == null) {
--- a/capture/src/main/java/weldhitch/capture/format/Manifest.java
+++ b/capture/src/main/java/weldhitch/capture/format/Manifest.java
@@ -12,7 +12,7 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.List;
-import weldhitch.capture.format.CaptureFiles.Segment;
+import weldhitch.capture.format.CaptureFiles.SegmentFile;
 
 /**
  * Writes {@code manifest.json}, which lists a directory's segments for people and for tools that ship them
@@ -20,7 +20,7 @@
  * captures do not need it. It is replaced atomically by a rename. Stateless; called on the writer thread.
  */
 public final class Manifest {
-    static final String NAME = "manifest.json";
+    static final String FILE_NAME = "manifest.json";
 
     private Manifest() {}
 
@@ -29,31 +29,37 @@
      *
      * @param segments the oldest first, the last one in use
      */
-    public static void write(Path directory, List<Segment> segments) throws IOException {
-        ObjectNode all = JsonNodeFactory.instance.objectNode().put("format", Blocks.FORMAT);
-        ArrayNode list = all.putArray("segments");
-        for (Segment segment : segments) {
-            ObjectNode one = list.addObject()
-                    .put("file", segment.file().getFileName().toString())
+    public static void write(Path directory, List<SegmentFile> segments) throws IOException {
+        ObjectNode manifest = JsonNodeFactory.instance.objectNode().put("format", BlockFormat.FORMAT_VERSION);
+        ArrayNode entries = manifest.putArray("segments");
+        for (SegmentFile segment : segments) {
+            ObjectNode entry = entries.addObject()
+                    .put("file", segment.path().getFileName().toString())
                     .put("number", segment.number())
-                    .put("begunMillis", segment.begunMillis());
+                    .put("begunMillis", segment.startedAtMillis());
             boolean inUse = segment == segments.get(segments.size() - 1);
-            one.put("ended", !inUse);
+            entry.put("ended", !inUse);
             if (!inUse) {
-                one.put("bytes", Files.size(segment.file()));
+                entry.put("bytes", Files.size(segment.path()));
             }
         }
-        Path beside = directory.resolve(NAME + ".new");
-        try (FileChannel file = FileChannel.open(
-                beside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+        Path temporaryFile = directory.resolve(FILE_NAME + ".new");
+        try (FileChannel channel = FileChannel.open(
+                temporaryFile,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.TRUNCATE_EXISTING,
+                StandardOpenOption.WRITE)) {
             ByteBuffer bytes = ByteBuffer.wrap(
-                    new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsBytes(all));
+                    new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsBytes(manifest));
             while (bytes.hasRemaining()) {
-                file.write(bytes);
+                channel.write(bytes);
             }
-            file.force(true);
+            channel.force(true);
         }
         Files.move(
-                beside, directory.resolve(NAME), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                temporaryFile,
+                directory.resolve(FILE_NAME),
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/capture/src/main/java/weldhitch/capture/format/RecordDecoder.java
+++ b/capture/src/main/java/weldhitch/capture/format/RecordDecoder.java
@@ -8,20 +8,55 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.agrona.concurrent.UnsafeBuffer;
-import weldhitch.capture.sbe.*;
-import weldhitch.decision.Balancing;
-import weldhitch.decision.Balancing.*;
+import weldhitch.capture.sbe.ArrivalDecoder;
+import weldhitch.capture.sbe.AttemptEndedDecoder;
+import weldhitch.capture.sbe.BoundDecoder;
+import weldhitch.capture.sbe.ClientGoneDecoder;
+import weldhitch.capture.sbe.ClockSetDecoder;
+import weldhitch.capture.sbe.DecidedDecoder;
+import weldhitch.capture.sbe.DocumentDecoder;
+import weldhitch.capture.sbe.FirstByteDecoder;
+import weldhitch.capture.sbe.MembershipDecoder;
+import weldhitch.capture.sbe.MessageHeaderDecoder;
+import weldhitch.capture.sbe.NewRoutesDecoder;
+import weldhitch.capture.sbe.ProbedDecoder;
+import weldhitch.capture.sbe.TextDecoder;
+import weldhitch.capture.sbe.TimerCameDecoder;
+import weldhitch.capture.sbe.ZonedDecoder;
+import weldhitch.decision.action.BalancerAction;
+import weldhitch.decision.action.CancelAttempt;
+import weldhitch.decision.action.FailRequest;
+import weldhitch.decision.action.LogMessage;
+import weldhitch.decision.action.RejectRequest;
+import weldhitch.decision.action.RequestZones;
+import weldhitch.decision.action.ScheduleTimer;
+import weldhitch.decision.action.SendAttempt;
+import weldhitch.decision.action.SubscribeToEndpoints;
+import weldhitch.decision.endpoint.AttemptOutcome;
+import weldhitch.decision.endpoint.EndpointEntry;
+import weldhitch.decision.endpoint.EndpointState;
+import weldhitch.decision.event.AttemptEnded;
+import weldhitch.decision.event.BalancerEvent;
+import weldhitch.decision.event.ClientDisconnected;
+import weldhitch.decision.event.EndpointUpdateKind;
+import weldhitch.decision.event.EndpointsChanged;
+import weldhitch.decision.event.HealthCheckCompleted;
+import weldhitch.decision.event.RequestArrived;
+import weldhitch.decision.event.ResponseStarted;
+import weldhitch.decision.event.RoutesChanged;
+import weldhitch.decision.event.TimerFired;
+import weldhitch.decision.event.ZonesAssigned;
 
 /**
  * Decodes the entries of a segment's blocks, the inverse of {@link RecordEncoder}. The string table and the
  * time carry over from block to block. Owned by one {@link SegmentReader}; not thread-safe.
  */
 final class RecordDecoder {
-    private static final Outcome[] OUTCOMES = Outcome.values();
-    private static final ListKind[] KINDS = ListKind.values();
-    private static final ServerState[] STATES = ServerState.values();
+    private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
+    private static final EndpointUpdateKind[] UPDATE_KINDS = EndpointUpdateKind.values();
+    private static final EndpointState[] ENDPOINT_STATES = EndpointState.values();
 
-    private final Map<Integer, String> words = new HashMap<>();
+    private final Map<Integer, String> stringsById = new HashMap<>();
     private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
     private final MessageHeaderDecoder header = new MessageHeaderDecoder();
     private final TextDecoder text = new TextDecoder();
@@ -38,19 +73,19 @@
     private final BoundDecoder bound = new BoundDecoder();
     private final ZonedDecoder zoned = new ZonedDecoder();
     private final DecidedDecoder decided = new DecidedDecoder();
-    private long last;
+    private long lastTimestamp;
     /** An event whose actions, if any, are in the next {@code Decided} record; null if there is none. */
-    private Event event;
+    private BalancerEvent pendingEvent;
 
-    private List<Action> actions = List.of();
+    private List<BalancerAction> pendingActions = List.of();
     /** The allowed zones of the next arrival, or null for any. */
-    private List<String> zones;
+    private List<String> pendingZones;
 
     /** Discards the string table and the pending event, before a block that can be read on its own. */
-    void forget() {
-        words.clear();
-        event = null;
-        zones = null;
+    void reset() {
+        stringsById.clear();
+        pendingEvent = null;
+        pendingZones = null;
     }
 
     /**
@@ -58,27 +93,27 @@
      *
      * @throws CaptureFormatException if the content is not valid; the entries before that have been delivered
      */
-    void decode(ByteBuffer content, long time, Consumer<Entry> to) throws CaptureFormatException {
+    void decode(ByteBuffer content, long baseTime, Consumer<CaptureEntry> sink) throws CaptureFormatException {
         ByteBuffer view = content.duplicate().order(ByteOrder.LITTLE_ENDIAN);
-        last = time;
+        lastTimestamp = baseTime;
         try {
             while (view.remaining() >= 2) {
                 int length = view.getShort() & 0xffff;
-                length = length == RecordEncoder.LONG ? view.getInt() : length;
+                length = length == RecordEncoder.EXTENDED_LENGTH_MARKER ? view.getInt() : length;
                 if (length < MessageHeaderDecoder.ENCODED_LENGTH || length > view.remaining()) {
                     throw new CaptureFormatException(
                             "a record of " + length + " bytes where " + view.remaining() + " are left");
                 }
                 // The buffer is bounded to this record, so that no length within it can reach past its end.
                 buffer.wrap(view, view.position(), length);
-                record(to);
+                decodeRecord(sink);
                 view.position(view.position() + length);
             }
             if (view.hasRemaining()) {
                 throw new CaptureFormatException("a byte too many behind the last record");
             }
             // An entry never spans two blocks, so the pending event has no more actions.
-            flush(to);
+            emitPending(sink);
         } catch (IndexOutOfBoundsException
                 | IllegalArgumentException
                 | IllegalStateException
@@ -87,145 +122,151 @@
         }
     }
 
-    private void flush(Consumer<Entry> to) {
-        if (event != null) {
-            Event told = event;
-            event = null;
-            to.accept(new Entry.Told(last, told, actions));
+    private void emitPending(Consumer<CaptureEntry> sink) {
+        if (pendingEvent != null) {
+            BalancerEvent completed = pendingEvent;
+            pendingEvent = null;
+            sink.accept(new CaptureEntry.EventRecord(lastTimestamp, completed, pendingActions));
         }
     }
 
-    private void told(Event next) {
-        event = next;
-        actions = List.of();
+    private void setPending(BalancerEvent newEvent) {
+        pendingEvent = newEvent;
+        pendingActions = List.of();
     }
 
-    private void record(Consumer<Entry> to) throws CaptureFormatException {
+    private void decodeRecord(Consumer<CaptureEntry> sink) throws CaptureFormatException {
         header.wrap(buffer, 0);
-        int id = header.templateId();
-        if (id == DecidedDecoder.TEMPLATE_ID) {
+        int templateId = header.templateId();
+        if (templateId == DecidedDecoder.TEMPLATE_ID) {
             decided.wrapAndApplyHeader(buffer, 0, header);
-            actions = actions();
-            flush(to);
+            pendingActions = decodeActions();
+            emitPending(sink);
             return;
         }
         // Strings used by the actions stand between an event and its actions, so they do not end the event.
-        if (id == TextDecoder.TEMPLATE_ID) {
+        if (templateId == TextDecoder.TEMPLATE_ID) {
             text.wrapAndApplyHeader(buffer, 0, header);
-            int word = text.word();
-            words.put(word, text.text());
+            int stringId = text.word();
+            stringsById.put(stringId, text.text());
             return;
         }
-        flush(to);
-        switch (id) {
+        emitPending(sink);
+        switch (templateId) {
             case ClockSetDecoder.TEMPLATE_ID -> {
                 clockSet.wrapAndApplyHeader(buffer, 0, header);
-                last = clockSet.now();
+                lastTimestamp = clockSet.now();
             }
             case DocumentDecoder.TEMPLATE_ID -> {
                 document.wrapAndApplyHeader(buffer, 0, header);
-                last = document.now();
+                lastTimestamp = document.now();
                 if (document.kind() == 1) {
-                    forget();
-                    byte[] content = new byte[bounded(document.contentLength())];
+                    reset();
+                    byte[] content = new byte[checkedLength(document.contentLength())];
                     document.getContent(content, 0, content.length);
-                    to.accept(Documents.known(last, content));
+                    sink.accept(DocumentCodec.decodeSnapshot(lastTimestamp, content));
                 }
             }
             case ArrivalDecoder.TEMPLATE_ID -> {
                 arrival.wrapAndApplyHeader(buffer, 0, header);
-                last += arrival.since();
-                String request = id(arrival.flags().idIsWord(), arrival.request());
-                String path = arrival.target();
-                told(new Arrival(
-                        request,
-                        word(arrival.requestClass()),
-                        last + arrival.deadlineAfter(),
-                        word(arrival.tenant()),
+                lastTimestamp += arrival.since();
+                String requestId = decodeRequestId(arrival.flags().idIsWord(), arrival.request());
+                String target = arrival.target();
+                setPending(new RequestArrived(
+                        requestId,
+                        stringOf(arrival.requestClass()),
+                        lastTimestamp + arrival.deadlineAfter(),
+                        stringOf(arrival.tenant()),
                         arrival.cost(),
                         arrival.flags().clientRetry(),
-                        word(arrival.method()),
-                        arrival.hasTarget() == 0 ? null : path,
-                        zones));
-                zones = null;
+                        stringOf(arrival.method()),
+                        arrival.hasTarget() == 0 ? null : target,
+                        pendingZones));
+                pendingZones = null;
             }
             case BoundDecoder.TEMPLATE_ID -> {
                 bound.wrapAndApplyHeader(buffer, 0, header);
-                zones = zones(bound.zones());
+                pendingZones = decodeZones(bound.zones());
             }
             case ZonedDecoder.TEMPLATE_ID -> {
                 zoned.wrapAndApplyHeader(buffer, 0, header);
-                last += zoned.since();
-                told(new Zoned(id(zoned.flags().idIsWord(), zoned.request()), zones(zoned.zones())));
+                lastTimestamp += zoned.since();
+                setPending(new ZonesAssigned(
+                        decodeRequestId(zoned.flags().idIsWord(), zoned.request()), decodeZones(zoned.zones())));
             }
             case FirstByteDecoder.TEMPLATE_ID -> {
                 firstByte.wrapAndApplyHeader(buffer, 0, header);
-                last += firstByte.since();
-                told(new FirstByte(
-                        id(firstByte.flags().idIsWord(), firstByte.request()),
+                lastTimestamp += firstByte.since();
+                setPending(new ResponseStarted(
+                        decodeRequestId(firstByte.flags().idIsWord(), firstByte.request()),
                         firstByte.attempt(),
-                        word(firstByte.server()),
+                        stringOf(firstByte.server()),
                         firstByte.latency()));
             }
             case AttemptEndedDecoder.TEMPLATE_ID -> {
                 attemptEnded.wrapAndApplyHeader(buffer, 0, header);
-                last += attemptEnded.since();
+                lastTimestamp += attemptEnded.since();
                 AttemptEndedDecoder.LoadDecoder load = attemptEnded.load();
-                double[] figures = load.count() == 0 ? null : new double[groupFits(load.count(), 8)];
+                double[] loadReport = load.count() == 0 ? null : new double[checkedCount(load.count(), 8)];
                 for (int i = 0; load.hasNext(); i++) {
-                    figures[i] = load.next().figure();
+                    loadReport[i] = load.next().figure();
                 }
-                told(new AttemptEnded(
-                        id(attemptEnded.flags().idIsWord(), attemptEnded.request()),
+                setPending(new AttemptEnded(
+                        decodeRequestId(attemptEnded.flags().idIsWord(), attemptEnded.request()),
                         attemptEnded.attempt(),
-                        word(attemptEnded.server()),
-                        of(OUTCOMES, attemptEnded.outcome()),
+                        stringOf(attemptEnded.server()),
+                        constantAt(OUTCOMES, attemptEnded.outcome()),
                         attemptEnded.latency(),
                         attemptEnded.flags().finished(),
-                        figures));
+                        loadReport));
             }
             case ClientGoneDecoder.TEMPLATE_ID -> {
                 clientGone.wrapAndApplyHeader(buffer, 0, header);
-                last += clientGone.since();
-                told(new ClientGone(id(clientGone.flags().idIsWord(), clientGone.request())));
+                lastTimestamp += clientGone.since();
+                setPending(new ClientDisconnected(
+                        decodeRequestId(clientGone.flags().idIsWord(), clientGone.request())));
             }
             case TimerCameDecoder.TEMPLATE_ID -> {
                 timerCame.wrapAndApplyHeader(buffer, 0, header);
-                last += timerCame.since();
-                told(new Balancing.Timer(word(timerCame.token())));
+                lastTimestamp += timerCame.since();
+                setPending(new TimerFired(stringOf(timerCame.token())));
             }
             case MembershipDecoder.TEMPLATE_ID -> {
                 membership.wrapAndApplyHeader(buffer, 0, header);
-                last += membership.since();
-                ListKind kind = of(KINDS, membership.kind());
-                List<ServerEntry> entries = new ArrayList<>();
-                for (MembershipDecoder.EntriesDecoder e : membership.entries()) {
-                    entries.add(new ServerEntry(
-                            word(e.server()),
-                            word(e.zone()),
-                            e.cell(),
-                            of(STATES, e.state()),
-                            e.weight(),
-                            e.startedAt()));
+                lastTimestamp += membership.since();
+                EndpointUpdateKind kind = constantAt(UPDATE_KINDS, membership.kind());
+                List<EndpointEntry> entries = new ArrayList<>();
+                for (MembershipDecoder.EntriesDecoder entry : membership.entries()) {
+                    entries.add(new EndpointEntry(
+                            stringOf(entry.server()),
+                            stringOf(entry.zone()),
+                            entry.cell(),
+                            constantAt(ENDPOINT_STATES, entry.state()),
+                            entry.weight(),
+                            entry.startedAt()));
                 }
-                told(new Membership(kind, entries));
+                setPending(new EndpointsChanged(kind, entries));
             }
             case NewRoutesDecoder.TEMPLATE_ID -> {
                 newRoutes.wrapAndApplyHeader(buffer, 0, header);
-                last += newRoutes.since();
-                byte[] content = new byte[bounded(newRoutes.routesLength())];
+                lastTimestamp += newRoutes.since();
+                byte[] content = new byte[checkedLength(newRoutes.routesLength())];
                 newRoutes.getRoutes(content, 0, content.length);
-                told(new NewRoutes(Documents.routes(content)));
+                setPending(new RoutesChanged(DocumentCodec.routes(content)));
             }
             case ProbedDecoder.TEMPLATE_ID -> {
                 probed.wrapAndApplyHeader(buffer, 0, header);
-                last += probed.since();
+                lastTimestamp += probed.since();
                 ProbedDecoder.LoadDecoder load = probed.load();
-                double[] figures = load.count() == 0 ? null : new double[groupFits(load.count(), 8)];
+                double[] loadReport = load.count() == 0 ? null : new double[checkedCount(load.count(), 8)];
                 for (int i = 0; load.hasNext(); i++) {
-                    figures[i] = load.next().figure();
+                    loadReport[i] = load.next().figure();
                 }
-                told(new Probed(word(probed.server()), of(OUTCOMES, probed.outcome()), probed.latency(), figures));
+                setPending(new HealthCheckCompleted(
+                        stringOf(probed.server()),
+                        constantAt(OUTCOMES, probed.outcome()),
+                        probed.latency(),
+                        loadReport));
             }
             default -> {
                 // A record of a later build is skipped: its length gives the start of the next one.
@@ -233,86 +274,89 @@
         }
     }
 
-    private List<Action> actions() throws CaptureFormatException {
-        List<Action> read = new ArrayList<>();
-        for (DecidedDecoder.ActionsDecoder a : decided.actions()) {
-            read.add(
-                    switch (a.kind()) {
-                        case 1 -> new Send(request(a), word(a.word()), a.span());
-                        case 2 -> new Cancel(request(a), (int) a.span());
-                        case 3 -> new Refuse(request(a), a.span());
-                        case 4 -> new Fail(request(a), a.flags().late());
-                        case 5 -> new SetTimer(a.span(), word(a.word()));
-                        case 6 -> new Subscribe();
-                        case 7 -> new Report(word(a.word()));
-                        case 8 -> new AskZones(request(a));
+    private List<BalancerAction> decodeActions() throws CaptureFormatException {
+        List<BalancerAction> decoded = new ArrayList<>();
+        for (DecidedDecoder.ActionsDecoder action : decided.actions()) {
+            decoded.add(
+                    switch (action.kind()) {
+                        case 1 -> new SendAttempt(actionRequestId(action), stringOf(action.word()), action.span());
+                        case 2 -> new CancelAttempt(actionRequestId(action), (int) action.span());
+                        case 3 -> new RejectRequest(actionRequestId(action), action.span());
+                        case 4 ->
+                            new FailRequest(
+                                    actionRequestId(action), action.flags().late());
+                        case 5 -> new ScheduleTimer(action.span(), stringOf(action.word()));
+                        case 6 -> new SubscribeToEndpoints();
+                        case 7 -> new LogMessage(stringOf(action.word()));
+                        case 8 -> new RequestZones(actionRequestId(action));
                         default ->
-                            throw new CaptureFormatException("an action of kind " + a.kind() + ", expected 1 to 8");
+                            throw new CaptureFormatException(
+                                    "an action of kind " + action.kind() + ", expected 1 to 8");
                     });
         }
-        return read;
+        return decoded;
     }
 
-    private String request(DecidedDecoder.ActionsDecoder a) throws CaptureFormatException {
-        if (!a.flags().sameRequest()) {
-            return id(a.flags().idIsWord(), a.request());
+    private String actionRequestId(DecidedDecoder.ActionsDecoder action) throws CaptureFormatException {
+        if (!action.flags().sameRequest()) {
+            return decodeRequestId(action.flags().idIsWord(), action.request());
         }
-        if (event instanceof Arrival e) {
-            return e.request();
-        } else if (event instanceof AttemptEnded e) {
-            return e.request();
-        } else if (event instanceof FirstByte e) {
-            return e.request();
-        } else if (event instanceof ClientGone e) {
-            return e.request();
-        } else if (event instanceof Zoned e) {
-            return e.request();
+        if (pendingEvent instanceof RequestArrived e) {
+            return e.requestId();
+        } else if (pendingEvent instanceof AttemptEnded e) {
+            return e.requestId();
+        } else if (pendingEvent instanceof ResponseStarted e) {
+            return e.requestId();
+        } else if (pendingEvent instanceof ClientDisconnected e) {
+            return e.requestId();
+        } else if (pendingEvent instanceof ZonesAssigned e) {
+            return e.requestId();
         }
         throw new CaptureFormatException("an action on the event's request, where the event has none");
     }
 
-    private int bounded(int length) throws CaptureFormatException {
+    private int checkedLength(int length) throws CaptureFormatException {
         if (length < 0 || length > buffer.capacity()) {
             throw new CaptureFormatException("a document of " + length + " bytes in a record of " + buffer.capacity());
         }
         return length;
     }
 
-    private int groupFits(int count, int size) throws CaptureFormatException {
-        return bounded(count * size) / size;
+    private int checkedCount(int count, int elementBytes) throws CaptureFormatException {
+        return checkedLength(count * elementBytes) / elementBytes;
     }
 
-    private String id(boolean isWord, long request) throws CaptureFormatException {
-        if (isWord) {
-            return word(request > 65_535 || request < 0 ? -1 : (int) request);
+    private String decodeRequestId(boolean isStringId, long encodedId) throws CaptureFormatException {
+        if (isStringId) {
+            return stringOf(encodedId > 65_535 || encodedId < 0 ? -1 : (int) encodedId);
         }
-        String digits = Long.toHexString(request);
+        String digits = Long.toHexString(encodedId);
         return "0".repeat(16 - digits.length()) + digits;
     }
 
-    private List<String> zones(int word) throws CaptureFormatException {
-        String text = word(word);
-        if (text == null) {
+    private List<String> decodeZones(int stringId) throws CaptureFormatException {
+        String encoded = stringOf(stringId);
+        if (encoded == null) {
             throw new CaptureFormatException("zones that were never said");
         }
-        return Zones.of(text);
+        return ZoneListCodec.decode(encoded);
     }
 
-    private String word(int number) throws CaptureFormatException {
-        if (number == 0) {
+    private String stringOf(int stringId) throws CaptureFormatException {
+        if (stringId == 0) {
             return null;
         }
-        String value = words.get(number);
+        String value = stringsById.get(stringId);
         if (value == null) {
-            throw new CaptureFormatException("word " + number + " was never said");
+            throw new CaptureFormatException("word " + stringId + " was never said");
         }
         return value;
     }
 
-    private static <T> T of(T[] values, int place) throws CaptureFormatException {
-        if (place >= values.length) {
-            throw new CaptureFormatException("number " + place + ", expected 0 to " + (values.length - 1));
+    private static <T> T constantAt(T[] values, int ordinal) throws CaptureFormatException {
+        if (ordinal >= values.length) {
+            throw new CaptureFormatException("number " + ordinal + ", expected 0 to " + (values.length - 1));
         }
-        return values[place];
+        return values[ordinal];
     }
 }
--- a/capture/src/main/java/weldhitch/capture/format/RecordEncoder.java
+++ b/capture/src/main/java/weldhitch/capture/format/RecordEncoder.java
@@ -7,29 +7,61 @@
 import java.util.List;
 import java.util.Map;
 import org.agrona.ExpandableDirectByteBuffer;
-import weldhitch.capture.sbe.*;
-import weldhitch.decision.Balancing;
-import weldhitch.decision.Balancing.*;
+import weldhitch.capture.sbe.ArrivalEncoder;
+import weldhitch.capture.sbe.AttemptEndedEncoder;
+import weldhitch.capture.sbe.BoundEncoder;
+import weldhitch.capture.sbe.ClientGoneEncoder;
+import weldhitch.capture.sbe.ClockSetEncoder;
+import weldhitch.capture.sbe.DecidedEncoder;
+import weldhitch.capture.sbe.DocumentEncoder;
+import weldhitch.capture.sbe.FirstByteEncoder;
+import weldhitch.capture.sbe.MembershipEncoder;
+import weldhitch.capture.sbe.MessageHeaderEncoder;
+import weldhitch.capture.sbe.NewRoutesEncoder;
+import weldhitch.capture.sbe.ProbedEncoder;
+import weldhitch.capture.sbe.TextEncoder;
+import weldhitch.capture.sbe.TimerCameEncoder;
+import weldhitch.capture.sbe.ZonedEncoder;
+import weldhitch.decision.action.BalancerAction;
+import weldhitch.decision.action.CancelAttempt;
+import weldhitch.decision.action.FailRequest;
+import weldhitch.decision.action.LogMessage;
+import weldhitch.decision.action.RejectRequest;
+import weldhitch.decision.action.RequestZones;
+import weldhitch.decision.action.ScheduleTimer;
+import weldhitch.decision.action.SendAttempt;
+import weldhitch.decision.action.SubscribeToEndpoints;
+import weldhitch.decision.endpoint.EndpointEntry;
+import weldhitch.decision.event.AttemptEnded;
+import weldhitch.decision.event.BalancerEvent;
+import weldhitch.decision.event.ClientDisconnected;
+import weldhitch.decision.event.EndpointsChanged;
+import weldhitch.decision.event.HealthCheckCompleted;
+import weldhitch.decision.event.RequestArrived;
+import weldhitch.decision.event.ResponseStarted;
+import weldhitch.decision.event.RoutesChanged;
+import weldhitch.decision.event.TimerFired;
+import weldhitch.decision.event.ZonesAssigned;
 
 /**
  * Encodes entries one after another into a buffer, in the SBE schema {@code records.xml}. The string table and
  * the time carry over from entry to entry, so entries must be decoded in the same order, from the beginning or
- * from an {@link Entry.Known}. Owned by one {@link SegmentWriter}; not thread-safe.
+ * from an {@link CaptureEntry.SnapshotRecord}. Owned by one {@link SegmentWriter}; not thread-safe.
  */
 final class RecordEncoder {
-    /** From this size on the string table is nearly full, and an {@link Entry.Known} should follow soon. */
-    static final int WORDS_NEARLY_ALL = 60_000;
+    /** From this size on the string table is nearly full, and an {@link CaptureEntry.SnapshotRecord} should follow soon. */
+    static final int STRING_TABLE_NEARLY_FULL = 60_000;
 
-    private static final int MOST_WORDS = 65_534;
-    private static final int MOST_TEXT = 65_534;
-    private static final int MOST_IN_GROUP = 65_534;
+    private static final int MAX_STRINGS = 65_534;
+    private static final int MAX_STRING_BYTES = 65_534;
+    private static final int MAX_GROUP_ENTRIES = 65_534;
     /** In place of a two-byte length: marks a longer record, whose four-byte length follows. */
-    static final int LONG = 65_535;
+    static final int EXTENDED_LENGTH_MARKER = 65_535;
 
-    private static final int SMALL = 60_000;
+    private static final int MAX_SHORT_RECORD_TEXT_BYTES = 60_000;
 
     private final ExpandableDirectByteBuffer buffer = new ExpandableDirectByteBuffer(64 * 1024);
-    private final Map<String, Integer> words = new HashMap<>();
+    private final Map<String, Integer> stringIds = new HashMap<>();
     private final MessageHeaderEncoder header = new MessageHeaderEncoder();
     private final TextEncoder text = new TextEncoder();
     private final ClockSetEncoder clockSet = new ClockSetEncoder();
@@ -45,383 +77,387 @@
     private final BoundEncoder bound = new BoundEncoder();
     private final ZonedEncoder zoned = new ZonedEncoder();
     private final DecidedEncoder decided = new DecidedEncoder();
-    private int at;
-    private int recordAt;
-    private boolean large;
-    private long last;
+    private int position;
+    private int recordStart;
+    private boolean extendedLength;
+    private long lastTimestamp;
 
     /**
      * An entry cannot be encoded: the string table is full, or a string or list is longer than the format
      * allows.
      */
-    static final class DoesNotFitException extends RuntimeException {
+    static final class UnencodableEntryException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        DoesNotFitException(String what) {
-            super(what, null, false, false);
+        UnencodableEntryException(String message) {
+            super(message, null, false, false);
         }
     }
 
     /** Returns the number of bytes encoded since the last {@link #clear}. */
     int length() {
-        return at;
+        return position;
     }
 
     /**
      * Returns the time that the next record is relative to; right after {@link #clear}, the base time of the
      * block.
      */
-    long time() {
-        return last;
+    long lastTimestamp() {
+        return lastTimestamp;
     }
 
-    int words() {
-        return words.size();
+    int stringCount() {
+        return stringIds.size();
     }
 
     ByteBuffer content() {
         return buffer.byteBuffer()
                 .duplicate()
                 .order(ByteOrder.LITTLE_ENDIAN)
-                .limit(at)
+                .limit(position)
                 .position(0);
     }
 
     void clear() {
-        at = 0;
+        position = 0;
     }
 
     /** Clears the string table and sets the time, so that the next entry can be decoded on its own. */
-    void anew(long now) {
-        words.clear();
-        last = now;
+    void reset(long timestamp) {
+        stringIds.clear();
+        lastTimestamp = timestamp;
     }
 
     /**
      * Encodes one entry.
      *
-     * @throws DoesNotFitException if it cannot be encoded; nothing of it is then in the buffer
+     * @throws UnencodableEntryException if it cannot be encoded; nothing of it is then in the buffer
      */
-    void encode(Entry entry) {
-        int before = at;
-        long timeBefore = last;
+    void encode(CaptureEntry entry) {
+        int positionBefore = position;
+        long timestampBefore = lastTimestamp;
         try {
-            if (entry instanceof Entry.Told told) {
-                event(told.now(), told.event());
-                decided(told.actions(), requestOf(told.event()));
-            } else if (entry instanceof Entry.Known known) {
-                byte[] content = Documents.known(known);
-                anew(known.now());
-                document.wrapAndApplyHeader(buffer, begin(true), header);
-                document.now(known.now()).kind((short) 1).putContent(content, 0, content.length);
-                end(document.limit());
+            if (entry instanceof CaptureEntry.EventRecord eventRecord) {
+                encodeEvent(eventRecord.timestamp(), eventRecord.event());
+                encodeActions(eventRecord.actions(), requestIdOf(eventRecord.event()));
+            } else if (entry instanceof CaptureEntry.SnapshotRecord snapshotRecord) {
+                byte[] content = DocumentCodec.encodeSnapshot(snapshotRecord);
+                reset(snapshotRecord.timestamp());
+                document.wrapAndApplyHeader(buffer, beginRecord(true), header);
+                document.now(snapshotRecord.timestamp()).kind((short) 1).putContent(content, 0, content.length);
+                endRecord(document.limit());
             } else {
                 throw new IllegalArgumentException("not to be written: " + entry);
             }
-        } catch (DoesNotFitException e) {
-            at = before;
-            last = timeBefore;
+        } catch (UnencodableEntryException e) {
+            position = positionBefore;
+            lastTimestamp = timestampBefore;
             throw e;
         }
     }
 
-    private int begin(boolean isLarge) {
-        recordAt = at;
-        large = isLarge;
-        return at + (isLarge ? 6 : 2);
+    private int beginRecord(boolean extended) {
+        recordStart = position;
+        extendedLength = extended;
+        return position + (extended ? 6 : 2);
     }
 
-    private void end(int limit) {
-        if (large) {
-            buffer.putShort(recordAt, (short) LONG, ByteOrder.LITTLE_ENDIAN);
-            buffer.putInt(recordAt + 2, limit - recordAt - 6, ByteOrder.LITTLE_ENDIAN);
+    private void endRecord(int limit) {
+        if (extendedLength) {
+            buffer.putShort(recordStart, (short) EXTENDED_LENGTH_MARKER, ByteOrder.LITTLE_ENDIAN);
+            buffer.putInt(recordStart + 2, limit - recordStart - 6, ByteOrder.LITTLE_ENDIAN);
         } else {
-            buffer.putShort(recordAt, (short) (limit - recordAt - 2), ByteOrder.LITTLE_ENDIAN);
+            buffer.putShort(recordStart, (short) (limit - recordStart - 2), ByteOrder.LITTLE_ENDIAN);
         }
-        at = limit;
+        position = limit;
     }
 
     // ---- events ----
 
-    private void event(long now, Event event) {
-        if (event instanceof Arrival e) {
-            arrival(now, e);
+    private void encodeEvent(long timestamp, BalancerEvent event) {
+        if (event instanceof RequestArrived e) {
+            encodeArrival(timestamp, e);
         } else if (event instanceof AttemptEnded e) {
-            long id = id(e.request());
-            int server = word(e.server());
-            long since = since(now);
-            attemptEnded.wrapAndApplyHeader(buffer, begin(false), header);
+            long requestId = encodeRequestId(e.requestId());
+            int endpointStringId = stringId(e.endpointId());
+            long elapsed = advanceClock(timestamp);
+            attemptEnded.wrapAndApplyHeader(buffer, beginRecord(false), header);
             attemptEnded
-                    .since(since)
-                    .request(id)
+                    .since(elapsed)
+                    .request(requestId)
                     .attempt(e.attempt())
-                    .server(server)
+                    .server(endpointStringId)
                     .outcome((short) e.outcome().ordinal())
                     .latency(e.latency());
-            attemptEnded.flags().clear().idIsWord(isWord(e.request())).finished(e.finished());
-            AttemptEndedEncoder.LoadEncoder load = attemptEnded.loadCount(e.load() == null ? 0 : fits(e.load().length));
-            for (int i = 0; e.load() != null && i < e.load().length; i++) {
-                load.next().figure(e.load()[i]);
+            attemptEnded.flags().clear().idIsWord(isStringId(e.requestId())).finished(e.requestFinished());
+            AttemptEndedEncoder.LoadEncoder load =
+                    attemptEnded.loadCount(e.loadReport() == null ? 0 : checkedGroupSize(e.loadReport().length));
+            for (int i = 0; e.loadReport() != null && i < e.loadReport().length; i++) {
+                load.next().figure(e.loadReport()[i]);
             }
-            end(attemptEnded.limit());
-        } else if (event instanceof Balancing.Timer e) {
-            int token = word(e.token());
-            long since = since(now);
-            timerCame.wrapAndApplyHeader(buffer, begin(false), header);
-            timerCame.since(since).token(token);
-            end(timerCame.limit());
-        } else if (event instanceof FirstByte e) {
-            long id = id(e.request());
-            int server = word(e.server());
-            long since = since(now);
-            firstByte.wrapAndApplyHeader(buffer, begin(false), header);
+            endRecord(attemptEnded.limit());
+        } else if (event instanceof TimerFired e) {
+            int token = stringId(e.token());
+            long elapsed = advanceClock(timestamp);
+            timerCame.wrapAndApplyHeader(buffer, beginRecord(false), header);
+            timerCame.since(elapsed).token(token);
+            endRecord(timerCame.limit());
+        } else if (event instanceof ResponseStarted e) {
+            long requestId = encodeRequestId(e.requestId());
+            int endpointStringId = stringId(e.endpointId());
+            long elapsed = advanceClock(timestamp);
+            firstByte.wrapAndApplyHeader(buffer, beginRecord(false), header);
             firstByte
-                    .since(since)
-                    .request(id)
+                    .since(elapsed)
+                    .request(requestId)
                     .attempt(e.attempt())
-                    .server(server)
+                    .server(endpointStringId)
                     .latency(e.latency());
-            firstByte.flags().clear().idIsWord(isWord(e.request()));
-            end(firstByte.limit());
-        } else if (event instanceof ClientGone e) {
-            long id = id(e.request());
-            long since = since(now);
-            clientGone.wrapAndApplyHeader(buffer, begin(false), header);
-            clientGone.since(since).request(id).flags().clear().idIsWord(isWord(e.request()));
-            end(clientGone.limit());
-        } else if (event instanceof Zoned e) {
-            long id = id(e.request());
-            int zones = word(Zones.text(e.zones()));
-            long since = since(now);
-            zoned.wrapAndApplyHeader(buffer, begin(false), header);
-            zoned.since(since).request(id).zones(zones).flags().clear().idIsWord(isWord(e.request()));
-            end(zoned.limit());
-        } else if (event instanceof Membership e) {
-            membership(now, e);
-        } else if (event instanceof NewRoutes e) {
-            byte[] content = Documents.routes(e.routes());
-            long since = since(now);
-            newRoutes.wrapAndApplyHeader(buffer, begin(true), header);
-            newRoutes.since(since).putRoutes(content, 0, content.length);
-            end(newRoutes.limit());
-        } else if (event instanceof Probed e) {
-            int server = word(e.server());
-            long since = since(now);
-            probed.wrapAndApplyHeader(buffer, begin(false), header);
-            probed.since(since)
-                    .server(server)
+            firstByte.flags().clear().idIsWord(isStringId(e.requestId()));
+            endRecord(firstByte.limit());
+        } else if (event instanceof ClientDisconnected e) {
+            long requestId = encodeRequestId(e.requestId());
+            long elapsed = advanceClock(timestamp);
+            clientGone.wrapAndApplyHeader(buffer, beginRecord(false), header);
+            clientGone.since(elapsed).request(requestId).flags().clear().idIsWord(isStringId(e.requestId()));
+            endRecord(clientGone.limit());
+        } else if (event instanceof ZonesAssigned e) {
+            long requestId = encodeRequestId(e.requestId());
+            int zones = stringId(ZoneListCodec.encode(e.zones()));
+            long elapsed = advanceClock(timestamp);
+            zoned.wrapAndApplyHeader(buffer, beginRecord(false), header);
+            zoned.since(elapsed).request(requestId).zones(zones).flags().clear().idIsWord(isStringId(e.requestId()));
+            endRecord(zoned.limit());
+        } else if (event instanceof EndpointsChanged e) {
+            encodeEndpointsChanged(timestamp, e);
+        } else if (event instanceof RoutesChanged e) {
+            byte[] content = DocumentCodec.routes(e.routes());
+            long elapsed = advanceClock(timestamp);
+            newRoutes.wrapAndApplyHeader(buffer, beginRecord(true), header);
+            newRoutes.since(elapsed).putRoutes(content, 0, content.length);
+            endRecord(newRoutes.limit());
+        } else if (event instanceof HealthCheckCompleted e) {
+            int endpointStringId = stringId(e.endpointId());
+            long elapsed = advanceClock(timestamp);
+            probed.wrapAndApplyHeader(buffer, beginRecord(false), header);
+            probed.since(elapsed)
+                    .server(endpointStringId)
                     .outcome((short) e.outcome().ordinal())
                     .latency(e.latency());
-            ProbedEncoder.LoadEncoder load = probed.loadCount(e.load() == null ? 0 : fits(e.load().length));
-            for (int i = 0; e.load() != null && i < e.load().length; i++) {
-                load.next().figure(e.load()[i]);
+            ProbedEncoder.LoadEncoder load =
+                    probed.loadCount(e.loadReport() == null ? 0 : checkedGroupSize(e.loadReport().length));
+            for (int i = 0; e.loadReport() != null && i < e.loadReport().length; i++) {
+                load.next().figure(e.loadReport()[i]);
             }
-            end(probed.limit());
+            endRecord(probed.limit());
         }
     }
 
-    private void arrival(long now, Arrival e) {
-        long id = id(e.request());
-        int requestClass = word(e.requestClass());
-        int tenant = word(e.tenant());
-        int method = word(e.method());
+    private void encodeArrival(long timestamp, RequestArrived e) {
+        long requestId = encodeRequestId(e.requestId());
+        int requestClass = stringId(e.requestClass());
+        int tenant = stringId(e.tenant());
+        int method = stringId(e.method());
         String target = e.target();
-        int query = target == null ? -1 : target.indexOf('?');
-        byte[] path = target == null ? new byte[0] : utf8(query < 0 ? target : target.substring(0, query));
-        if (e.zones() != null) {
-            int zones = word(Zones.text(e.zones()));
-            bound.wrapAndApplyHeader(buffer, begin(false), header);
+        int queryStart = target == null ? -1 : target.indexOf('?');
+        byte[] pathBytes =
+                target == null ? new byte[0] : utf8(queryStart < 0 ? target : target.substring(0, queryStart));
+        if (e.allowedZones() != null) {
+            int zones = stringId(ZoneListCodec.encode(e.allowedZones()));
+            bound.wrapAndApplyHeader(buffer, beginRecord(false), header);
             bound.zones(zones);
-            end(bound.limit());
+            endRecord(bound.limit());
         }
-        long since = since(now);
-        arrival.wrapAndApplyHeader(buffer, begin(path.length > SMALL), header);
-        arrival.since(since)
-                .request(id)
+        long elapsed = advanceClock(timestamp);
+        arrival.wrapAndApplyHeader(buffer, beginRecord(pathBytes.length > MAX_SHORT_RECORD_TEXT_BYTES), header);
+        arrival.since(elapsed)
+                .request(requestId)
                 .requestClass(requestClass)
                 .tenant(tenant)
                 .method(method)
-                .deadlineAfter(e.deadline() - now)
+                .deadlineAfter(e.deadline() - timestamp)
                 .cost(e.cost())
                 .hasTarget((short) (target == null ? 0 : 1));
-        arrival.flags().clear().idIsWord(isWord(e.request())).clientRetry(e.clientRetry());
-        arrival.putTarget(path, 0, path.length);
-        end(arrival.limit());
+        arrival.flags().clear().idIsWord(isStringId(e.requestId())).clientRetry(e.clientRetry());
+        arrival.putTarget(pathBytes, 0, pathBytes.length);
+        endRecord(arrival.limit());
     }
 
-    private void membership(long now, Membership e) {
-        List<ServerEntry> entries = e.entries();
-        fits(entries.size());
-        for (ServerEntry entry : entries) {
-            word(entry.server());
-            word(entry.zone());
+    private void encodeEndpointsChanged(long timestamp, EndpointsChanged e) {
+        List<EndpointEntry> entries = e.entries();
+        checkedGroupSize(entries.size());
+        for (EndpointEntry entry : entries) {
+            stringId(entry.endpointId());
+            stringId(entry.zone());
         }
-        long since = since(now);
-        membership.wrapAndApplyHeader(buffer, begin(entries.size() > 1000), header);
-        membership.since(since).kind((short) e.kind().ordinal());
+        long elapsed = advanceClock(timestamp);
+        membership.wrapAndApplyHeader(buffer, beginRecord(entries.size() > 1000), header);
+        membership.since(elapsed).kind((short) e.kind().ordinal());
         MembershipEncoder.EntriesEncoder group = membership.entriesCount(entries.size());
-        for (ServerEntry entry : entries) {
+        for (EndpointEntry entry : entries) {
             group.next()
-                    .server(word(entry.server()))
-                    .zone(word(entry.zone()))
+                    .server(stringId(entry.endpointId()))
+                    .zone(stringId(entry.zone()))
                     .cell(entry.cell())
                     .state((short) entry.state().ordinal())
                     .weight(entry.weight())
                     .startedAt(entry.startedAt());
         }
-        end(membership.limit());
+        endRecord(membership.limit());
     }
 
     // ---- actions ----
 
-    private static String requestOf(Event event) {
-        return event instanceof Arrival e
-                ? e.request()
+    private static String requestIdOf(BalancerEvent event) {
+        return event instanceof RequestArrived e
+                ? e.requestId()
                 : event instanceof AttemptEnded e
-                        ? e.request()
-                        : event instanceof FirstByte e
-                                ? e.request()
-                                : event instanceof ClientGone e
-                                        ? e.request()
-                                        : event instanceof Zoned e ? e.request() : null;
+                        ? e.requestId()
+                        : event instanceof ResponseStarted e
+                                ? e.requestId()
+                                : event instanceof ClientDisconnected e
+                                        ? e.requestId()
+                                        : event instanceof ZonesAssigned e ? e.requestId() : null;
     }
 
-    private void decided(List<Action> actions, String told) {
+    private void encodeActions(List<BalancerAction> actions, String eventRequestId) {
         if (actions.isEmpty()) {
             return;
         }
-        fits(actions.size());
-        for (Action action : actions) {
-            mention(action);
+        checkedGroupSize(actions.size());
+        for (BalancerAction action : actions) {
+            registerStrings(action);
         }
-        decided.wrapAndApplyHeader(buffer, begin(actions.size() > 1000), header);
+        decided.wrapAndApplyHeader(buffer, beginRecord(actions.size() > 1000), header);
         DecidedEncoder.ActionsEncoder group = decided.actionsCount(actions.size());
-        for (Action action : actions) {
+        for (BalancerAction action : actions) {
             group.next();
-            if (action instanceof Send a) {
-                put(group, told, 1, a.request(), a.server(), a.timeout(), false);
-            } else if (action instanceof Cancel a) {
-                put(group, told, 2, a.request(), null, a.attempt(), false);
-            } else if (action instanceof Refuse a) {
-                put(group, told, 3, a.request(), null, a.retryAfter(), false);
-            } else if (action instanceof Fail a) {
-                put(group, told, 4, a.request(), null, 0, a.late());
-            } else if (action instanceof SetTimer a) {
-                put(group, told, 5, null, a.token(), a.after(), false);
-            } else if (action instanceof Subscribe) {
-                put(group, told, 6, null, null, 0, false);
-            } else if (action instanceof Report a) {
-                put(group, told, 7, null, a.text(), 0, false);
-            } else if (action instanceof AskZones a) {
-                put(group, told, 8, a.request(), null, 0, false);
+            if (action instanceof SendAttempt a) {
+                encodeAction(group, eventRequestId, 1, a.requestId(), a.endpointId(), a.timeout(), false);
+            } else if (action instanceof CancelAttempt a) {
+                encodeAction(group, eventRequestId, 2, a.requestId(), null, a.attempt(), false);
+            } else if (action instanceof RejectRequest a) {
+                encodeAction(group, eventRequestId, 3, a.requestId(), null, a.retryAfter(), false);
+            } else if (action instanceof FailRequest a) {
+                encodeAction(group, eventRequestId, 4, a.requestId(), null, 0, a.routeDeadlineExceeded());
+            } else if (action instanceof ScheduleTimer a) {
+                encodeAction(group, eventRequestId, 5, null, a.token(), a.delay(), false);
+            } else if (action instanceof SubscribeToEndpoints) {
+                encodeAction(group, eventRequestId, 6, null, null, 0, false);
+            } else if (action instanceof LogMessage a) {
+                encodeAction(group, eventRequestId, 7, null, a.text(), 0, false);
+            } else if (action instanceof RequestZones a) {
+                encodeAction(group, eventRequestId, 8, a.requestId(), null, 0, false);
             }
         }
-        end(decided.limit());
+        endRecord(decided.limit());
     }
 
     /** Writes the strings that an action needs before the record that refers to them. */
-    private void mention(Action action) {
-        if (action instanceof Send a) {
-            id(a.request());
-            word(a.server());
-        } else if (action instanceof Cancel a) {
-            id(a.request());
-        } else if (action instanceof Refuse a) {
-            id(a.request());
-        } else if (action instanceof Fail a) {
-            id(a.request());
-        } else if (action instanceof AskZones a) {
-            id(a.request());
-        } else if (action instanceof SetTimer a) {
-            word(a.token());
-        } else if (action instanceof Report a) {
-            word(a.text());
+    private void registerStrings(BalancerAction action) {
+        if (action instanceof SendAttempt a) {
+            encodeRequestId(a.requestId());
+            stringId(a.endpointId());
+        } else if (action instanceof CancelAttempt a) {
+            encodeRequestId(a.requestId());
+        } else if (action instanceof RejectRequest a) {
+            encodeRequestId(a.requestId());
+        } else if (action instanceof FailRequest a) {
+            encodeRequestId(a.requestId());
+        } else if (action instanceof RequestZones a) {
+            encodeRequestId(a.requestId());
+        } else if (action instanceof ScheduleTimer a) {
+            stringId(a.token());
+        } else if (action instanceof LogMessage a) {
+            stringId(a.text());
         }
     }
 
-    private void put(
+    private void encodeAction(
             DecidedEncoder.ActionsEncoder group,
-            String told,
+            String eventRequestId,
             int kind,
-            String request,
-            String word,
-            long span,
+            String requestId,
+            String string,
+            long value,
             boolean late) {
-        boolean same = request != null && request.equals(told);
+        boolean sameRequest = requestId != null && requestId.equals(eventRequestId);
         group.kind((short) kind)
-                .request(request == null || same ? 0 : id(request))
-                .word(word(word))
-                .span(span);
+                .request(requestId == null || sameRequest ? 0 : encodeRequestId(requestId))
+                .word(stringId(string))
+                .span(value);
         group.flags()
                 .clear()
-                .sameRequest(same)
-                .idIsWord(request != null && !same && isWord(request))
+                .sameRequest(sameRequest)
+                .idIsWord(requestId != null && !sameRequest && isStringId(requestId))
                 .late(late);
     }
 
     // ---- parts ----
 
-    private static int fits(int count) {
-        if (count > MOST_IN_GROUP) {
-            throw new DoesNotFitException("a list of " + count + ", " + MOST_IN_GROUP + " at most");
+    private static int checkedGroupSize(int count) {
+        if (count > MAX_GROUP_ENTRIES) {
+            throw new UnencodableEntryException("a list of " + count + ", " + MAX_GROUP_ENTRIES + " at most");
         }
         return count;
     }
 
     private static byte[] utf8(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
-        if (bytes.length > MOST_TEXT) {
-            throw new DoesNotFitException("a text of " + bytes.length + " bytes, " + MOST_TEXT + " at most");
+        if (bytes.length > MAX_STRING_BYTES) {
+            throw new UnencodableEntryException(
+                    "a text of " + bytes.length + " bytes, " + MAX_STRING_BYTES + " at most");
         }
         return bytes;
     }
 
-    private long since(long now) {
-        long since = now - last;
-        if (since < 0 || since > 4_000_000_000L) {
-            clockSet.wrapAndApplyHeader(buffer, begin(false), header);
-            clockSet.now(now);
-            end(clockSet.limit());
-            since = 0;
+    private long advanceClock(long timestamp) {
+        long elapsed = timestamp - lastTimestamp;
+        if (elapsed < 0 || elapsed > 4_000_000_000L) {
+            clockSet.wrapAndApplyHeader(buffer, beginRecord(false), header);
+            clockSet.now(timestamp);
+            endRecord(clockSet.limit());
+            elapsed = 0;
         }
-        last = now;
-        return since;
+        lastTimestamp = timestamp;
+        return elapsed;
     }
 
     /** Returns the string's number in the string table, adding it if it is new; 0 stands for null. */
-    private int word(String value) {
-        if (value == null) {
+    private int stringId(String string) {
+        if (string == null) {
             return 0;
         }
-        Integer known = words.get(value);
-        if (known != null) {
-            return known;
+        Integer existingId = stringIds.get(string);
+        if (existingId != null) {
+            return existingId;
         }
-        if (words.size() >= MOST_WORDS) {
-            throw new DoesNotFitException("more than " + MOST_WORDS + " words since the last snapshot");
+        if (stringIds.size() >= MAX_STRINGS) {
+            throw new UnencodableEntryException("more than " + MAX_STRINGS + " words since the last snapshot");
         }
-        byte[] bytes = utf8(value);
-        int number = words.size() + 1;
-        text.wrapAndApplyHeader(buffer, begin(bytes.length > SMALL), header);
-        text.word(number).putText(bytes, 0, bytes.length);
-        end(text.limit());
-        words.put(value, number);
-        return number;
+        byte[] bytes = utf8(string);
+        int newId = stringIds.size() + 1;
+        text.wrapAndApplyHeader(buffer, beginRecord(bytes.length > MAX_SHORT_RECORD_TEXT_BYTES), header);
+        text.word(newId).putText(bytes, 0, bytes.length);
+        endRecord(text.limit());
+        stringIds.put(string, newId);
+        return newId;
     }
 
-    private long id(String request) {
-        return isWord(request) ? word(request) : Long.parseUnsignedLong(request, 16);
+    private long encodeRequestId(String requestId) {
+        return isStringId(requestId) ? stringId(requestId) : Long.parseUnsignedLong(requestId, 16);
     }
 
     /**
      * Returns whether a request id has to be written as a string: it is not 16 lower-case hexadecimal digits.
      */
-    private static boolean isWord(String request) {
-        if (request.length() != 16) {
+    private static boolean isStringId(String requestId) {
+        if (requestId.length() != 16) {
             return true;
         }
         for (int i = 0; i < 16; i++) {
-            char c = request.charAt(i);
+            char c = requestId.charAt(i);
             if ((c < '0' || c > '9') && (c < 'a' || c > 'f')) {
                 return true;
             }
--- a/capture/src/main/java/weldhitch/capture/format/SegmentReader.java
+++ b/capture/src/main/java/weldhitch/capture/format/SegmentReader.java
@@ -16,7 +16,7 @@
  * Each instance is used by one thread for one call of {@link #read(Path, Consumer)}.
  */
 final class SegmentReader {
-    private static final int SEARCH = 1 << 16;
+    private static final int SEARCH_CHUNK_BYTES = 1 << 16;
 
     private final String file;
     private final FileChannel channel;
@@ -30,93 +30,103 @@
     }
 
     /**
-     * Delivers all entries, with an {@link Entry.Damage} for each part that cannot be read.
+     * Delivers all entries, with an {@link CaptureEntry.Corruption} for each part that cannot be read.
      *
      * @throws CaptureFormatException if the file is not a capture of this format
      */
-    static void read(Path path, Consumer<Entry> to) throws IOException {
+    static void read(Path path, Consumer<CaptureEntry> sink) throws IOException {
         try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
-            new SegmentReader(path, channel).read(to);
+            new SegmentReader(path, channel).read(sink);
         }
     }
 
-    private void read(Consumer<Entry> to) throws IOException {
-        Blocks.checkFileHeader(file, bytes(0, Blocks.FILE_HEADER));
-        long at = Blocks.FILE_HEADER;
-        long next = 0;
-        boolean inOrder = false;
-        while (at < size) {
-            Blocks.Header header = Blocks.get(bytes(at, Blocks.HEADER));
+    private void read(Consumer<CaptureEntry> sink) throws IOException {
+        BlockFormat.checkFileHeader(file, readBytes(0, BlockFormat.FILE_HEADER_BYTES));
+        long offset = BlockFormat.FILE_HEADER_BYTES;
+        long expectedNumber = 0;
+        boolean inSequence = false;
+        while (offset < size) {
+            BlockFormat.Header header = BlockFormat.readHeader(readBytes(offset, BlockFormat.BLOCK_HEADER_BYTES));
             if (header == null) {
-                long found = search(at + 1);
-                boolean cut = found < 0 && size - at < Blocks.HEADER;
-                to.accept(new Entry.Damage(
+                long nextBlockAt = findNextBlock(offset + 1);
+                boolean truncated = nextBlockAt < 0 && size - offset < BlockFormat.BLOCK_HEADER_BYTES;
+                sink.accept(new CaptureEntry.Corruption(
                         file,
-                        at,
-                        next,
-                        cut
-                                ? "cut short: " + (size - at) + " bytes of a block's head"
-                                : found < 0
+                        offset,
+                        expectedNumber,
+                        truncated
+                                ? "cut short: " + (size - offset) + " bytes of a block's head"
+                                : nextBlockAt < 0
                                         ? "no block begins here, nor behind it"
-                                        : "no block begins here; the next one does at " + found));
-                if (found < 0) {
+                                        : "no block begins here; the next one does at " + nextBlockAt));
+                if (nextBlockAt < 0) {
                     return;
                 }
-                inOrder = false;
-                at = found;
+                inSequence = false;
+                offset = nextBlockAt;
                 continue;
             }
-            long end = at + Blocks.HEADER + header.stored();
-            if (end > size) {
-                to.accept(new Entry.Damage(
-                        file, at, header.number(), "cut short: " + (size - at) + " of " + (end - at) + " bytes"));
+            long blockEnd = offset + BlockFormat.BLOCK_HEADER_BYTES + header.storedBytes();
+            if (blockEnd > size) {
+                sink.accept(new CaptureEntry.Corruption(
+                        file,
+                        offset,
+                        header.blockNumber(),
+                        "cut short: " + (size - offset) + " of " + (blockEnd - offset) + " bytes"));
                 return;
             }
-            if (header.number() != next && inOrder) {
-                to.accept(new Entry.Damage(
-                        file, at, next, "is missing; block " + header.number() + " stands in its place"));
-                inOrder = false;
+            if (header.blockNumber() != expectedNumber && inSequence) {
+                sink.accept(new CaptureEntry.Corruption(
+                        file,
+                        offset,
+                        expectedNumber,
+                        "is missing; block " + header.blockNumber() + " stands in its place"));
+                inSequence = false;
             }
-            next = header.number() + 1;
-            if (header.fromHere()) {
-                decoder.forget();
-                inOrder = true;
+            expectedNumber = header.blockNumber() + 1;
+            if (header.isSelfContained()) {
+                decoder.reset();
+                inSequence = true;
             }
-            if (inOrder) {
-                inOrder = block(header, at, to);
+            if (inSequence) {
+                inSequence = decodeBlock(header, offset, sink);
             }
-            at = end;
+            offset = blockEnd;
         }
     }
 
-    private boolean block(Blocks.Header header, long at, Consumer<Entry> to) throws IOException {
+    private boolean decodeBlock(BlockFormat.Header header, long offset, Consumer<CaptureEntry> sink)
+            throws IOException {
         try {
-            ByteBuffer stored = bytes(at + Blocks.HEADER, header.stored());
-            if (Blocks.sum(stored) != header.sum()) {
+            ByteBuffer stored = readBytes(offset + BlockFormat.BLOCK_HEADER_BYTES, header.storedBytes());
+            if (BlockFormat.checksum(stored) != header.checksum()) {
                 throw new CaptureFormatException("its checksum is wrong");
             }
-            byte[] content = Zstd.decompress(stored.array(), header.content());
-            if (content.length != header.content()) {
-                throw new CaptureFormatException("holds " + content.length + " bytes, expected " + header.content());
+            byte[] content = Zstd.decompress(stored.array(), header.contentBytes());
+            if (content.length != header.contentBytes()) {
+                throw new CaptureFormatException(
+                        "holds " + content.length + " bytes, expected " + header.contentBytes());
             }
-            decoder.decode(ByteBuffer.wrap(content), header.time(), to);
+            decoder.decode(ByteBuffer.wrap(content), header.baseTime(), sink);
             return true;
         } catch (CaptureFormatException | ZstdException e) {
-            to.accept(
-                    new Entry.Damage(file, at, header.number(), e.getMessage() + "; passed over to the next snapshot"));
+            sink.accept(new CaptureEntry.Corruption(
+                    file, offset, header.blockNumber(), e.getMessage() + "; passed over to the next snapshot"));
             return false;
         }
     }
 
     /** Returns the offset of the next block with a valid header, or -1 if there is none. */
-    private long search(long from) throws IOException {
-        for (long at = from; at + Blocks.HEADER <= size; at += SEARCH) {
-            ByteBuffer part = bytes(at, (int) Math.min(SEARCH + Blocks.HEADER - 1, size - at));
-            for (int i = 0; i + Blocks.HEADER <= part.limit(); i++) {
-                if (part.getInt(i) == Blocks.MAGIC) {
-                    Blocks.Header header = Blocks.get(part.duplicate().position(i));
+    private long findNextBlock(long start) throws IOException {
+        for (long offset = start; offset + BlockFormat.BLOCK_HEADER_BYTES <= size; offset += SEARCH_CHUNK_BYTES) {
+            ByteBuffer chunk = readBytes(
+                    offset, (int) Math.min(SEARCH_CHUNK_BYTES + BlockFormat.BLOCK_HEADER_BYTES - 1, size - offset));
+            for (int i = 0; i + BlockFormat.BLOCK_HEADER_BYTES <= chunk.limit(); i++) {
+                if (chunk.getInt(i) == BlockFormat.BLOCK_MAGIC) {
+                    BlockFormat.Header header =
+                            BlockFormat.readHeader(chunk.duplicate().position(i));
                     if (header != null) {
-                        return at + i;
+                        return offset + i;
                     }
                 }
             }
@@ -124,9 +134,10 @@
         return -1;
     }
 
-    private ByteBuffer bytes(long at, int most) throws IOException {
-        ByteBuffer bytes = ByteBuffer.allocate((int) Math.min(most, size - at)).order(ByteOrder.LITTLE_ENDIAN);
-        while (bytes.hasRemaining() && channel.read(bytes, at + bytes.position()) >= 0) {
+    private ByteBuffer readBytes(long offset, int maxBytes) throws IOException {
+        ByteBuffer bytes =
+                ByteBuffer.allocate((int) Math.min(maxBytes, size - offset)).order(ByteOrder.LITTLE_ENDIAN);
+        while (bytes.hasRemaining() && channel.read(bytes, offset + bytes.position()) >= 0) {
             // Repeat until the buffer is full, or the file turns out to have been truncated in the meantime.
         }
         return bytes.flip();
--- a/capture/src/main/java/weldhitch/capture/format/SegmentWriter.java
+++ b/capture/src/main/java/weldhitch/capture/format/SegmentWriter.java
@@ -17,19 +17,19 @@
  */
 public final class SegmentWriter implements Closeable {
     /** A block is flushed once its uncompressed records reach this size, in bytes. */
-    public static final int FULL = 256 << 10;
+    public static final int TARGET_BLOCK_BYTES = 256 << 10;
 
-    private static final int LEVEL = 3;
+    private static final int COMPRESSION_LEVEL = 3;
 
     private final FileChannel channel;
     private final RecordEncoder encoder = new RecordEncoder();
-    private final ByteBuffer header = ByteBuffer.allocateDirect(Blocks.HEADER);
-    private ByteBuffer stored = ByteBuffer.allocateDirect(64 << 10);
-    private long blocks;
-    private long blockTime;
-    private boolean fromHere;
-    private long written;
-    private long content;
+    private final ByteBuffer headerBuffer = ByteBuffer.allocateDirect(BlockFormat.BLOCK_HEADER_BYTES);
+    private ByteBuffer compressedBuffer = ByteBuffer.allocateDirect(64 << 10);
+    private long blockCount;
+    private long blockBaseTime;
+    private boolean selfContained;
+    private long bytesWritten;
+    private long uncompressedBytes;
 
     /** Creates the file, readable and writable by its owner only; fails if it exists. */
     public SegmentWriter(Path file) throws IOException {
@@ -43,7 +43,7 @@
     public SegmentWriter(FileChannel channel) throws IOException {
         this.channel = channel;
         try {
-            write(Blocks.fileHeader());
+            write(BlockFormat.fileHeader());
         } catch (IOException e) {
             close();
             throw e;
@@ -51,46 +51,46 @@
     }
 
     /**
-     * Adds an entry to the current block. An {@link Entry.Known} starts a new block, so that reading can start
+     * Adds an entry to the current block. An {@link CaptureEntry.SnapshotRecord} starts a new block, so that reading can start
      * there; the block before it must have been flushed.
      *
-     * @return whether it was added; if not, no entry may be added before the next {@link Entry.Known}
+     * @return whether it was added; if not, no entry may be added before the next {@link CaptureEntry.SnapshotRecord}
      */
-    public boolean add(Entry entry) {
-        boolean known = entry instanceof Entry.Known;
-        if (known && encoder.length() > 0) {
+    public boolean add(CaptureEntry entry) {
+        boolean isSnapshot = entry instanceof CaptureEntry.SnapshotRecord;
+        if (isSnapshot && encoder.length() > 0) {
             throw new IllegalStateException("a block begins with what is known: flush first");
         }
         if (encoder.length() == 0) {
-            blockTime = encoder.time();
-            fromHere = known;
+            blockBaseTime = encoder.lastTimestamp();
+            selfContained = isSnapshot;
         }
         try {
             encoder.encode(entry);
             return true;
-        } catch (RecordEncoder.DoesNotFitException e) {
+        } catch (RecordEncoder.UnencodableEntryException e) {
             return false;
         }
     }
 
     /** Returns whether the current block has reached its target size. */
-    public boolean full() {
-        return encoder.length() >= FULL;
+    public boolean isBlockFull() {
+        return encoder.length() >= TARGET_BLOCK_BYTES;
     }
 
-    /** Returns whether the string table is nearly full, so that an {@link Entry.Known} should be added soon. */
-    public boolean wordsRunOut() {
-        return encoder.words() >= RecordEncoder.WORDS_NEARLY_ALL;
+    /** Returns whether the string table is nearly full, so that an {@link CaptureEntry.SnapshotRecord} should be added soon. */
+    public boolean isStringTableNearlyFull() {
+        return encoder.stringCount() >= RecordEncoder.STRING_TABLE_NEARLY_FULL;
     }
 
     /** Returns the number of bytes written to the file. */
-    public long written() {
-        return written;
+    public long bytesWritten() {
+        return bytesWritten;
     }
 
     /** Returns the number of bytes of the flushed records before compression. */
-    public long content() {
-        return content;
+    public long uncompressedBytes() {
+        return uncompressedBytes;
     }
 
     /** Writes the current block, if it is not empty, and syncs it to the disk. */
@@ -99,34 +99,40 @@
             return;
         }
         ByteBuffer records = encoder.content();
-        int length = records.remaining();
-        int bound = (int) Zstd.compressBound(length);
-        if (stored.capacity() < bound) {
-            stored = ByteBuffer.allocateDirect(bound);
+        int recordBytes = records.remaining();
+        int maxCompressedBytes = (int) Zstd.compressBound(recordBytes);
+        if (compressedBuffer.capacity() < maxCompressedBytes) {
+            compressedBuffer = ByteBuffer.allocateDirect(maxCompressedBytes);
         }
-        stored.clear();
+        compressedBuffer.clear();
         // Direct buffers: compressing an array would block the garbage collector, and with it the event loop.
-        int size;
+        int compressedBytes;
         try {
-            size = (int) Zstd.compressDirectByteBuffer(stored, 0, bound, records, 0, length, LEVEL);
+            compressedBytes = (int) Zstd.compressDirectByteBuffer(
+                    compressedBuffer, 0, maxCompressedBytes, records, 0, recordBytes, COMPRESSION_LEVEL);
         } catch (ZstdException e) {
             throw new IOException("compression: " + e.getMessage(), e);
         }
-        stored.position(0).limit(size);
-        Blocks.put(
-                new Blocks.Header(
-                        size, length, Blocks.sum(stored), fromHere ? Blocks.FROM_HERE : 0, blocks++, blockTime),
-                header);
-        write(header);
-        write(stored);
+        compressedBuffer.position(0).limit(compressedBytes);
+        BlockFormat.writeHeader(
+                new BlockFormat.Header(
+                        compressedBytes,
+                        recordBytes,
+                        BlockFormat.checksum(compressedBuffer),
+                        selfContained ? BlockFormat.FLAG_SELF_CONTAINED : 0,
+                        blockCount++,
+                        blockBaseTime),
+                headerBuffer);
+        write(headerBuffer);
+        write(compressedBuffer);
         channel.force(false);
-        content += length;
+        uncompressedBytes += recordBytes;
         encoder.clear();
     }
 
     private void write(ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
-            written += channel.write(bytes);
+            bytesWritten += channel.write(bytes);
         }
     }
 
--- a/capture/src/main/java/weldhitch/capture/policy/Missed.java
+++ b/capture/src/main/java/weldhitch/capture/policy/DroppedEvents.java
@@ -7,14 +7,14 @@
  * @param to time of the last one, inclusive, in nanoseconds of the node's clock
  * @param events how many
  */
-public record Missed(long from, long to, long events) {
+public record DroppedEvents(long from, long to, long events) {
     /**
      * Returns the union of both: the earliest and latest time, and the sum of the counts; {@code other} may be
      * null.
      */
-    public Missed and(Missed other) {
+    public DroppedEvents merge(DroppedEvents other) {
         return other == null
                 ? this
-                : new Missed(Math.min(from, other.from), Math.max(to, other.to), events + other.events);
+                : new DroppedEvents(Math.min(from, other.from), Math.max(to, other.to), events + other.events);
     }
 }
--- a/capture/src/main/java/weldhitch/capture/policy/Retention.java
+++ b/capture/src/main/java/weldhitch/capture/policy/RetentionPolicy.java
@@ -7,30 +7,31 @@
  * Decides which segments the writer deletes so that all of them together stay within their size limit: the
  * oldest first, never the one in use. Stateless and thread-safe.
  */
-public final class Retention {
-    private Retention() {}
+public final class RetentionPolicy {
+    private RetentionPolicy() {}
 
     /**
      * A segment and its size. Immutable.
      *
      * @param segment whatever the caller identifies a segment by
      */
-    public record Kept<T>(T segment, long bytes) {}
+    public record SegmentSize<T>(T segment, long bytes) {}
 
     /**
      * Returns the segments to delete, the oldest first.
      *
      * @param segments the oldest first, the last one in use
      * @param totalBytes limit for all segments together
-     * @param room bytes that the segment in use may still grow by
+     * @param reservedBytes bytes that the segment in use may still grow by
      */
-    public static <T> List<T> leaving(List<Kept<T>> segments, long totalBytes, long room) {
-        long total = room + segments.stream().mapToLong(Kept::bytes).sum();
-        List<T> leaving = new ArrayList<>();
+    public static <T> List<T> segmentsToDelete(List<SegmentSize<T>> segments, long totalBytes, long reservedBytes) {
+        long total =
+                reservedBytes + segments.stream().mapToLong(SegmentSize::bytes).sum();
+        List<T> deletable = new ArrayList<>();
         for (int i = 0; i < segments.size() - 1 && total > totalBytes; i++) {
-            leaving.add(segments.get(i).segment());
+            deletable.add(segments.get(i).segment());
             total -= segments.get(i).bytes();
         }
-        return leaving;
+        return deletable;
     }
 }
--- a/capture/src/test/java/weldhitch/capture/format/RecordedCaptureTest.java
+++ b/capture/src/test/java/weldhitch/capture/format/RecordedCaptureTest.java
@@ -11,8 +11,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import weldhitch.decision.Balancing.NewRoutes;
-import weldhitch.decision.Digest;
+import weldhitch.decision.balancing.DecisionDigest;
+import weldhitch.decision.event.RoutesChanged;
 
 /**
  * Reads captures, a manifest, a snapshot and routes as version 32a2790 wrote them. None of the files is ever recorded anew:
@@ -29,13 +29,13 @@
     private static final String MIDWAY_DIGEST = "6497284e80052705";
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private static List<Entry> entries(Path path) throws IOException {
-        List<Entry> entries = new ArrayList<>();
+    private static List<CaptureEntry> entries(Path path) throws IOException {
+        List<CaptureEntry> entries = new ArrayList<>();
         CaptureFiles.read(List.of(path), entries::add);
         return entries;
     }
 
-    private static JsonNode recorded(String name) throws IOException {
+    private static JsonNode recordedJson(String name) throws IOException {
         return JSON.readTree(RECORDED.resolve(name).toFile());
     }
 
@@ -47,10 +47,10 @@
     private static void assertEvents(int count, String expectedDigest, Path file) throws IOException {
         long digest = 0;
         int events = 0;
-        for (Entry entry : entries(file)) {
-            assertTrue(!(entry instanceof Entry.Damage), entry.toString());
-            if (entry instanceof Entry.Told told) {
-                digest = Digest.of(digest, told.now(), told.actions());
+        for (CaptureEntry entry : entries(file)) {
+            assertTrue(!(entry instanceof CaptureEntry.Corruption), entry.toString());
+            if (entry instanceof CaptureEntry.EventRecord eventRecord) {
+                digest = DecisionDigest.of(digest, eventRecord.timestamp(), eventRecord.actions());
                 events++;
             }
         }
@@ -60,38 +60,38 @@
 
     @Test
     void everyEventIsReadWithItsDecisions() throws IOException {
-        for (CaptureFiles.Segment segment : CaptureFiles.in(DIRECTORY)) {
-            assertEvents(EVENTS_PER_SEGMENT, SEGMENT_DIGEST, segment.file());
+        for (CaptureFiles.SegmentFile segment : CaptureFiles.segmentsIn(DIRECTORY)) {
+            assertEvents(EVENTS_PER_SEGMENT, SEGMENT_DIGEST, segment.path());
         }
         assertEvents(MIDWAY_EVENTS, MIDWAY_DIGEST, RECORDED.resolve("midway.cap"));
     }
 
     @Test
     void aSnapshotIsReadAndWrittenUnderItsRecordedNames() throws IOException {
-        Entry.Known snapshot =
-                (Entry.Known) entries(RECORDED.resolve("midway.cap")).get(0);
-        assertEquals(recorded("snapshot.json"), asJson(Documents.known(snapshot)));
+        CaptureEntry.SnapshotRecord snapshot = (CaptureEntry.SnapshotRecord)
+                entries(RECORDED.resolve("midway.cap")).get(0);
+        assertEquals(recordedJson("snapshot.json"), asJson(DocumentCodec.encodeSnapshot(snapshot)));
     }
 
     @Test
     void routesAreReadAndWrittenUnderTheirRecordedNames() throws IOException {
-        NewRoutes first = entries(RECORDED.resolve("midway.cap")).stream()
-                .filter(entry -> entry instanceof Entry.Told told
-                        && told.event() instanceof NewRoutes news
-                        && news.routes() != null)
-                .map(entry -> (NewRoutes) ((Entry.Told) entry).event())
+        RoutesChanged first = entries(RECORDED.resolve("midway.cap")).stream()
+                .filter(entry -> entry instanceof CaptureEntry.EventRecord eventRecord
+                        && eventRecord.event() instanceof RoutesChanged changed
+                        && changed.routes() != null)
+                .map(entry -> (RoutesChanged) ((CaptureEntry.EventRecord) entry).event())
                 .findFirst()
                 .orElseThrow();
-        assertEquals(recorded("routes.json"), asJson(Documents.routes(first.routes())));
+        assertEquals(recordedJson("routes.json"), asJson(DocumentCodec.routes(first.routes())));
     }
 
     @Test
     void theManifestNamesTheSegments() throws IOException {
-        JsonNode segments = recorded("capture/manifest.json").path("segments");
+        JsonNode segments = recordedJson("capture/manifest.json").path("segments");
         assertEquals(2, segments.size());
         assertEquals(
-                CaptureFiles.in(DIRECTORY).stream()
-                        .map(s -> s.file().getFileName().toString())
+                CaptureFiles.segmentsIn(DIRECTORY).stream()
+                        .map(s -> s.path().getFileName().toString())
                         .toList(),
                 segments.findValuesAsText("file"));
     }
--- a/cli/src/main/java/weldhitch/cli/CaptureCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureCommands.java
@@ -19,12 +19,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import weldhitch.capture.format.CaptureFormatException;
-import weldhitch.replay.Cut;
-import weldhitch.replay.Player;
-import weldhitch.replay.Summary;
-import weldhitch.replay.Summary.Counts;
-import weldhitch.replay.Verify;
-import weldhitch.replay.policy.RuleJudge.Breach;
+import weldhitch.replay.CaptureSlicer;
+import weldhitch.replay.CaptureSummary;
+import weldhitch.replay.CaptureSummary.RequestCounts;
+import weldhitch.replay.CaptureVerifier;
+import weldhitch.replay.Replayer;
+import weldhitch.replay.policy.InvariantChecker.Violation;
 
 /** Commands over a capture that don't compare it with a replay: verify, cut and summary. */
 @Command(
@@ -37,7 +37,7 @@
             CaptureCommands.CutCommand.class
         })
 final class CaptureCommands {
-    private static final int MOST_SHOWN = 50;
+    private static final int MAX_SHOWN_VIOLATIONS = 50;
 
     private CaptureCommands() {}
 
@@ -57,47 +57,52 @@
 
         @Override
         public Integer call() throws Exception {
-            Verify verify = new Verify();
-            return capture.read(verify, () -> {
-                List<Breach> breaches = verify.judge.breaches();
+            CaptureVerifier verification = new CaptureVerifier();
+            return capture.read(verification, () -> {
+                List<Violation> violations = verification.checker.violations();
                 PrintWriter out = capture.out();
                 if (capture.json()) {
-                    out.println(json(verify, breaches).toPrettyString());
+                    out.println(toJson(verification, violations).toPrettyString());
                 } else {
-                    breaches.stream()
-                            .limit(MOST_SHOWN)
-                            .forEach(b -> out.printf(
+                    violations.stream()
+                            .limit(MAX_SHOWN_VIOLATIONS)
+                            .forEach(violation -> out.printf(
                                     Locale.ROOT,
                                     "%s at %d.%09d: %s: %s%n",
-                                    b.rule().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                                    b.at() / 1_000_000_000L,
-                                    b.at() % 1_000_000_000L,
-                                    b.subject(),
-                                    b.what()));
+                                    violation
+                                            .invariant()
+                                            .name()
+                                            .toLowerCase(Locale.ROOT)
+                                            .replace('_', ' '),
+                                    violation.timestamp() / 1_000_000_000L,
+                                    violation.timestamp() % 1_000_000_000L,
+                                    violation.subject(),
+                                    violation.description()));
                     out.printf(
                             "%d requests answered, %d open at the end, %d damaged parts: %s%n",
-                            verify.judge.answered(),
-                            verify.judge.open(),
-                            verify.damages(),
-                            breaches.isEmpty() ? "all rules kept" : breaches.size() + " breaches");
+                            verification.checker.answered(),
+                            verification.checker.openRequests(),
+                            verification.corruptions(),
+                            violations.isEmpty() ? "all rules kept" : violations.size() + " breaches");
                 }
-                return breaches.isEmpty() ? 0 : 1;
+                return violations.isEmpty() ? 0 : 1;
             });
         }
 
-        private static ObjectNode json(Verify verify, List<Breach> breaches) {
-            ObjectNode all = JsonNodeFactory.instance
+        private static ObjectNode toJson(CaptureVerifier verification, List<Violation> violations) {
+            ObjectNode root = JsonNodeFactory.instance
                     .objectNode()
-                    .put("answered", verify.judge.answered())
-                    .put("open", verify.judge.open())
-                    .put("damages", verify.damages());
-            ArrayNode list = all.putArray("breaches");
-            breaches.forEach(b -> list.addObject()
-                    .put("rule", b.rule().name().toLowerCase(Locale.ROOT))
-                    .put("at", b.at())
-                    .put("subject", b.subject())
-                    .put("what", b.what()));
-            return all;
+                    .put("answered", verification.checker.answered())
+                    .put("open", verification.checker.openRequests())
+                    .put("damages", verification.corruptions());
+            ArrayNode violationNodes = root.putArray("breaches");
+            violations.forEach(violation -> violationNodes
+                    .addObject()
+                    .put("rule", violation.invariant().name().toLowerCase(Locale.ROOT))
+                    .put("at", violation.timestamp())
+                    .put("subject", violation.subject())
+                    .put("what", violation.description()));
+            return root;
         }
     }
 
@@ -110,7 +115,7 @@
                             + "renamed; it plays as the original does. Exit status 1 where it can't be cut, 3 where it can't be read.")
     static final class CutCommand implements Callable<Integer> {
         @Spec
-        private CommandSpec command;
+        private CommandSpec spec;
 
         @Parameters(
                 arity = "1..*",
@@ -123,7 +128,7 @@
                 paramLabel = "EVENT",
                 required = true,
                 description = "The first event, counted from 1.")
-        private long from;
+        private long firstEvent;
 
         @Option(names = "--count", defaultValue = "2000", description = "How many events; 2000.")
         private long count;
@@ -133,23 +138,23 @@
                 paramLabel = "FILE",
                 required = true,
                 description = "Where to write; must not be there.")
-        private Path out;
+        private Path outputFile;
 
         @Override
         public Integer call() {
-            if (from < 1 || count < 1) {
-                throw new ParameterException(command.commandLine(), "--from, --count: expected 1 or more");
+            if (firstEvent < 1 || count < 1) {
+                throw new ParameterException(spec.commandLine(), "--from, --count: expected 1 or more");
             }
             try {
-                Cut cut = new Cut(from, count).read(paths);
-                cut.write(out);
-                command.commandLine().getOut().println(cut.events() + " events in " + out);
-                command.commandLine().getOut().flush();
+                CaptureSlicer slicer = new CaptureSlicer(firstEvent, count).read(paths);
+                slicer.write(outputFile);
+                spec.commandLine().getOut().println(slicer.eventCount() + " events in " + outputFile);
+                spec.commandLine().getOut().flush();
                 return 0;
             } catch (IOException | IllegalStateException e) {
-                command.commandLine().getErr().println("weldhitch: " + e.getMessage());
-                command.commandLine().getErr().flush();
-                return e instanceof CaptureFormatException ? CaptureOption.UNREADABLE : 1;
+                spec.commandLine().getErr().println("weldhitch: " + e.getMessage());
+                spec.commandLine().getErr().flush();
+                return e instanceof CaptureFormatException ? CaptureOption.EXIT_UNREADABLE : 1;
             }
         }
     }
@@ -172,87 +177,97 @@
                 paramLabel = "SECONDS",
                 defaultValue = "60",
                 description = "The spans counted by; 60.")
-        private long every;
+        private long intervalSeconds;
 
         @Override
         public Integer call() throws Exception {
-            Summary summary = new Summary(TimeUnit.SECONDS.toNanos(Math.max(1, every)));
-            Player player = new Player(summary, false, summary);
-            return capture.read(player, () -> {
+            CaptureSummary summary = new CaptureSummary(TimeUnit.SECONDS.toNanos(Math.max(1, intervalSeconds)));
+            Replayer replayer = new Replayer(summary, false, summary);
+            return capture.read(replayer, () -> {
                 if (capture.json()) {
-                    capture.out().println(json(player, summary).toPrettyString());
+                    capture.out().println(toJson(replayer, summary).toPrettyString());
                 } else {
-                    text(player, summary);
+                    printText(replayer, summary);
                 }
-                return player.events() > 0 ? 0 : 1;
+                return replayer.replayedEvents() > 0 ? 0 : 1;
             });
         }
 
-        private void text(Player player, Summary summary) {
+        private void printText(Replayer replayer, CaptureSummary summary) {
             PrintWriter out = capture.out();
             out.printf(
                     Locale.ROOT,
                     "%d events in %.1f s, from %s%n",
-                    player.events(),
-                    player.span() / 1e9,
-                    player.events() == 0 ? "-" : java.time.Instant.ofEpochSecond(0, player.firstAt()));
-            summary.damages.forEach(out::println);
-            String head = "%-18s %9s %9s %9s %9s %9s %9s %9s%n";
-            out.printf(head, "class", "arrived", "in time", "late", "refused", "failed", "gone", "attempts");
-            summary.classes.forEach((name, c) -> counts(out, name, c));
-            out.printf(head, "from, s", "arrived", "in time", "late", "refused", "failed", "gone", "attempts");
-            summary.spans.forEach((from, c) -> {
-                counts(out, Long.toString(from / 1000), c);
-                c.causes.forEach((cause, count) -> out.printf("%-18s %9d %s%n", "", count, cause));
+                    replayer.replayedEvents(),
+                    replayer.duration() / 1e9,
+                    replayer.replayedEvents() == 0
+                            ? "-"
+                            : java.time.Instant.ofEpochSecond(0, replayer.firstTimestamp()));
+            summary.corruptions.forEach(out::println);
+            String headerFormat = "%-18s %9s %9s %9s %9s %9s %9s %9s%n";
+            out.printf(headerFormat, "class", "arrived", "in time", "late", "refused", "failed", "gone", "attempts");
+            summary.byClass.forEach((name, counts) -> printCounts(out, name, counts));
+            out.printf(headerFormat, "from, s", "arrived", "in time", "late", "refused", "failed", "gone", "attempts");
+            summary.byInterval.forEach((fromMillis, counts) -> {
+                printCounts(out, Long.toString(fromMillis / 1000), counts);
+                counts.causes.forEach((cause, count) -> out.printf("%-18s %9d %s%n", "", count, cause));
             });
             out.printf("%-18s %9s %9s %9s %s%n", "server", "sends", "p50, ms", "p99, ms", "outcomes");
-            summary.servers.forEach((name, s) -> out.printf(
+            summary.byEndpoint.forEach((name, server) -> out.printf(
                     Locale.ROOT,
                     "%-18s %9d %9.1f %9.1f %s%n",
                     name,
-                    s.sends,
-                    s.latencyMs(50),
-                    s.latencyMs(99),
-                    s.outcomes));
+                    server.sends,
+                    server.latencyMillis(50),
+                    server.latencyMillis(99),
+                    server.outcomes));
         }
 
-        private static void counts(PrintWriter out, String name, Counts c) {
+        private static void printCounts(PrintWriter out, String name, RequestCounts counts) {
             out.printf(
                     "%-18s %9d %9d %9d %9d %9d %9d %9d%n",
-                    name, c.arrived, c.served, c.late, c.refused, c.failed, c.gone, c.sends);
+                    name,
+                    counts.arrived,
+                    counts.onTime,
+                    counts.late,
+                    counts.rejected,
+                    counts.failed,
+                    counts.disconnected,
+                    counts.attempts);
         }
 
-        private static ObjectNode json(Player player, Summary summary) {
-            ObjectNode all = JsonNodeFactory.instance
+        private static ObjectNode toJson(Replayer replayer, CaptureSummary summary) {
+            ObjectNode root = JsonNodeFactory.instance
                     .objectNode()
-                    .put("events", player.events())
-                    .put("spanSeconds", player.span() / 1e9);
-            summary.damages.forEach(all.withArray("damages")::add);
-            ObjectNode classes = all.putObject("classes");
-            summary.classes.forEach((name, c) -> counts(classes.putObject(name), c));
-            ArrayNode spans = all.putArray("spans");
-            summary.spans.forEach((from, c) -> counts(spans.addObject().put("fromMs", from), c));
-            ObjectNode servers = all.putObject("servers");
-            summary.servers.forEach((name, s) -> servers.putObject(name)
-                    .put("sends", s.sends)
-                    .put("p50Ms", s.latencyMs(50))
-                    .put("p99Ms", s.latencyMs(99))
-                    .set("outcomes", longs(s.outcomes)));
-            return all;
+                    .put("events", replayer.replayedEvents())
+                    .put("spanSeconds", replayer.duration() / 1e9);
+            summary.corruptions.forEach(root.withArray("damages")::add);
+            ObjectNode classes = root.putObject("classes");
+            summary.byClass.forEach((name, counts) -> putCounts(classes.putObject(name), counts));
+            ArrayNode spans = root.putArray("spans");
+            summary.byInterval.forEach(
+                    (fromMillis, counts) -> putCounts(spans.addObject().put("fromMs", fromMillis), counts));
+            ObjectNode servers = root.putObject("servers");
+            summary.byEndpoint.forEach((name, server) -> servers.putObject(name)
+                    .put("sends", server.sends)
+                    .put("p50Ms", server.latencyMillis(50))
+                    .put("p99Ms", server.latencyMillis(99))
+                    .set("outcomes", countsToJson(server.outcomes)));
+            return root;
         }
 
-        private static void counts(ObjectNode to, Counts c) {
-            to.put("arrived", c.arrived)
-                    .put("served", c.served)
-                    .put("late", c.late)
-                    .put("refused", c.refused)
-                    .put("failed", c.failed)
-                    .put("gone", c.gone)
-                    .put("attempts", c.sends)
-                    .set("causes", longs(c.causes));
+        private static void putCounts(ObjectNode target, RequestCounts counts) {
+            target.put("arrived", counts.arrived)
+                    .put("served", counts.onTime)
+                    .put("late", counts.late)
+                    .put("refused", counts.rejected)
+                    .put("failed", counts.failed)
+                    .put("gone", counts.disconnected)
+                    .put("attempts", counts.attempts)
+                    .set("causes", countsToJson(counts.causes));
         }
 
-        private static ObjectNode longs(Map<String, Long> counts) {
+        private static ObjectNode countsToJson(Map<String, Long> counts) {
             ObjectNode node = JsonNodeFactory.instance.objectNode();
             counts.forEach(node::put);
             return node;
--- a/cli/src/main/java/weldhitch/cli/CaptureOption.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureOption.java
@@ -11,16 +11,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import weldhitch.capture.format.CaptureEntry;
 import weldhitch.capture.format.CaptureFiles;
-import weldhitch.capture.format.Entry;
 
 /** Parameters shared by all commands that read a capture, and the reading itself. */
 final class CaptureOption {
     /** Exit status where the files can't be read or are no capture. */
-    static final int UNREADABLE = 3;
+    static final int EXIT_UNREADABLE = 3;
 
     @Spec(Spec.Target.MIXEE)
-    private CommandSpec command;
+    private CommandSpec spec;
 
     @Parameters(
             arity = "1..*",
@@ -36,31 +36,31 @@
     }
 
     PrintWriter out() {
-        return command.commandLine().getOut();
+        return spec.commandLine().getOut();
     }
 
     /**
      * Reads all entries, then calls {@code then}; prints one line on standard error where the capture can't
      * be read.
      *
-     * @return the exit status: that of {@code then}, or {@link #UNREADABLE}
+     * @return the exit status: that of {@code then}, or {@link #EXIT_UNREADABLE}
      */
-    Integer read(Consumer<Entry> to, Callable<Integer> then) throws Exception {
+    Integer read(Consumer<CaptureEntry> consumer, Callable<Integer> onSuccess) throws Exception {
         try {
-            CaptureFiles.read(paths, to);
+            CaptureFiles.read(paths, consumer);
         } catch (NoSuchFileException e) {
-            return unreadable(e.getFile() + ": " + (e.getReason() == null ? "is not there" : e.getReason()));
+            return reportUnreadable(e.getFile() + ": " + (e.getReason() == null ? "is not there" : e.getReason()));
         } catch (IOException e) {
-            return unreadable(String.valueOf(e.getMessage()));
+            return reportUnreadable(String.valueOf(e.getMessage()));
         }
-        Integer status = then.call();
+        Integer status = onSuccess.call();
         out().flush();
         return status;
     }
 
-    private int unreadable(String what) {
-        command.commandLine().getErr().println("weldhitch: " + what);
-        command.commandLine().getErr().flush();
-        return UNREADABLE;
+    private int reportUnreadable(String reason) {
+        spec.commandLine().getErr().println("weldhitch: " + reason);
+        spec.commandLine().getErr().flush();
+        return EXIT_UNREADABLE;
     }
 }
--- a/cli/src/main/java/weldhitch/cli/Certs.java
+++ b/cli/src/main/java/weldhitch/cli/CertificateCommands.java
@@ -13,9 +13,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import weldhitch.control.certs.Authority;
-import weldhitch.control.certs.Identity;
-import weldhitch.control.certs.Identity.Role;
+import weldhitch.certificates.CertificateAuthority;
+import weldhitch.certificates.Identity;
+import weldhitch.certificates.Identity.Role;
 
 /**
  * Issues the certificates with which agents and operators authenticate to each other. Existing files are not
@@ -26,21 +26,21 @@
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
         description = "Makes the certificates of a fleet: its authority, agents and operators.")
-final class Certs {
+final class CertificateCommands {
     /** How far validity starts in the past, because clocks of a fleet may differ by some minutes. */
-    private static final Duration EARLIER = Duration.ofMinutes(10);
+    private static final Duration CLOCK_SKEW = Duration.ofMinutes(10);
 
     @Spec
     private CommandSpec spec;
 
     @Command(name = "ca", mixinStandardHelpOptions = true, description = "Makes the fleet's authority: ca.pem, ca.key.")
-    int ca(
-            @Option(names = "--out", required = true, paramLabel = "DIR") Path out,
-            @Option(names = "--fleet", defaultValue = "weldhitch", description = "The fleet's name.") String fleet,
-            @Option(names = "--days", defaultValue = "3650", description = "How long it holds.") int days) {
-        return make(days, (from, until) -> {
-            Authority.create(fleet, from, until).write(out);
-            return out.resolve("ca.pem");
+    int createAuthority(
+            @Option(names = "--out", required = true, paramLabel = "DIR") Path outputDirectory,
+            @Option(names = "--fleet", defaultValue = "weldhitch", description = "The fleet's name.") String fleetName,
+            @Option(names = "--days", defaultValue = "3650", description = "How long it holds.") int validDays) {
+        return issue(validDays, (notBefore, notAfter) -> {
+            CertificateAuthority.create(fleetName, notBefore, notAfter).write(outputDirectory);
+            return outputDirectory.resolve("ca.pem");
         });
     }
 
@@ -48,18 +48,18 @@
             name = "agent",
             mixinStandardHelpOptions = true,
             description = "Makes an agent's certificate: NAME.pem, NAME.key.")
-    int agent(
-            @Option(names = "--ca", required = true, paramLabel = "DIR") Path ca,
-            @Option(names = "--name", required = true) String name,
+    int issueAgentCertificate(
+            @Option(names = "--ca", required = true, paramLabel = "DIR") Path caDirectory,
+            @Option(names = "--name", required = true) String subjectName,
             @Option(names = "--host", required = true, description = "A name or address that it is reached by.")
                     List<String> hosts,
-            @Option(names = "--out", required = true, paramLabel = "DIR") Path out,
-            @Option(names = "--days", defaultValue = "90") int days) {
-        return make(days, (from, until) -> {
-            Authority.read(ca)
-                    .issue(new Identity(null, name), hosts, from, until)
-                    .write(out, name);
-            return out.resolve(name + ".pem");
+            @Option(names = "--out", required = true, paramLabel = "DIR") Path outputDirectory,
+            @Option(names = "--days", defaultValue = "90") int validDays) {
+        return issue(validDays, (notBefore, notAfter) -> {
+            CertificateAuthority.read(caDirectory)
+                    .issue(new Identity(null, subjectName), hosts, notBefore, notAfter)
+                    .write(outputDirectory, subjectName);
+            return outputDirectory.resolve(subjectName + ".pem");
         });
     }
 
@@ -67,42 +67,42 @@
             name = "operator",
             mixinStandardHelpOptions = true,
             description = "Makes an operator's certificate: NAME.pem, NAME.key.")
-    int operator(
-            @Option(names = "--ca", required = true, paramLabel = "DIR") Path ca,
-            @Option(names = "--name", required = true) String name,
+    int issueOperatorCertificate(
+            @Option(names = "--ca", required = true, paramLabel = "DIR") Path caDirectory,
+            @Option(names = "--name", required = true) String subjectName,
             @Option(names = "--role", required = true, description = "viewer, operator or admin.") String role,
-            @Option(names = "--out", required = true, paramLabel = "DIR") Path out,
-            @Option(names = "--days", defaultValue = "30") int days) {
-        return make(days, (from, until) -> {
-            Authority.read(ca)
-                    .issue(new Identity(role(role), name), List.of(), from, until)
-                    .write(out, name);
-            return out.resolve(name + ".pem");
+            @Option(names = "--out", required = true, paramLabel = "DIR") Path outputDirectory,
+            @Option(names = "--days", defaultValue = "30") int validDays) {
+        return issue(validDays, (notBefore, notAfter) -> {
+            CertificateAuthority.read(caDirectory)
+                    .issue(new Identity(role(role), subjectName), List.of(), notBefore, notAfter)
+                    .write(outputDirectory, subjectName);
+            return outputDirectory.resolve(subjectName + ".pem");
         });
     }
 
-    private static Role role(String word) {
+    private static Role role(String roleName) {
         for (Role role : Role.values()) {
-            if (role.name().toLowerCase(Locale.ROOT).equals(word)) {
+            if (role.name().toLowerCase(Locale.ROOT).equals(roleName)) {
                 return role;
             }
         }
-        throw new IllegalArgumentException("--role: \"" + word + "\" is not viewer, operator or admin");
+        throw new IllegalArgumentException("--role: \"" + roleName + "\" is not viewer, operator or admin");
     }
 
     /** Issues and writes one certificate for a validity period; returns its file. */
-    private interface Maker {
-        Path make(Instant from, Instant until) throws IOException, GeneralSecurityException;
+    private interface CertificateIssuer {
+        Path issue(Instant notBefore, Instant notAfter) throws IOException, GeneralSecurityException;
     }
 
-    private int make(int days, Maker maker) {
-        if (days < 1 || days > 36_500) {
-            throw new ParameterException(spec.commandLine(), "--days: " + days + " is not from 1 to 36500");
+    private int issue(int validDays, CertificateIssuer issuer) {
+        if (validDays < 1 || validDays > 36_500) {
+            throw new ParameterException(spec.commandLine(), "--days: " + validDays + " is not from 1 to 36500");
         }
         Instant now = Instant.now();
         try {
-            Path made = maker.make(now.minus(EARLIER), now.plus(Duration.ofDays(days)));
-            spec.commandLine().getOut().println("made " + made + " and its key, for " + days + " days");
+            Path certificateFile = issuer.issue(now.minus(CLOCK_SKEW), now.plus(Duration.ofDays(validDays)));
+            spec.commandLine().getOut().println("made " + certificateFile + " and its key, for " + validDays + " days");
             spec.commandLine().getOut().flush();
             return 0;
         } catch (IllegalArgumentException e) {
--- /dev/null
+++ b/cli/src/main/java/weldhitch/cli/CheckCommand.java
@@ -0,0 +1,57 @@
+package weldhitch.cli;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.PrintWriter;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import weldhitch.routeconfig.ConfigProblem;
+import weldhitch.routeconfig.RouteConfig;
+
+/** Prints all problems of a route configuration. Exit status 0 where a node would load it, 1 where not. */
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description = "Checks an operator file: exit status 0 where a node would take it, 1 where not.")
+final class CheckCommand implements Callable<Integer> {
+    @Mixin
+    private RouteConfigOption input;
+
+    @Override
+    public Integer call() {
+        RouteConfig routeConfig = input.load();
+        PrintWriter out = input.out();
+        if (input.json()) {
+            out.println(toJson(routeConfig).toPrettyString());
+        } else {
+            routeConfig.problems().forEach(out::println);
+            out.println(input.fileName() + ": "
+                    + (routeConfig.isUsable()
+                            ? "sound, " + routeConfig.routeTable().routes().size() + " routes"
+                            : routeConfig.errors().size()
+                                    + (routeConfig.errors().size() == 1 ? " error" : " errors"))
+                    + (input.hasPlatform() ? "" : " (not held against a platform: give --config for that)"));
+        }
+        out.flush();
+        return routeConfig.isUsable() ? 0 : 1;
+    }
+
+    private ObjectNode toJson(RouteConfig routeConfig) {
+        ObjectNode root = JsonNodeFactory.instance.objectNode();
+        root.put("file", input.fileName())
+                .put("usable", routeConfig.isUsable())
+                .put("platformKnown", input.hasPlatform());
+        ArrayNode problems = root.putArray("problems");
+        for (ConfigProblem problem : routeConfig.problems()) {
+            problems.addObject()
+                    .put("line", problem.line())
+                    .put("key", problem.key())
+                    .put("what", problem.description())
+                    .put("instead", problem.remedy())
+                    .put("severity", problem.warning() ? "warning" : "error");
+        }
+        return root;
+    }
+}
--- a/cli/src/main/java/weldhitch/cli/Demo.java
+++ b/cli/src/main/java/weldhitch/cli/DemoCommand.java
@@ -24,7 +24,7 @@
         name = "demo",
         mixinStandardHelpOptions = true,
         description = "Starts a node before stand-in servers on loopback, to be asked with curl.")
-final class Demo implements Callable<Integer> {
+final class DemoCommand implements Callable<Integer> {
     @Option(names = "--port", defaultValue = "8080", description = "Where the node listens; 0 for any free port.")
     private int port;
 
@@ -32,7 +32,7 @@
     private int count;
 
     @Option(names = "--operator", paramLabel = "FILE", description = "The node's operator file.")
-    private Path operator;
+    private Path routeConfigFile;
 
     @Spec
     private CommandSpec spec;
@@ -47,44 +47,51 @@
         if (count < 1 || count > 20) {
             throw new ParameterException(spec.commandLine(), "--servers: " + count + " is not from 1 to 20");
         }
-        Path config = Files.createTempFile("weldhitch-demo", ".json");
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> end(config), "end"));
+        Path configFile = Files.createTempFile("weldhitch-demo", ".json");
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> cleanUp(configFile), "end"));
         try (DemoDiscovery discovery = new DemoDiscovery()) {
-            for (int i = 1; i <= count; i++) {
-                startServer("s" + i, discovery);
+            for (int serverNumber = 1; serverNumber <= count; serverNumber++) {
+                startServer("s" + serverNumber, discovery);
             }
-            Files.writeString(config, config(port, discovery));
-            List<String> serve = new ArrayList<>(List.of("-Xmx64m", "-cp", jar(), "weldhitch.Main", "serve"));
-            if (operator != null) {
-                serve.addAll(List.of("--operator", operator.toString()));
+            Files.writeString(configFile, nodeConfig(port, discovery));
+            List<String> arguments = new ArrayList<>(List.of("-Xmx64m", "-cp", classPath(), "weldhitch.Main", "serve"));
+            if (routeConfigFile != null) {
+                arguments.addAll(List.of("--operator", routeConfigFile.toString()));
             }
-            Process node = start(serve, config);
-            try (BufferedReader log = node.errorReader(StandardCharsets.UTF_8)) {
+            Process nodeProcess = startJvm(arguments, configFile);
+            try (BufferedReader log = nodeProcess.errorReader(StandardCharsets.UTF_8)) {
                 String line = log.readLine();
                 // With port 0 the node logs the port that it got: one looked up here could be taken by then.
-                Matcher listens = Pattern.compile("listens on .*:(\\d+)$").matcher(String.valueOf(line));
-                if (!listens.find()) {
+                Matcher matcher = Pattern.compile("listens on .*:(\\d+)$").matcher(String.valueOf(line));
+                if (!matcher.find()) {
                     System.err.println("weldhitch: the node did not start: " + line);
                     return 1;
                 }
-                String listen = listens.group(1);
+                String nodePort = matcher.group(1);
                 System.out.println("The node listens. A safe request, which may be tried again:");
-                System.out.println("    curl -H 'X-Trace-Id: '$RANDOM$RANDOM http://127.0.0.1:" + listen + "/look-up");
+                System.out.println(
+                        "    curl -H 'X-Trace-Id: '$RANDOM$RANDOM http://127.0.0.1:" + nodePort + "/look-up");
                 System.out.println("An unsafe one, which never runs twice:");
                 System.out.println(
-                        "    curl -H 'X-Trace-Id: '$RANDOM$RANDOM -d cow http://127.0.0.1:" + listen + "/enrol");
+                        "    curl -H 'X-Trace-Id: '$RANDOM$RANDOM -d cow http://127.0.0.1:" + nodePort + "/enrol");
                 System.out.println("Kill a server (kill -9 with its number above) and ask on. Ctrl-C ends it all.");
                 for (line = log.readLine(); line != null; line = log.readLine()) {
                     System.out.println("node: " + line);
                 }
             }
-            return node.waitFor();
+            return nodeProcess.waitFor();
         }
     }
 
     private void startServer(String name, DemoDiscovery discovery) throws IOException {
-        Process server = start(
-                List.of("-Xmx32m", "-Dsun.net.httpserver.nodelay=true", "-cp", jar(), DemoServer.class.getName(), name),
+        Process server = startJvm(
+                List.of(
+                        "-Xmx32m",
+                        "-Dsun.net.httpserver.nodelay=true",
+                        "-cp",
+                        classPath(),
+                        DemoServer.class.getName(),
+                        name),
                 null);
         String address = server.inputReader(StandardCharsets.UTF_8).readLine();
         if (address == null) {
@@ -92,17 +99,17 @@
         }
         discovery.add(name, address);
         // Like a real discovery service, this one notices a failure some time after it.
-        server.onExit().thenRun(() -> discovery.goneSoon(name));
+        server.onExit().thenRun(() -> discovery.scheduleRemoval(name));
         System.out.println("server " + name + " is process " + server.pid() + " on " + address);
     }
 
-    private Process start(List<String> arguments, Path config) throws IOException {
+    private Process startJvm(List<String> arguments, Path configFile) throws IOException {
         List<String> command = new ArrayList<>();
         command.add(ProcessHandle.current().info().command().orElse("java"));
         command.addAll(arguments);
         ProcessBuilder builder = new ProcessBuilder(command);
-        if (config != null) {
-            builder.environment().put("GW_CONFIG", config.toString());
+        if (configFile != null) {
+            builder.environment().put("GW_CONFIG", configFile.toString());
         }
         Process process = builder.start();
         synchronized (processes) {
@@ -111,22 +118,22 @@
         return process;
     }
 
-    private void end(Path config) {
+    private void cleanUp(Path configFile) {
         synchronized (processes) {
             processes.forEach(Process::destroyForcibly);
         }
         try {
-            Files.deleteIfExists(config);
+            Files.deleteIfExists(configFile);
         } catch (IOException e) {
-            System.err.println("weldhitch: left behind: " + config);
+            System.err.println("weldhitch: left behind: " + configFile);
         }
     }
 
-    private static String jar() {
+    private static String classPath() {
         return System.getProperty("java.class.path");
     }
 
-    private static String config(int listen, DemoDiscovery discovery) {
+    private static String nodeConfig(int port, DemoDiscovery discovery) {
         return """
             {"name":"demo-%d","listen":"127.0.0.1:%d","discovery":"%s","seed":"0f","limits":{"sockets":256},
              "known":%s,
@@ -137,6 +144,6 @@
                 "keepaliveS":5.0},
               "rules":{"drainGraceS":2.0,"askEveryS":10.0,"startCapacity":1,"coldS":0,"fallMultiple":3,
                 "overloadForS":3}}}
-            """.formatted(listen, listen, discovery.address(), discovery.wholeList());
+            """.formatted(port, port, discovery.address(), discovery.completeList());
     }
 }
--- a/cli/src/main/java/weldhitch/cli/DemoDiscovery.java
+++ b/cli/src/main/java/weldhitch/cli/DemoDiscovery.java
@@ -21,23 +21,24 @@
  * Thread-safe: the list is guarded by the object's monitor.
  */
 final class DemoDiscovery implements Closeable {
-    private static final Pattern WATCH = Pattern.compile("after=(\\d{1,9})&wait_ms=(\\d{1,5})");
-    private static final int HEARS_AFTER_S = 2;
+    private static final Pattern WATCH_QUERY = Pattern.compile("after=(\\d{1,9})&wait_ms=(\\d{1,5})");
+    private static final int REMOVAL_DELAY_SECONDS = 2;
 
     private final HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-    private final ExecutorService calls = Executors.newCachedThreadPool(DemoDiscovery::daemon);
-    private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(DemoDiscovery::daemon);
-    private final Map<String, String> hosts = new LinkedHashMap<>();
+    private final ExecutorService requestExecutor = Executors.newCachedThreadPool(DemoDiscovery::daemonThread);
+    private final ScheduledExecutorService scheduler =
+            Executors.newSingleThreadScheduledExecutor(DemoDiscovery::daemonThread);
+    private final Map<String, String> addressesByName = new LinkedHashMap<>();
     private int version;
 
     DemoDiscovery() throws IOException {
-        server.setExecutor(calls);
-        server.createContext("/v1/endpoints", this::answer);
+        server.setExecutor(requestExecutor);
+        server.createContext("/v1/endpoints", this::handle);
         server.start();
     }
 
-    private static Thread daemon(Runnable work) {
-        Thread thread = new Thread(work, "discovery");
+    private static Thread daemonThread(Runnable task) {
+        Thread thread = new Thread(task, "discovery");
         thread.setDaemon(true);
         return thread;
     }
@@ -47,62 +48,65 @@
     }
 
     synchronized void add(String name, String address) {
-        hosts.put(name, address);
+        addressesByName.put(name, address);
         version++;
         notifyAll();
     }
 
     /** Removes the server from the list after a delay, as a real discovery service notices a failure late. */
-    void goneSoon(String name) {
-        later.schedule(() -> remove(name), HEARS_AFTER_S, TimeUnit.SECONDS);
+    void scheduleRemoval(String name) {
+        scheduler.schedule(() -> remove(name), REMOVAL_DELAY_SECONDS, TimeUnit.SECONDS);
     }
 
     private synchronized void remove(String name) {
-        hosts.remove(name);
+        addressesByName.remove(name);
         version++;
         notifyAll();
     }
 
-    synchronized String wholeList() {
-        StringBuilder list = new StringBuilder();
-        hosts.forEach((name, address) -> list.append(list.length() == 0 ? "" : ",")
+    synchronized String completeList() {
+        StringBuilder entries = new StringBuilder();
+        addressesByName.forEach((name, address) -> entries.append(entries.length() == 0 ? "" : ",")
                 .append("{\"host\":\"")
                 .append(name)
                 .append("\",\"dial\":\"")
                 .append(address)
                 .append("\",\"site\":\"here\",\"class\":\"demo\",\"block\":1,")
                 .append("\"health\":\"ready\",\"share\":1.0,\"born_ms\":0}"));
-        return "{\"seq\":" + version + ",\"whole\":true,\"hosts\":[" + list + "]}";
+        return "{\"seq\":" + version + ",\"whole\":true,\"hosts\":[" + entries + "]}";
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
-        byte[] body = news(exchange.getRequestURI().getQuery()).getBytes(StandardCharsets.UTF_8);
+    private void handle(HttpExchange exchange) throws IOException {
+        byte[] body = response(exchange.getRequestURI().getQuery()).getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(200, body.length);
         exchange.getResponseBody().write(body);
         exchange.close();
     }
 
-    private synchronized String news(String query) {
-        Matcher watch = WATCH.matcher(query == null ? "" : query);
-        if (!watch.find()) {
-            return wholeList();
+    private synchronized String response(String query) {
+        Matcher matcher = WATCH_QUERY.matcher(query == null ? "" : query);
+        if (!matcher.find()) {
+            return completeList();
         }
-        int known = Integer.parseInt(watch.group(1));
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.min(60_000, Long.parseLong(watch.group(2))));
+        int knownVersion = Integer.parseInt(matcher.group(1));
+        long deadline =
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.min(60_000, Long.parseLong(matcher.group(2))));
         try {
-            for (long left = end - System.nanoTime(); version == known && left > 0; left = end - System.nanoTime()) {
-                TimeUnit.NANOSECONDS.timedWait(this, left);
+            for (long remaining = deadline - System.nanoTime();
+                    version == knownVersion && remaining > 0;
+                    remaining = deadline - System.nanoTime()) {
+                TimeUnit.NANOSECONDS.timedWait(this, remaining);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return version == known ? "{\"seq\":" + version + ",\"whole\":false,\"hosts\":[]}" : wholeList();
+        return version == knownVersion ? "{\"seq\":" + version + ",\"whole\":false,\"hosts\":[]}" : completeList();
     }
 
     @Override
     public void close() {
         server.stop(0);
-        calls.shutdownNow();
-        later.shutdownNow();
+        requestExecutor.shutdownNow();
+        scheduler.shutdownNow();
     }
 }
--- a/cli/src/main/java/weldhitch/cli/DemoServer.java
+++ b/cli/src/main/java/weldhitch/cli/DemoServer.java
@@ -23,10 +23,11 @@
             try (InputStream body = exchange.getRequestBody()) {
                 body.readAllBytes();
             }
-            byte[] answer = (args[0] + " served " + exchange.getRequestMethod() + " " + exchange.getRequestURI() + "\n")
+            byte[] response = (args[0] + " served " + exchange.getRequestMethod() + " " + exchange.getRequestURI()
+                            + "\n")
                     .getBytes(StandardCharsets.UTF_8);
-            exchange.sendResponseHeaders(200, answer.length);
-            exchange.getResponseBody().write(answer);
+            exchange.sendResponseHeaders(200, response.length);
+            exchange.getResponseBody().write(response);
             exchange.close();
         });
         server.start();
--- /dev/null
+++ b/cli/src/main/java/weldhitch/cli/ExplainCommand.java
@@ -0,0 +1,63 @@
+package weldhitch.cli;
+
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.PrintWriter;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import weldhitch.routeconfig.RouteConfig;
+import weldhitch.routeconfig.RouteConfig.Explanation;
+
+/**
+ * Prints which route of a route configuration a request matches and the source of each of its rules. Exit
+ * status 1 where the file has errors.
+ */
+@Command(
+        name = "explain",
+        mixinStandardHelpOptions = true,
+        description = "Says by which route of an operator file a request goes, and who set each of its rules.")
+final class ExplainCommand implements Callable<Integer> {
+    @Mixin
+    private RouteConfigOption input;
+
+    @Option(names = "--method", defaultValue = "GET", description = "GET or POST.")
+    private String method;
+
+    @Option(names = "--path", required = true, description = "The path, such as /book/7/cancel.")
+    private String path;
+
+    @Option(names = "--class", description = "The class; usually the path's first part.")
+    private String requestClass;
+
+    @Override
+    public Integer call() {
+        RouteConfig routeConfig = input.load();
+        PrintWriter out = input.out();
+        if (!routeConfig.isUsable()) {
+            routeConfig.errors().forEach(out::println);
+            out.flush();
+            return 1;
+        }
+        String firstSegment = path.replaceFirst("^/", "").replaceFirst("[/?].*", "");
+        Explanation explanation = routeConfig.explain(requestClass == null ? firstSegment : requestClass, method, path);
+        if (input.json()) {
+            ObjectNode root = JsonNodeFactory.instance.objectNode().put("route", explanation.route());
+            ObjectNode rules = root.putObject("rules");
+            explanation
+                    .rules()
+                    .forEach(rule -> rules.putObject(rule.key())
+                            .put("value", rule.value())
+                            .put("source", rule.source()));
+            out.println(root.toPrettyString());
+        } else {
+            out.println("route: " + (explanation.route() == null ? "none" : explanation.route()));
+            explanation
+                    .rules()
+                    .forEach(rule -> out.printf("  %-16s %-36s %s%n", rule.key(), rule.value(), rule.source()));
+        }
+        out.flush();
+        return 0;
+    }
+}
--- a/cli/src/main/java/weldhitch/cli/OperatorFileOption.java
+++ b/cli/src/main/java/weldhitch/cli/RouteConfigOption.java
@@ -7,15 +7,15 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import weldhitch.decision.Balancing.Settings;
+import weldhitch.decision.settings.BalancerSettings;
 import weldhitch.node.Node;
-import weldhitch.operator.OperatorFile;
+import weldhitch.routeconfig.RouteConfig;
 
 /**
  * Parameters shared by commands that read a route configuration: the file, and optionally the node
  * configuration against whose platform settings it is checked.
  */
-final class OperatorFileOption {
+final class RouteConfigOption {
     @Parameters(paramLabel = "FILE", description = "The operator file.")
     private Path file;
 
@@ -24,7 +24,7 @@
             paramLabel = "FILE",
             description = "A node's configuration (what GW_CONFIG names), "
                     + "for the platform's classes, limits and tenants. Without it they are not checked.")
-    private Path config;
+    private Path nodeConfigFile;
 
     @Option(names = "--json", description = "Write JSON.")
     private boolean json;
@@ -32,28 +32,28 @@
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
 
-    OperatorFile read() {
-        Settings platform = null;
-        if (config != null) {
+    RouteConfig load() {
+        BalancerSettings platformSettings = null;
+        if (nodeConfigFile != null) {
             try {
-                platform = Node.platform(config);
+                platformSettings = Node.platformSettings(nodeConfigFile);
             } catch (IllegalArgumentException e) {
                 throw new ParameterException(spec.commandLine(), "--config: " + e.getMessage(), e);
             }
         }
-        return OperatorFile.read(file, platform);
+        return RouteConfig.read(file, platformSettings);
     }
 
     boolean json() {
         return json;
     }
 
-    String name() {
+    String fileName() {
         return file.toString();
     }
 
-    boolean platformKnown() {
-        return config != null;
+    boolean hasPlatform() {
+        return nodeConfigFile != null;
     }
 
     PrintWriter out() {
--- a/cli/src/main/java/weldhitch/cli/Weldhitch.java
+++ b/cli/src/main/java/weldhitch/cli/Weldhitch.java
@@ -10,25 +10,25 @@
         version = "weldhitch 0.1.0",
         description = "Runs and inspects load-balancing nodes.",
         subcommands = {
-            Demo.class,
-            Check.class,
-            Explain.class,
-            Certs.class,
-            Replay.class,
+            DemoCommand.class,
+            CheckCommand.class,
+            ExplainCommand.class,
+            CertificateCommands.class,
+            ReplayCommand.class,
             WhyCommand.class,
             CaptureCommands.class,
-            LabCommands.class,
-            StewardCommand.class
+            SimulatorCommands.class,
+            CoordinatorCommand.class
         })
 public final class Weldhitch {
     private Weldhitch() {}
 
     /** Runs a command and exits with its status; 2 for invalid arguments. */
     public static void main(String[] args) {
-        System.exit(commands().execute(args));
+        System.exit(commandLine().execute(args));
     }
 
-    static CommandLine commands() {
+    static CommandLine commandLine() {
         return new CommandLine(new Weldhitch());
     }
 }
--- a/cli/src/main/java/weldhitch/cli/WhatIfReport.java
+++ b/cli/src/main/java/weldhitch/cli/WhatIfReport.java
@@ -5,104 +5,110 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.PrintWriter;
 import java.util.Locale;
-import weldhitch.lab.whatif.WhatIf;
-import weldhitch.replay.Player.Difference;
+import weldhitch.replay.Replayer.Divergence;
+import weldhitch.simulator.whatif.WhatIfAnalysis;
 
 /**
  * Formats the result of {@code replay --what-if} and {@code --model} as text or JSON, with measured and
- * modelled figures in separate parts. Immutable; used by {@link Replay}.
+ * modelled figures in separate parts. Immutable; used by {@link ReplayCommand}.
  */
 final class WhatIfReport {
-    private static final int MOST_SHOWN = 3;
+    private static final int MAX_SHOWN_DIFFERENCES = 3;
 
-    private final WhatIf found;
-    private final WhatIf.Result result;
-    private final String tried;
+    private final WhatIfAnalysis analysis;
+    private final WhatIfAnalysis.Result result;
+    private final String alternativeName;
 
-    /** @param tried the name of the alternative in the output */
-    WhatIfReport(WhatIf found, WhatIf.Result result, String tried) {
-        this.found = found;
+    /** @param alternativeName the name of the alternative in the output */
+    WhatIfReport(WhatIfAnalysis analysis, WhatIfAnalysis.Result result, String alternativeName) {
+        this.analysis = analysis;
         this.result = result;
-        this.tried = tried;
+        this.alternativeName = alternativeName;
     }
 
-    void text(PrintWriter out) {
+    void printText(PrintWriter out) {
         out.printf(
                 "Measured, by the captured events: from %d snapshots, decisions part %d times by %s%n",
-                found.beginnings(), found.partings().size(), tried);
-        for (Difference each : found.partings().stream().limit(MOST_SHOWN).toList()) {
-            out.printf("event %d: %s%n", each.number(), each.what());
-            if (each.told() != null) {
-                out.println("  told:     " + each.told().event());
-                out.println("  captured: " + each.told().actions());
-                out.println("  here:     " + each.replayed());
+                analysis.restores(), analysis.divergences().size(), alternativeName);
+        for (Divergence difference :
+                analysis.divergences().stream().limit(MAX_SHOWN_DIFFERENCES).toList()) {
+            out.printf("event %d: %s%n", difference.eventNumber(), difference.description());
+            if (difference.captured() != null) {
+                out.println("  told:     " + difference.captured().event());
+                out.println("  captured: " + difference.captured().actions());
+                out.println("  here:     " + difference.replayedActions());
             }
         }
         out.printf(
                 Locale.ROOT,
                 "%nModelled, over %d seeds: servers answer as they did in the capture at the load they get, callers come as captured%n",
-                result.seeds());
-        result.classes().forEach(line -> out.println("  " + line));
+                result.seedCount());
+        result.modelDescriptions().forEach(line -> out.println("  " + line));
         out.printf(
                 "%-14s %-9s %10s %10s %10s   %s%n",
                 "class",
                 "",
                 "captured",
                 "modelled",
-                tried.length() > 10 ? "tried" : tried,
+                alternativeName.length() > 10 ? "tried" : alternativeName,
                 "change, at 95% confidence");
-        String before = "";
-        for (WhatIf.Line line : result.lines()) {
+        String previousClass = "";
+        for (WhatIfAnalysis.MetricLine line : result.lines()) {
             out.printf(
                     Locale.ROOT,
                     "%-14s %-9s %10.4f %10.4f %10.4f   %s%n",
-                    line.requestClass().equals(before) ? "" : line.requestClass(),
-                    line.figure(),
+                    line.requestClass().equals(previousClass) ? "" : line.requestClass(),
+                    line.metric(),
                     line.measured(),
-                    line.captured(),
-                    line.other(),
-                    line.change().differs()
+                    line.baseline(),
+                    line.alternative(),
+                    line.change().isSignificant()
                             ? String.format(
                                     Locale.ROOT,
                                     "%+.4f to %+.4f",
                                     line.change().low(),
                                     line.change().high())
                             : "none shown");
-            before = line.requestClass();
+            previousClass = line.requestClass();
         }
         out.println(
                 "How far \"modelled\" is from \"captured\" is the model's error: a change smaller than that says little.");
     }
 
-    ObjectNode json() {
-        ObjectNode all = JsonNodeFactory.instance.objectNode();
-        ObjectNode measured = all.put("tried", tried).putObject("measured");
-        measured.put("snapshots", found.beginnings())
-                .put("partings", found.partings().size());
-        ArrayNode first = measured.putArray("first");
-        for (Difference each : found.partings().stream().limit(MOST_SHOWN).toList()) {
-            ObjectNode one = first.addObject().put("event", each.number()).put("what", each.what());
-            if (each.told() != null) {
-                one.put("told", each.told().event().toString())
-                        .put("captured", each.told().actions().toString())
-                        .put("here", each.replayed().toString());
+    ObjectNode toJson() {
+        ObjectNode root = JsonNodeFactory.instance.objectNode();
+        ObjectNode measured = root.put("tried", alternativeName).putObject("measured");
+        measured.put("snapshots", analysis.restores())
+                .put("partings", analysis.divergences().size());
+        ArrayNode differences = measured.putArray("first");
+        for (Divergence difference :
+                analysis.divergences().stream().limit(MAX_SHOWN_DIFFERENCES).toList()) {
+            ObjectNode node = differences
+                    .addObject()
+                    .put("event", difference.eventNumber())
+                    .put("what", difference.description());
+            if (difference.captured() != null) {
+                node.put("told", difference.captured().event().toString())
+                        .put("captured", difference.captured().actions().toString())
+                        .put("here", difference.replayedActions().toString());
             }
         }
         ObjectNode modelled =
-                all.putObject("modelled").put("seeds", result.seeds()).put("stretches", result.stretches());
-        result.classes().forEach(modelled.putArray("model")::add);
-        ArrayNode lines = modelled.putArray("figures");
-        for (WhatIf.Line line : result.lines()) {
-            lines.addObject()
+                root.putObject("modelled").put("seeds", result.seedCount()).put("stretches", result.segmentCount());
+        result.modelDescriptions().forEach(modelled.putArray("model")::add);
+        ArrayNode statistics = modelled.putArray("figures");
+        for (WhatIfAnalysis.MetricLine line : result.lines()) {
+            statistics
+                    .addObject()
                     .put("class", line.requestClass())
-                    .put("figure", line.figure())
+                    .put("figure", line.metric())
                     .put("captured", line.measured())
-                    .put("modelled", line.captured())
-                    .put("tried", line.other())
+                    .put("modelled", line.baseline())
+                    .put("tried", line.alternative())
                     .put("low", line.change().low())
                     .put("high", line.change().high())
-                    .put("differs", line.change().differs());
+                    .put("differs", line.change().isSignificant());
         }
-        return all;
+        return root;
     }
 }
--- a/cli/src/main/java/weldhitch/cli/WhyCommand.java
+++ b/cli/src/main/java/weldhitch/cli/WhyCommand.java
@@ -13,9 +13,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
-import weldhitch.decision.Watch.Drawn;
-import weldhitch.replay.Explanation;
-import weldhitch.replay.Player;
+import weldhitch.decision.balancing.DecisionListener.PickTrace;
+import weldhitch.replay.DecisionExplainer;
+import weldhitch.replay.Replayer;
 
 /**
  * Explains, by replaying a capture, why a request went to its endpoints or why requests avoided an
@@ -29,7 +29,7 @@
                         + "again. Exit status 1 where it holds nothing of that, 3 where it can't be read.")
 final class WhyCommand implements Callable<Integer> {
     @Spec
-    private CommandSpec command;
+    private CommandSpec spec;
 
     @Mixin
     private CaptureOption capture;
@@ -42,84 +42,85 @@
             paramLabel = "TIME",
             description = "With --server: the last draw at this time or before, "
                     + "such as 2026-12-01T09:30:00.250Z; the end of the capture where not given.")
-    private String at;
+    private String time;
 
     /** The request or the server to explain: exactly one of the two. */
     private static final class Subject {
         @Option(names = "--request", paramLabel = "ID", description = "A request's X-Trace-Id.")
-        private String request;
+        private String requestId;
 
         @Option(names = "--server", paramLabel = "ID", description = "A server by its name in the list.")
-        private String server;
+        private String serverId;
     }
 
     @Override
     public Integer call() throws Exception {
-        Explanation why = subject.request != null
-                ? Explanation.ofRequest(subject.request)
-                : Explanation.ofServer(subject.server, time());
-        Player player = new Player(why, false, why);
-        return capture.read(player, () -> {
+        DecisionExplainer explanation = subject.requestId != null
+                ? DecisionExplainer.forRequest(subject.requestId)
+                : DecisionExplainer.forEndpoint(subject.serverId, atNanos());
+        Replayer replayer = new Replayer(explanation, false, explanation);
+        return capture.read(replayer, () -> {
             if (capture.json()) {
-                capture.out().println(json(why).toPrettyString());
-            } else if (why.steps().isEmpty()) {
-                capture.out().println("nothing of it in " + player.events() + " events");
+                capture.out().println(toJson(explanation).toPrettyString());
+            } else if (explanation.steps().isEmpty()) {
+                capture.out().println("nothing of it in " + replayer.replayedEvents() + " events");
             } else {
-                capture.out().print(why.text());
+                capture.out().print(explanation.text());
             }
-            if (!player.differences().isEmpty()) {
+            if (!replayer.divergences().isEmpty()) {
                 capture.out()
                         .println("This build decides otherwise than the one captured (see weldhitch replay): "
                                 + "what is said above is what this build thinks.");
             }
-            return why.steps().isEmpty() ? 1 : 0;
+            return explanation.steps().isEmpty() ? 1 : 0;
         });
     }
 
-    private long time() {
-        if (at == null) {
+    private long atNanos() {
+        if (time == null) {
             return Long.MAX_VALUE;
         }
         try {
-            Instant instant = Instant.parse(at);
+            Instant instant = Instant.parse(time);
             return instant.getEpochSecond() * 1_000_000_000L + instant.getNano();
         } catch (DateTimeParseException e) {
             throw new ParameterException(
-                    command.commandLine(),
-                    "--at: \"" + at + "\" is no time, expected one such as 2026-12-01T09:30:00.250Z");
+                    spec.commandLine(),
+                    "--at: \"" + time + "\" is no time, expected one such as 2026-12-01T09:30:00.250Z");
         }
     }
 
-    private static ArrayNode json(Explanation why) {
-        ArrayNode all = JsonNodeFactory.instance.arrayNode();
-        for (Explanation.Step step : why.steps()) {
-            ObjectNode one = all.addObject().put("at", step.at()).put("what", step.what());
-            if (step.draw() != null) {
-                draw(one.putObject("draw"), step.draw());
+    private static ArrayNode toJson(DecisionExplainer explanation) {
+        ArrayNode root = JsonNodeFactory.instance.arrayNode();
+        for (DecisionExplainer.Step step : explanation.steps()) {
+            ObjectNode node = root.addObject().put("at", step.timestamp()).put("what", step.description());
+            if (step.trace() != null) {
+                putPickTrace(node.putObject("draw"), step.trace());
             }
         }
-        return all;
+        return root;
     }
 
-    private static void draw(ObjectNode to, Drawn draw) {
-        to.put("attempt", draw.attempt())
-                .put("best", draw.best())
-                .put("first", draw.first())
-                .put("second", draw.second())
-                .put("chosen", draw.chosen());
-        ArrayNode candidates = to.putArray("candidates");
-        draw.candidates()
-                .forEach(c -> candidates
+    private static void putPickTrace(ObjectNode target, PickTrace pickTrace) {
+        target.put("attempt", pickTrace.attempt())
+                .put("best", pickTrace.lowestMean())
+                .put("first", pickTrace.firstDraw())
+                .put("second", pickTrace.secondDraw())
+                .put("chosen", pickTrace.chosen());
+        ArrayNode candidates = target.putArray("candidates");
+        pickTrace
+                .candidates()
+                .forEach(candidate -> candidates
                         .addObject()
-                        .put("server", c.server())
-                        .put("zone", c.zone())
-                        .put("out", c.out().label())
-                        .put("windowMean", c.windowMean())
-                        .put("drawMean", c.drawMean())
-                        .put("failureWeight", c.failureWeight())
-                        .put("ramp", c.ramp())
-                        .put("credit", c.credit())
-                        .put("outstanding", c.outstanding())
-                        .put("weight", c.chance()));
+                        .put("server", candidate.endpointId())
+                        .put("zone", candidate.zone())
+                        .put("out", candidate.exclusion().label())
+                        .put("windowMean", candidate.windowMean())
+                        .put("drawMean", candidate.pickMean())
+                        .put("failureWeight", candidate.healthFactor())
+                        .put("ramp", candidate.slowStartFactor())
+                        .put("credit", candidate.slowStartCredit())
+                        .put("outstanding", candidate.outstanding())
+                        .put("weight", candidate.weight()));
     }
 }
--- a/cli/src/test/java/weldhitch/HouseTest.java
+++ b/cli/src/test/java/weldhitch/ArchitectureTest.java
@@ -3,8 +3,11 @@
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.tngtech.archunit.core.domain.JavaClass;
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.domain.PackageMatcher;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.junit.AnalyzeClasses;
 import com.tngtech.archunit.junit.ArchTest;
@@ -14,36 +17,36 @@
 
 /** Architecture rules, checked by ArchUnit: which packages may depend on which. */
 @AnalyzeClasses(packages = "weldhitch", importOptions = ImportOption.DoNotIncludeTests.class)
-class HouseTest {
-    private static final String[] DECISIONS = {
+class ArchitectureTest {
+    private static final String[] PURE_PACKAGES = {
         "weldhitch.decision..",
-        "weldhitch.control.order..",
-        "weldhitch.control.fleet..",
+        "weldhitch.consensus",
+        "weldhitch.rollout..",
         "weldhitch.capture.policy..",
         "weldhitch.replay.policy..",
         "weldhitch.client.policy..",
         "weldhitch.fleet.activation..",
         "weldhitch.fleet.locality..",
-        "weldhitch.steward.core.."
+        "weldhitch.coordinator.core.."
     };
 
     @ArchTest
-    static final ArchRule decisionsUseCollectionsAndMathsAlone = classes()
+    static final ArchRule pureCodeDependsOnCollectionsAndMathsAlone = classes()
             .that()
-            .resideInAnyPackage(DECISIONS)
+            .resideInAnyPackage(PURE_PACKAGES)
             .should()
             .onlyDependOnClassesThat()
             .resideInAnyPackage(
                     "weldhitch.decision..",
-                    "weldhitch.control.order..",
-                    "weldhitch.control.fleet..",
+                    "weldhitch.consensus",
+                    "weldhitch.rollout..",
                     "weldhitch.capture.policy..",
                     "weldhitch.replay.policy..",
                     "weldhitch.client.policy..",
                     "weldhitch.fleet.activation..",
                     "weldhitch.fleet.error..",
                     "weldhitch.fleet.locality..",
-                    "weldhitch.steward.core..",
+                    "weldhitch.coordinator.core..",
                     "org.apache.commons.rng..",
                     "org.apache.commons.codec.digest..",
                     "java.nio.charset",
@@ -55,9 +58,9 @@
                     "java.util.stream");
 
     @ArchTest
-    static final ArchRule decisionsAskNoClockAndStartNoThread = noClasses()
+    static final ArchRule pureCodeReadsNoClockAndStartsNoThread = noClasses()
             .that()
-            .resideInAnyPackage(DECISIONS)
+            .resideInAnyPackage(PURE_PACKAGES)
             .should()
             .dependOnClassesThat()
             .haveFullyQualifiedName("java.lang.Thread")
@@ -79,7 +82,7 @@
 
     /** Hash order may differ between runs, and snapshots and replays must not depend on it. */
     @ArchTest
-    static final ArchRule theBalancerKeepsNothingInHashOrder = noClasses()
+    static final ArchRule balancerUsesNoHashOrderedCollections = noClasses()
             .that()
             .resideInAPackage("weldhitch.decision..")
             .should()
@@ -91,37 +94,62 @@
             .haveFullyQualifiedName("java.util.SplittableRandom");
 
     @ArchTest
-    static final ArchRule noCirclesBetweenPackages =
+    static final ArchRule packagesAreFreeOfCycles =
             slices().matching("weldhitch.(*)..").should().beFreeOfCycles();
 
     @ArchTest
-    static final ArchRule noCirclesWithinControl =
-            slices().matching("weldhitch.control.(*)..").should().beFreeOfCycles();
+    static final ArchRule consensusDoesNotDependOnItsStorage = noClasses()
+            .that()
+            .resideInAPackage("weldhitch.consensus")
+            .should()
+            .dependOnClassesThat()
+            .resideInAPackage("weldhitch.consensus.durable..");
+
+    @ArchTest
+    static final ArchRule coordinatorPackagesAreFreeOfCycles =
+            slices().matching("weldhitch.coordinator.(*)..").should().beFreeOfCycles();
+
+    @ArchTest
+    static final ArchRule decisionPackagesAreFreeOfCycles =
+            slices().matching("weldhitch.decision.(*)..").should().beFreeOfCycles();
+
+    @ArchTest
+    static final ArchRule fleetPackagesAreFreeOfCycles =
+            slices().matching("weldhitch.fleet.(*)..").should().beFreeOfCycles();
+
+    /** A rule for a package that holds no class would hold of nothing, without a word. */
+    @ArchTest
+    static void everyPurePackageHoldsClasses(JavaClasses classes) {
+        for (String pattern : PURE_PACKAGES) {
+            assertTrue(classes.stream().anyMatch(c -> PackageMatcher.of(pattern).matches(c.getPackageName())), pattern);
+        }
+    }
 
     /** A node loads Jackson's databind, its heavy part, only when a route configuration is given. */
     @ArchTest
-    static final ArchRule nodesReadOnlyTheOperatorFileAsATree = noClasses()
+    static final ArchRule nodesDoNotUseJacksonDatabind = noClasses()
             .that()
-            .resideInAnyPackage("weldhitch.node..", "weldhitch.wire..", "weldhitch.decision..")
+            .resideInAnyPackage("weldhitch.node..", "weldhitch.adapter..", "weldhitch.decision..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("com.fasterxml.jackson.databind..");
 
     /** Code that only tools need is neither loaded by a node nor on its class path. */
     @ArchTest
-    static final ArchRule nodesDoNotPlayCaptures = noClasses()
+    static final ArchRule nodesDoNotDependOnReplay = noClasses()
             .that()
-            .resideInAnyPackage("weldhitch.node..", "weldhitch.wire..", "weldhitch.operator..", "weldhitch.capture..")
+            .resideInAnyPackage(
+                    "weldhitch.node..", "weldhitch.adapter..", "weldhitch.routeconfig..", "weldhitch.capture..")
             .should()
             .dependOnClassesThat()
             .resideInAPackage("weldhitch.replay..");
 
     @ArchTest
-    static final ArchRule noCirclesWithinCapture =
+    static final ArchRule capturePackagesAreFreeOfCycles =
             slices().matching("weldhitch.capture.(*)..").should().beFreeOfCycles();
 
     @ArchTest
-    static final ArchRule theTestkitIsForTests = noClasses()
+    static final ArchRule mainCodeDoesNotDependOnTestkit = noClasses()
             .that()
             .resideOutsideOfPackage("weldhitch.testkit..")
             .should()
@@ -133,7 +161,7 @@
      * interfaces.
      */
     @ArchTest
-    static final ArchRule noCirclesBetweenTheNodesClasses = slices().assignedFrom(new SliceAssignment() {
+    static final ArchRule nodeClassesAreFreeOfCycles = slices().assignedFrom(new SliceAssignment() {
                 @Override
                 public SliceIdentifier getIdentifierOf(JavaClass javaClass) {
                     String name = javaClass.getName().replaceFirst("\\$.*", "");
