--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -15,67 +15,69 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import weldhitch.testkit.Tests;
-import weldhitch.testkit.fleet.Callers.Asked;
+import weldhitch.testkit.TestSupport;
 import weldhitch.testkit.fleet.Fault;
+import weldhitch.testkit.fleet.LoadGenerator.RequestRecord;
 
 /** End-to-end test of the activation of route versions by processes of nodes and coordinators, under faults. */
 class ActivationIT {
     private static final int NODES = Integer.getInteger("weldhitch.fleet.nodes", 12);
-    private static final int STEWARDS = Integer.getInteger("weldhitch.fleet.stewards", 3);
+    private static final int COORDINATORS = Integer.getInteger("weldhitch.fleet.stewards", 3);
     /**
      * Tolerated clock error between processes on a busy machine that synchronise over loopback, in
      * nanoseconds.
      */
-    private static final long ERROR = 60_000_000L;
+    private static final long MAX_CLOCK_ERROR = 60_000_000L;
 
     @Test
-    void allNodesSwitchAtOneMomentThoughTheLeaderDiesOrStandsStill() throws Exception {
-        try (StewardedFleet fleet = new StewardedFleet(NODES, STEWARDS, 3, null)) {
-            fleet.startStewards();
+    void allNodesSwitchTogetherThoughTheLeaderIsKilledOrPaused() throws Exception {
+        try (CoordinatedFleet fleet = new CoordinatedFleet(NODES, COORDINATORS, 3, null)) {
+            fleet.startCoordinators();
             fleet.start(Math.max(10, NODES));
-            fleet.awaitReady();
+            fleet.awaitAllReady();
             // 1: no fault.
-            fleet.lay(fleet.leader(), StewardedFleet.version(2500));
-            fleet.awaitInForce(1);
+            fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2500));
+            fleet.awaitActive(1);
             // 2: the leader is killed once all have voted, and is restarted later.
             String leader = fleet.leader();
-            String other = fleet.stewards().stream()
+            String follower = fleet.coordinators().stream()
                     .filter(s -> !s.equals(leader))
                     .findFirst()
                     .orElseThrow();
-            int from = fleet.chronicle.entries().size();
-            fleet.lay(other, StewardedFleet.version(2600));
-            fleet.chronicle.await(from, 20, e -> e.what().contains("version 2 is committed"));
+            int fromEntry = fleet.eventLog.entries().size();
+            fleet.submit(follower, CoordinatedFleet.routeVersion(2600));
+            fleet.eventLog.awaitEntry(fromEntry, 20, e -> e.event().contains("version 2 is committed"));
             fleet.processes.get(leader).signal("KILL");
-            fleet.chronicle.await(
-                    from, 20, e -> !e.who().equals(leader) && e.what().contains("leads, followed by"));
+            fleet.eventLog.awaitEntry(
+                    fromEntry, 20, e -> !e.source().equals(leader) && e.event().contains("leads, followed by"));
             fleet.processes.get(leader).start();
-            fleet.awaitInForce(2);
+            fleet.awaitActive(2);
             // 3: the leader is suspended after the submission until another one leads, and resumes with
             // stale state.
-            String next = fleet.leader();
-            from = fleet.chronicle.entries().size();
-            fleet.lay(
-                    fleet.stewards().stream()
-                            .filter(s -> !s.equals(next))
+            String pausedLeader = fleet.leader();
+            fromEntry = fleet.eventLog.entries().size();
+            fleet.submit(
+                    fleet.coordinators().stream()
+                            .filter(s -> !s.equals(pausedLeader))
                             .findFirst()
                             .orElseThrow(),
-                    StewardedFleet.version(2700));
-            fleet.chronicle.await(from, 20, e -> e.what().contains("version 3"));
-            fleet.processes.get(next).signal("STOP");
-            fleet.chronicle.await(
-                    from, 20, e -> !e.who().equals(next) && e.what().contains("leads, followed by"));
-            fleet.processes.get(next).signal("CONT");
-            fleet.awaitInForce(3);
-            List<String> broken = fleet.judge(false);
-            assertEquals(List.of(), broken, fleet.chronicle.last(80));
+                    CoordinatedFleet.routeVersion(2700));
+            fleet.eventLog.awaitEntry(fromEntry, 20, e -> e.event().contains("version 3"));
+            fleet.processes.get(pausedLeader).signal("STOP");
+            fleet.eventLog.awaitEntry(
+                    fromEntry,
+                    20,
+                    e -> !e.source().equals(pausedLeader) && e.event().contains("leads, followed by"));
+            fleet.processes.get(pausedLeader).signal("CONT");
+            fleet.awaitActive(3);
+            List<String> violations = fleet.stopAndCheckInvariants(false);
+            assertEquals(List.of(), violations, fleet.eventLog.tail(80));
             for (int version = 1; version <= 3; version++) {
                 long overlap = fleet.overlap(version - 1, version);
                 assertTrue(
-                        overlap <= ERROR,
-                        "version " + version + ": overlap " + overlap / 1e6 + " ms\n" + fleet.chronicle.last(120));
-                List<long[]> switches = fleet.switches(version - 1, version);
+                        overlap <= MAX_CLOCK_ERROR,
+                        "version " + version + ": overlap " + overlap / 1e6 + " ms\n" + fleet.eventLog.tail(120));
+                List<long[]> switches = fleet.switchIntervals(version - 1, version);
                 System.out.println(String.format(
                         Locale.ROOT,
                         "version %d: %d nodes; overlap %.1f ms; first new answers within %.1f ms",
@@ -89,11 +91,12 @@
                                                 .orElse(0))
                                 / 1e6));
             }
-            List<Asked> asked = fleet.callers.asked();
-            System.out.println("asked " + asked.size() + ", refused "
-                    + asked.stream().filter(Asked::refused).count());
+            List<RequestRecord> requests = fleet.loadGenerator.requests();
+            System.out.println("asked " + requests.size() + ", refused "
+                    + requests.stream().filter(RequestRecord::isRejected).count());
             assertTrue(
-                    asked.stream().noneMatch(a -> a.unsafe() && a.refused()), "bookings were not touched by any of it");
+                    requests.stream().noneMatch(request -> request.unsafe() && request.isRejected()),
+                    "bookings were not touched by any of it");
         }
     }
 
@@ -103,58 +106,61 @@
      * that know the activation time switch, bookings continue, and all end with the latest version.
      */
     @Test
-    void stewardsThatAreGoneOrCutOffTakeNothingFromServiceThatIsNotInDoubt() throws Exception {
-        try (StewardedFleet fleet = new StewardedFleet(4, 3, 2, null)) {
-            fleet.startStewards();
+    void killedOrPartitionedCoordinatorsDoNotAffectUnchangedRoutes() throws Exception {
+        try (CoordinatedFleet fleet = new CoordinatedFleet(4, 3, 2, null)) {
+            fleet.startCoordinators();
             fleet.start(15);
-            fleet.awaitReady();
-            fleet.lay(fleet.leader(), StewardedFleet.version(2500));
-            fleet.awaitInForce(1);
-            int from = fleet.chronicle.entries().size();
-            fleet.lay(fleet.leader(), StewardedFleet.version(2600));
+            fleet.awaitAllReady();
+            fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2500));
+            fleet.awaitActive(1);
+            int fromEntry = fleet.eventLog.entries().size();
+            fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2600));
             for (String node : fleet.nodes.keySet()) {
-                fleet.chronicle.await(
-                        from, 20, e -> e.who().equals(node) && e.what().contains("version 2 takes effect in"));
+                fleet.eventLog.awaitEntry(
+                        fromEntry, 20, e -> e.source().equals(node) && e.event().contains("version 2 takes effect in"));
             }
-            for (String steward : fleet.stewards()) {
-                fleet.processes.get(steward).signal("KILL");
+            for (String coordinator : fleet.coordinators()) {
+                fleet.processes.get(coordinator).signal("KILL");
             }
-            long killed = fleet.chronicle.now();
+            long killedAt = fleet.eventLog.elapsedNanos();
             // No coordinator is running, and all nodes switch.
-            Tests.await(() -> fleet.versionsSince(killed).values().stream()
+            TestSupport.await(() -> fleet.versionsSince(killedAt).values().stream()
                             .filter(v -> v == 2)
                             .count()
                     == 4);
-            Path log = fleet.directoryOf("s2").resolve("steward.log");
-            try (FileChannel torn = FileChannel.open(log, StandardOpenOption.WRITE)) {
-                torn.truncate(torn.size() - 3);
+            Path stateLog = fleet.coordinatorDirectory("s2").resolve("steward.log");
+            try (FileChannel stateLogChannel = FileChannel.open(stateLog, StandardOpenOption.WRITE)) {
+                stateLogChannel.truncate(stateLogChannel.size() - 3);
             }
-            fleet.startStewards();
-            fleet.awaitInForce(2);
+            fleet.startCoordinators();
+            fleet.awaitActive(2);
             String leader = fleet.leader();
-            List<Fault> cut = fleet.stewards().stream()
+            List<Fault> partition = fleet.coordinators().stream()
                     .filter(s -> !s.equals(leader))
                     .flatMap(s -> Stream.of(
-                            new Fault(0, Fault.Kind.CUT, leader + ">" + s, 4000, 0),
-                            new Fault(0, Fault.Kind.CUT, s + ">" + leader, 4000, 0)))
+                            new Fault(0, Fault.Kind.RESET, leader + ">" + s, 4000, 0),
+                            new Fault(0, Fault.Kind.RESET, s + ">" + leader, 4000, 0)))
                     .toList();
-            Thread lays = Tests.daemon(() -> {
-                fleet.chronicle.await(
-                        0, 30, e -> e.who().equals("fault") && e.what().contains("begins"));
-                fleet.lay(leader, StewardedFleet.version(2700));
+            Thread submitter = TestSupport.startDaemon(() -> {
+                fleet.eventLog.awaitEntry(
+                        0, 30, e -> e.source().equals("fault") && e.event().contains("begins"));
+                fleet.submit(leader, CoordinatedFleet.routeVersion(2700));
             });
-            fleet.faults.play(cut);
-            lays.join(20_000);
-            fleet.awaitInForce(3);
-            assertEquals(List.of(), fleet.judge(false), fleet.chronicle.last(100));
+            fleet.faultInjector.runSchedule(partition);
+            submitter.join(20_000);
+            fleet.awaitActive(3);
+            assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(100));
             long overlap = fleet.worstOverlap();
-            assertTrue(overlap <= ERROR, "overlap " + overlap / 1e6 + " ms\n" + fleet.chronicle.last(150));
+            assertTrue(overlap <= MAX_CLOCK_ERROR, "overlap " + overlap / 1e6 + " ms\n" + fleet.eventLog.tail(150));
             assertTrue(
-                    fleet.callers.asked().stream().noneMatch(a -> a.unsafe() && a.status() != 200),
+                    fleet.loadGenerator.requests().stream()
+                            .noneMatch(request -> request.unsafe() && request.status() != 200),
                     "bookings were touched");
             System.out.println("stewards killed, torn and cut off: asked "
-                    + fleet.callers.asked().size() + ", refused "
-                    + fleet.callers.asked().stream().filter(Asked::refused).count() + ", overlap " + overlap / 1e6
+                    + fleet.loadGenerator.requests().size() + ", refused "
+                    + fleet.loadGenerator.requests().stream()
+                            .filter(RequestRecord::isRejected)
+                            .count() + ", overlap " + overlap / 1e6
                     + " ms");
         }
     }
@@ -164,39 +170,44 @@
      * the next one, before the outcome, and is restarted.
      */
     @Test
-    void aNodeStoppedAcrossTheMomentAndOneRestartedWithItsVoteOut() throws Exception {
-        try (StewardedFleet fleet = new StewardedFleet(5, 3, 2, null)) {
-            fleet.startStewards();
+    void nodePausedAcrossActivationAndNodeRestartedWithAVoteOutServeOneVersion() throws Exception {
+        try (CoordinatedFleet fleet = new CoordinatedFleet(5, 3, 2, null)) {
+            fleet.startCoordinators();
             fleet.start(12);
-            fleet.awaitReady();
-            fleet.lay(fleet.leader(), StewardedFleet.version(2500));
-            fleet.awaitInForce(1);
-            int from = fleet.chronicle.entries().size();
-            fleet.lay(fleet.leader(), StewardedFleet.version(2600));
-            fleet.chronicle.await(
-                    from, 20, e -> e.who().equals("n1") && e.what().contains("version 2 takes effect in"));
+            fleet.awaitAllReady();
+            fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2500));
+            fleet.awaitActive(1);
+            int fromEntry = fleet.eventLog.entries().size();
+            fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2600));
+            fleet.eventLog.awaitEntry(
+                    fromEntry, 20, e -> e.source().equals("n1") && e.event().contains("version 2 takes effect in"));
             // It knows the activation time but is suspended when it passes.
-            fleet.faults.play(List.of(new Fault(0, Fault.Kind.STOP, "n1", 3500, 0)));
-            long back = fleet.chronicle.now();
-            fleet.awaitInForce(2);
+            fleet.faultInjector.runSchedule(List.of(new Fault(0, Fault.Kind.STOP, "n1", 3500, 0)));
+            long resumedAt = fleet.eventLog.elapsedNanos();
+            fleet.awaitActive(2);
             assertTrue(
-                    fleet.callers.asked().stream()
-                            .filter(a -> a.node().equals("n1") && !a.unsafe() && a.status() == 200 && a.sentAt() > back)
-                            .allMatch(a -> "2".equals(a.version())),
+                    fleet.loadGenerator.requests().stream()
+                            .filter(request -> request.node().equals("n1")
+                                    && !request.unsafe()
+                                    && request.status() == 200
+                                    && request.sentAt() > resumedAt)
+                            .allMatch(request -> "2".equals(request.routeVersion())),
                     "it goes on by the old version");
-            int next = fleet.chronicle.entries().size();
-            fleet.lay(fleet.leader(), StewardedFleet.version(2700));
-            fleet.chronicle.await(
-                    next, 20, e -> e.who().equals("n2") && e.what().contains("version 3 is prepared"));
-            fleet.faults.play(List.of(new Fault(0, Fault.Kind.KILL, "n2", 1500, 0)));
-            fleet.awaitRest();
-            assertEquals(List.of(), fleet.judge(false), fleet.chronicle.last(100));
+            int fromNextEntry = fleet.eventLog.entries().size();
+            fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2700));
+            fleet.eventLog.awaitEntry(
+                    fromNextEntry, 20, e -> e.source().equals("n2") && e.event().contains("version 3 is prepared"));
+            fleet.faultInjector.runSchedule(List.of(new Fault(0, Fault.Kind.KILL, "n2", 1500, 0)));
+            fleet.awaitStable();
+            assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(100));
             long overlap = fleet.worstOverlap();
-            assertTrue(overlap <= ERROR, "overlap " + overlap / 1e6 + " ms\n" + fleet.chronicle.last(150));
-            System.out.println("stopped across the moment, restarted with a vote out: in force " + fleet.inForce()
+            assertTrue(overlap <= MAX_CLOCK_ERROR, "overlap " + overlap / 1e6 + " ms\n" + fleet.eventLog.tail(150));
+            System.out.println("stopped across the moment, restarted with a vote out: in force " + fleet.activeVersion()
                     + ", overlap " + overlap / 1e6 + " ms, refused "
-                    + fleet.callers.asked().stream().filter(Asked::refused).count() + " of "
-                    + fleet.callers.asked().size());
+                    + fleet.loadGenerator.requests().stream()
+                            .filter(RequestRecord::isRejected)
+                            .count() + " of "
+                    + fleet.loadGenerator.requests().size());
         }
     }
 
@@ -205,32 +216,35 @@
      * its lease has expired; that member rejects requests until it has reached the coordinators again.
      */
     @Test
-    void withAFenceAVersionIsDecidedWithoutTheAbsent() throws Exception {
-        try (StewardedFleet fleet = new StewardedFleet(4, 3, 2, null, "absent = \"fence\"\n")) {
-            fleet.startStewards();
+    void fencedVersionIsDecidedWithoutTheMissingMember() throws Exception {
+        try (CoordinatedFleet fleet = new CoordinatedFleet(4, 3, 2, null, "absent = \"fence\"\n")) {
+            fleet.startCoordinators();
             fleet.start(12);
-            fleet.awaitReady();
-            fleet.lay(fleet.leader(), StewardedFleet.version(2500));
-            fleet.awaitInForce(1);
+            fleet.awaitAllReady();
+            fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2500));
+            fleet.awaitActive(1);
             String leader = fleet.leader();
-            Thread lays = Tests.daemon(() -> {
-                fleet.chronicle.await(
-                        0, 30, e -> e.who().equals("fault") && e.what().contains("begins"));
-                fleet.lay(leader, StewardedFleet.version(2600));
+            Thread submitter = TestSupport.startDaemon(() -> {
+                fleet.eventLog.awaitEntry(
+                        0, 30, e -> e.source().equals("fault") && e.event().contains("begins"));
+                fleet.submit(leader, CoordinatedFleet.routeVersion(2600));
             });
-            fleet.faults.play(List.of(new Fault(0, Fault.Kind.STOP, "n3", 11_000, 0)));
-            lays.join(20_000);
-            long back = fleet.chronicle.now();
+            fleet.faultInjector.runSchedule(List.of(new Fault(0, Fault.Kind.STOP, "n3", 11_000, 0)));
+            submitter.join(20_000);
+            long resumedAt = fleet.eventLog.elapsedNanos();
             assertTrue(
-                    fleet.callers.asked().stream().anyMatch(a -> !a.node().equals("n3") && "2".equals(a.version())),
-                    "decided without it\n" + fleet.chronicle.last(60));
-            fleet.awaitInForce(2);
-            assertEquals(List.of(), fleet.judge(false), fleet.chronicle.last(60));
+                    fleet.loadGenerator.requests().stream()
+                            .anyMatch(request -> !request.node().equals("n3") && "2".equals(request.routeVersion())),
+                    "decided without it\n" + fleet.eventLog.tail(60));
+            fleet.awaitActive(2);
+            assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(60));
             assertTrue(
-                    fleet.callers.asked().stream()
-                            .noneMatch(a -> a.node().equals("n3") && a.sentAt() > back && "1".equals(a.version())),
+                    fleet.loadGenerator.requests().stream()
+                            .noneMatch(request -> request.node().equals("n3")
+                                    && request.sentAt() > resumedAt
+                                    && "1".equals(request.routeVersion())),
                     "back from its stop it served by the old version");
-            assertTrue(fleet.worstOverlap() <= ERROR, "overlap " + fleet.worstOverlap() / 1e6 + " ms");
+            assertTrue(fleet.worstOverlap() <= MAX_CLOCK_ERROR, "overlap " + fleet.worstOverlap() / 1e6 + " ms");
             System.out.println("fence: decided without n3, overlap " + fleet.worstOverlap() / 1e6 + " ms");
         }
     }
@@ -241,72 +255,75 @@
      */
     @Test
     @EnabledIfSystemProperty(named = "weldhitch.fleet.switches", matches = "[0-9]+")
-    void spreadOverManySwitches() throws Exception {
-        Histogram spread = new Histogram(10_000_000L, 3);
-        Histogram gap = new Histogram(10_000_000L, 3);
-        long worst = Long.MIN_VALUE;
-        try (StewardedFleet fleet =
-                new StewardedFleet(Integer.getInteger("weldhitch.fleet.nodes", 6), STEWARDS, 3, null)) {
-            fleet.startStewards();
+    void spreadOfActivationOverManySwitches() throws Exception {
+        Histogram switchSpread = new Histogram(10_000_000L, 3);
+        Histogram servingGap = new Histogram(10_000_000L, 3);
+        long worstOverlap = Long.MIN_VALUE;
+        try (CoordinatedFleet fleet =
+                new CoordinatedFleet(Integer.getInteger("weldhitch.fleet.nodes", 6), COORDINATORS, 3, null)) {
+            fleet.startCoordinators();
             fleet.start(4);
-            fleet.awaitReady();
+            fleet.awaitAllReady();
             for (int version = 1; version <= Integer.getInteger("weldhitch.fleet.switches"); version++) {
-                fleet.lay(fleet.leader(), StewardedFleet.version(2000 + version));
-                fleet.awaitInForce(version);
-                worst = Math.max(worst, fleet.overlap(version - 1, version));
-                List<long[]> switches = fleet.switches(version - 1, version);
-                long first = switches.stream().mapToLong(s -> s[1]).min().orElseThrow();
-                for (long[] each : switches) {
-                    spread.recordValue((each[1] - first) / 1000);
-                    gap.recordValue(Math.max(0, each[1] - each[0]) / 1000);
+                fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2000 + version));
+                fleet.awaitActive(version);
+                worstOverlap = Math.max(worstOverlap, fleet.overlap(version - 1, version));
+                List<long[]> switches = fleet.switchIntervals(version - 1, version);
+                long firstSwitch = switches.stream().mapToLong(s -> s[1]).min().orElseThrow();
+                for (long[] switchInterval : switches) {
+                    switchSpread.recordValue((switchInterval[1] - firstSwitch) / 1000);
+                    servingGap.recordValue(Math.max(0, switchInterval[1] - switchInterval[0]) / 1000);
                 }
             }
-            assertEquals(List.of(), fleet.judge(false), fleet.chronicle.last(60));
+            assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(60));
         }
-        assertTrue(worst <= ERROR, "overlap " + worst);
+        assertTrue(worstOverlap <= MAX_CLOCK_ERROR, "overlap " + worstOverlap);
         System.out.println(String.format(
                 Locale.ROOT,
                 "%d switches of a node: first new answer after the first of all, us: p50 %d p90 %d p100 %d; between a"
                         + " node's last old question and first new answer, us: p50 %d p90 %d p100 %d; worst overlap %.1f ms",
-                spread.getTotalCount(),
-                spread.getValueAtPercentile(50),
-                spread.getValueAtPercentile(90),
-                spread.getMaxValue(),
-                gap.getValueAtPercentile(50),
-                gap.getValueAtPercentile(90),
-                gap.getMaxValue(),
-                worst / 1e6));
+                switchSpread.getTotalCount(),
+                switchSpread.getValueAtPercentile(50),
+                switchSpread.getValueAtPercentile(90),
+                switchSpread.getMaxValue(),
+                servingGap.getValueAtPercentile(50),
+                servingGap.getValueAtPercentile(90),
+                servingGap.getMaxValue(),
+                worstOverlap / 1e6));
     }
 
     /** A version that one node can't serve by is aborted for all; the report names node, file, line and key. */
     @Test
-    void oneNodeThatCannotServeByAVersionEndsItForAll() throws Exception {
-        try (StewardedFleet fleet = new StewardedFleet(3, 1, 2, "n2")) {
-            fleet.startStewards();
+    void versionRejectedByOneNodeIsAbortedForAll() throws Exception {
+        try (CoordinatedFleet fleet = new CoordinatedFleet(3, 1, 2, "n2")) {
+            fleet.startCoordinators();
             fleet.start(20);
-            fleet.awaitReady();
-            int from = fleet.chronicle.entries().size();
+            fleet.awaitAllReady();
+            int fromEntry = fleet.eventLog.entries().size();
             // The platform of n2 allows three attempts, that of the others four.
-            fleet.lay("s1", "version = 1\n[class.read]\nattempts = 4\n# end\n");
-            String said = fleet.chronicle
-                    .await(from, 20, e -> e.who().equals("s1") && e.what().contains("is aborted"))
-                    .what();
+            fleet.submit("s1", "version = 1\n[class.read]\nattempts = 4\n# end\n");
+            String abortEvent = fleet.eventLog
+                    .awaitEntry(
+                            fromEntry,
+                            20,
+                            e -> e.source().equals("s1") && e.event().contains("is aborted"))
+                    .event();
             assertTrue(
-                    said.contains(
+                    abortEvent.contains(
                             "version 1 is aborted: n2: version-1.toml:3: error: class.read.attempts: 4 is more than the platform's 3"),
-                    said);
-            fleet.chronicle.await(
-                    from,
+                    abortEvent);
+            fleet.eventLog.awaitEntry(
+                    fromEntry,
                     20,
-                    e -> e.who().equals("n0") && e.what().contains("version 1 is given up: n2: version-1.toml:3"));
+                    e -> e.source().equals("n0") && e.event().contains("version 1 is given up: n2: version-1.toml:3"));
             assertEquals(
                     1,
-                    fleet.chronicle.entries().stream()
-                            .filter(e -> e.who().equals("n2") && e.what().contains("is refused"))
+                    fleet.eventLog.entries().stream()
+                            .filter(e -> e.source().equals("n2") && e.event().contains("is refused"))
                             .count());
-            fleet.lay("s1", StewardedFleet.version(2500));
-            fleet.awaitInForce(2);
-            assertEquals(List.of(), fleet.judge(false), fleet.chronicle.last(60));
+            fleet.submit("s1", CoordinatedFleet.routeVersion(2500));
+            fleet.awaitActive(2);
+            assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(60));
         }
     }
 
@@ -316,43 +333,46 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void seededFaultsBreakNoPromise(long seed) throws Exception {
-        for (long play = 0; play < Long.getLong("weldhitch.fleet.activations", 1); play++) {
-            underFaults(seed + 2 * play);
+    void invariantsHoldUnderSeededFaults(long seed) throws Exception {
+        for (long run = 0; run < Long.getLong("weldhitch.fleet.activations", 1); run++) {
+            runUnderFaults(seed + 2 * run);
         }
     }
 
-    private static void underFaults(long seed) throws Exception {
-        try (StewardedFleet fleet = new StewardedFleet(5, 3, 2, null)) {
-            fleet.startStewards();
+    private static void runUnderFaults(long seed) throws Exception {
+        try (CoordinatedFleet fleet = new CoordinatedFleet(5, 3, 2, null)) {
+            fleet.startCoordinators();
             fleet.start(15);
-            fleet.awaitReady();
+            fleet.awaitAllReady();
             fleet.leader();
             List<String> processes = new ArrayList<>(fleet.processes.keySet());
-            List<String> edges = fleet.edges.keySet().stream()
-                    .filter(e -> fleet.stewards().contains(e.replaceFirst(".*>", "")))
+            List<String> coordinatorLinks = fleet.links.keySet().stream()
+                    .filter(e -> fleet.coordinators().contains(e.replaceFirst(".*>", "")))
                     .toList();
-            List<Fault> schedule = Fault.draw(seed, processes, edges, 9000, 10);
-            String told = "seed " + seed + "\n" + Fault.print(schedule) + "\n";
-            Thread lays = Tests.daemon(() -> {
-                fleet.lay(fleet.stewards().get((int) (seed % 3)), StewardedFleet.version(2500));
-                fleet.chronicle.await(0, 30, e -> e.what().matches(".*version 1 is (in force\"|aborted.*)"));
-                fleet.lay(fleet.stewards().get((int) ((seed + 1) % 3)), StewardedFleet.version(2600));
+            List<Fault> schedule = Fault.randomSchedule(seed, processes, coordinatorLinks, 9000, 10);
+            String description = "seed " + seed + "\n" + Fault.format(schedule) + "\n";
+            Thread submitter = TestSupport.startDaemon(() -> {
+                fleet.submit(fleet.coordinators().get((int) (seed % 3)), CoordinatedFleet.routeVersion(2500));
+                fleet.eventLog.awaitEntry(0, 30, e -> e.event().matches(".*version 1 is (in force\"|aborted.*)"));
+                fleet.submit(fleet.coordinators().get((int) ((seed + 1) % 3)), CoordinatedFleet.routeVersion(2600));
             });
-            fleet.faults.play(schedule);
-            lays.join(60_000);
+            fleet.faultInjector.runSchedule(schedule);
+            submitter.join(60_000);
             try {
-                fleet.awaitRest();
+                fleet.awaitStable();
             } catch (AssertionError e) {
-                throw new AssertionError(told + fleet.chronicle.last(150), e);
+                throw new AssertionError(description + fleet.eventLog.tail(150), e);
             }
-            assertEquals(List.of(), fleet.judge(false), told + fleet.chronicle.last(100));
+            assertEquals(List.of(), fleet.stopAndCheckInvariants(false), description + fleet.eventLog.tail(100));
             long overlap = fleet.worstOverlap();
-            assertTrue(overlap <= ERROR, told + "overlap " + overlap / 1e6 + " ms\n" + fleet.chronicle.last(200));
-            List<Asked> asked = fleet.callers.asked();
+            assertTrue(
+                    overlap <= MAX_CLOCK_ERROR,
+                    description + "overlap " + overlap / 1e6 + " ms\n" + fleet.eventLog.tail(200));
+            List<RequestRecord> requests = fleet.loadGenerator.requests();
             System.out.println("seed " + seed + ": " + schedule.size() + " faults, in force at the end "
-                    + fleet.inForce() + ", asked " + asked.size()
-                    + ", refused " + asked.stream().filter(Asked::refused).count() + ", overlap "
+                    + fleet.activeVersion() + ", asked " + requests.size()
+                    + ", refused "
+                    + requests.stream().filter(RequestRecord::isRejected).count() + ", overlap "
                     + (overlap == Long.MIN_VALUE ? "none" : overlap / 1e6 + " ms"));
         }
     }
--- a/cli/src/test/java/weldhitch/cli/CertsTest.java
+++ b/cli/src/test/java/weldhitch/cli/CertificateCommandsTest.java
@@ -9,54 +9,90 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import weldhitch.control.certs.Authority;
-import weldhitch.control.certs.Identity;
-import weldhitch.control.certs.Identity.Role;
+import weldhitch.certificates.CertificateAuthority;
+import weldhitch.certificates.Identity;
+import weldhitch.certificates.Identity.Role;
 
 /**
  * Tests of the command {@code certs}: issued identities, invalid arguments, and that no file is
  * overwritten.
  */
-class CertsTest {
+class CertificateCommandsTest {
     @TempDir
     Path directory;
 
     private final StringWriter out = new StringWriter();
     private final StringWriter errors = new StringWriter();
 
-    private int run(String... words) {
-        return Weldhitch.commands()
+    private int run(String... arguments) {
+        return Weldhitch.commandLine()
                 .setOut(new PrintWriter(out))
                 .setErr(new PrintWriter(errors))
-                .execute(words);
+                .execute(arguments);
     }
 
     @Test
-    void makesAnAuthorityAnAgentAndAnOperator() throws Exception {
-        String ca = directory.resolve("ca").toString();
-        String made = directory.resolve("made").toString();
-        assertEquals(0, run("certs", "ca", "--out", ca));
-        assertEquals(0, run("certs", "agent", "--ca", ca, "--name", "huye-1", "--host", "127.0.0.1", "--out", made));
-        assertEquals(0, run("certs", "operator", "--ca", ca, "--name", "ann", "--role", "operator", "--out", made));
-        Path ann = directory.resolve("made/ann.pem");
-        assertTrue(out.toString().endsWith("made " + ann + " and its key, for 30 days\n"), out.toString());
+    void issuesCertificatesOfAnAuthorityAnAgentAndAnOperator() throws Exception {
+        String caDirectory = directory.resolve("ca").toString();
+        String outputDirectory = directory.resolve("made").toString();
+        assertEquals(0, run("certs", "ca", "--out", caDirectory));
+        assertEquals(
+                0,
+                run(
+                        "certs",
+                        "agent",
+                        "--ca",
+                        caDirectory,
+                        "--name",
+                        "huye-1",
+                        "--host",
+                        "127.0.0.1",
+                        "--out",
+                        outputDirectory));
+        assertEquals(
+                0,
+                run(
+                        "certs",
+                        "operator",
+                        "--ca",
+                        caDirectory,
+                        "--name",
+                        "ann",
+                        "--role",
+                        "operator",
+                        "--out",
+                        outputDirectory));
+        Path annCertificate = directory.resolve("made/ann.pem");
+        assertTrue(out.toString().endsWith("made " + annCertificate + " and its key, for 30 days\n"), out.toString());
         assertEquals(
                 new Identity(Role.OPERATOR, "ann"),
-                Identity.of(Authority.readPem(ann, directory.resolve("made/ann.key"))
+                Identity.fromCertificate(CertificateAuthority.readPem(annCertificate, directory.resolve("made/ann.key"))
                         .certificate()));
         assertEquals(
                 new Identity(null, "huye-1"),
-                Identity.of(
-                        Authority.readPem(directory.resolve("made/huye-1.pem"), directory.resolve("made/huye-1.key"))
-                                .certificate()));
-        byte[] before = Files.readAllBytes(ann);
-        assertEquals(1, run("certs", "operator", "--ca", ca, "--name", "ann", "--role", "admin", "--out", made));
+                Identity.fromCertificate(CertificateAuthority.readPem(
+                                directory.resolve("made/huye-1.pem"), directory.resolve("made/huye-1.key"))
+                        .certificate()));
+        byte[] bytesBefore = Files.readAllBytes(annCertificate);
+        assertEquals(
+                1,
+                run(
+                        "certs",
+                        "operator",
+                        "--ca",
+                        caDirectory,
+                        "--name",
+                        "ann",
+                        "--role",
+                        "admin",
+                        "--out",
+                        outputDirectory));
         assertTrue(errors.toString().contains("ann.key is there already"), errors.toString());
-        assertEquals(new String(before), Files.readString(ann), "nothing is overwritten");
+        assertEquals(new String(bytesBefore), Files.readString(annCertificate), "nothing is overwritten");
     }
 
     @Test
-    void saysWhatIsWrong() {
+    void reportsInvalidArgumentsAndFailures() {
         assertEquals(2, run("certs", "ca", "--out", directory.toString(), "--days", "0"));
         assertEquals(
                 1,
--- a/cli/src/test/java/weldhitch/cli/LocalityIT.java
+++ b/cli/src/test/java/weldhitch/cli/LocalityIT.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import weldhitch.testkit.HttpUpstream;
-import weldhitch.testkit.Tests;
-import weldhitch.testkit.fleet.Callers.Asked;
+import weldhitch.testkit.ScriptedHttpServer;
+import weldhitch.testkit.TestSupport;
 import weldhitch.testkit.fleet.Fault;
-import weldhitch.testkit.fleet.Program;
+import weldhitch.testkit.fleet.LoadGenerator.RequestRecord;
+import weldhitch.testkit.fleet.ManagedProcess;
 
 /**
  * End-to-end test of locality rules: processes of twelve nodes in three zones of two regions, with three
@@ -22,33 +22,33 @@
  */
 class LocalityIT {
     private static final long SECOND = 1_000_000_000L;
-    private static final int SERVERS = 3;
+    private static final int SERVERS_PER_ZONE = 3;
     /** The configured capacity of a server, in requests a second. */
-    private static final double RATE = 40;
+    private static final double CAPACITY_PER_SERVER = 40;
 
-    private static final double TARGET = 0.85;
+    private static final double TARGET_UTILIZATION = 0.85;
 
     /**
      * Six nodes in zone a, three each in b and c; a and b form one region, c the other. All nodes reach the
      * servers of zone a by shared links.
      */
-    private static final class Zoned extends StewardedFleet {
-        Zoned() throws Exception {
-            super(12, 3, 3 * SERVERS, null);
+    private static final class ZonedFleet extends CoordinatedFleet {
+        ZonedFleet() throws Exception {
+            super(12, 3, 3 * SERVERS_PER_ZONE, null);
         }
 
         @Override
         protected String zoneOf(String server) {
-            return String.valueOf((char) ('a' + Integer.parseInt(server.substring(1)) / SERVERS));
+            return String.valueOf((char) ('a' + Integer.parseInt(server.substring(1)) / SERVERS_PER_ZONE));
         }
 
         @Override
-        protected boolean linkOnce(HttpUpstream server) {
+        protected boolean usesSharedLink(ScriptedHttpServer server) {
             return zoneOf(server.name()).equals("a");
         }
 
         @Override
-        protected String configOf(String node, String text) {
+        protected String customizeConfig(String node, String text) {
             int number = Integer.parseInt(node.substring(1));
             return text.replace(
                     "\"areas\":[\"a\"],\"az\":\"a\"",
@@ -60,10 +60,10 @@
         }
 
         /** Adds a client to each node of a zone. */
-        void askZone(String zone, long everyMs) {
-            for (int n = 0; n < 12; n++) {
-                if (zoneOfNode(n).equals(zone)) {
-                    callers.ask(nodes.get("n" + n), everyMs);
+        void addZoneLoad(String zone, long intervalMillis) {
+            for (int nodeIndex = 0; nodeIndex < 12; nodeIndex++) {
+                if (zoneOfNode(nodeIndex).equals(zone)) {
+                    loadGenerator.addClient(nodes.get("n" + nodeIndex), intervalMillis);
                 }
             }
         }
@@ -72,17 +72,17 @@
          * The most requests in any two seconds of the period, by zone, as a fraction of its servers'
          * capacity.
          */
-        Map<String, Double> peaks(long from, long to) {
+        Map<String, Double> peaks(long fromNanos, long toNanos) {
             Map<String, Double> peaks = new TreeMap<>();
-            calls(from, to).forEach((zone, at) -> {
-                int most = 0;
-                for (int first = 0, next = 0; next < at.size(); next++) {
-                    while (at.get(next) - at.get(first) > 2 * SECOND) {
-                        first++;
+            callTimes(fromNanos, toNanos).forEach((zone, callTimes) -> {
+                int peakCalls = 0;
+                for (int windowStart = 0, windowEnd = 0; windowEnd < callTimes.size(); windowEnd++) {
+                    while (callTimes.get(windowEnd) - callTimes.get(windowStart) > 2 * SECOND) {
+                        windowStart++;
                     }
-                    most = Math.max(most, next - first + 1);
+                    peakCalls = Math.max(peakCalls, windowEnd - windowStart + 1);
                 }
-                peaks.put(zone, Math.round(most / 2.0 / (SERVERS * RATE) * 1000) / 1000.0);
+                peaks.put(zone, Math.round(peakCalls / 2.0 / (SERVERS_PER_ZONE * CAPACITY_PER_SERVER) * 1000) / 1000.0);
             });
             return peaks;
         }
@@ -91,17 +91,17 @@
          * Arrival times of requests at the servers of each zone, sorted, on the event log's clock in
          * nanoseconds.
          */
-        Map<String, List<Long>> calls(long from, long to) {
-            long began = System.nanoTime() - chronicle.now();
+        Map<String, List<Long>> callTimes(long fromNanos, long toNanos) {
+            long eventLogStart = System.nanoTime() - eventLog.elapsedNanos();
             Map<String, List<Long>> calls = new TreeMap<>();
-            for (HttpUpstream server : servers) {
-                List<Long> of = calls.computeIfAbsent(zoneOf(server.name()), z -> new ArrayList<>());
-                server.seen().stream()
-                        .map(s -> s.atNanos() - began)
-                        .filter(at -> at >= from && at < to)
-                        .forEach(of::add);
+            for (ScriptedHttpServer server : servers) {
+                List<Long> zoneCallTimes = calls.computeIfAbsent(zoneOf(server.name()), z -> new ArrayList<>());
+                server.receivedRequests().stream()
+                        .map(received -> received.receivedAtNanos() - eventLogStart)
+                        .filter(receivedAt -> receivedAt >= fromNanos && receivedAt < toNanos)
+                        .forEach(zoneCallTimes::add);
             }
-            calls.values().forEach(at -> at.sort(null));
+            calls.values().forEach(receivedAt -> receivedAt.sort(null));
             return calls;
         }
 
@@ -109,20 +109,20 @@
          * Ids of requests that a server received from half a second after {@code from} on: those in flight
          * may arrive late.
          */
-        Stream<String> seenSince(HttpUpstream server, long from) {
-            long began = System.nanoTime() - chronicle.now();
-            return server.seen().stream()
-                    .filter(s -> s.atNanos() - began > from + SECOND / 2)
-                    .map(HttpUpstream.Seen::id);
+        Stream<String> requestIdsSince(ScriptedHttpServer server, long fromNanos) {
+            long eventLogStart = System.nanoTime() - eventLog.elapsedNanos();
+            return server.receivedRequests().stream()
+                    .filter(received -> received.receivedAtNanos() - eventLogStart > fromNanos + SECOND / 2)
+                    .map(ScriptedHttpServer.ReceivedRequest::id);
         }
 
-        int callsIn(String zone, long from, long to) {
-            return calls(from, to).getOrDefault(zone, List.of()).size();
+        int callCount(String zone, long fromNanos, long toNanos) {
+            return callTimes(fromNanos, toNanos).getOrDefault(zone, List.of()).size();
         }
 
-        List<String> edgesTo(String far) {
-            return edges.keySet().stream()
-                    .filter(e -> e.matches("n\\d+>" + far))
+        List<String> linksTo(String target) {
+            return links.keySet().stream()
+                    .filter(e -> e.matches("n\\d+>" + target))
                     .toList();
         }
     }
@@ -131,114 +131,127 @@
      * Rules by which class {@code book} stays in its region, and all others have these further priority
      * levels.
      */
-    private static String rules(String further, double alone) {
-        String spill = "dwell = \"1s\"\ngrowth = 0.4\nalone = " + alone + "\n";
-        return "version = 1\n[zones]\nrate = " + RATE + "\n[zones.regions]\nwest = [\"a\", \"b\"]\neast = [\"c\"]\n"
+    private static String localityRules(String extraPreferences, double uncoordinatedFraction) {
+        String spillKeys = "dwell = \"1s\"\ngrowth = 0.4\nalone = " + uncoordinatedFraction + "\n";
+        return "version = 1\n[zones]\nrate = " + CAPACITY_PER_SERVER
+                + "\n[zones.regions]\nwest = [\"a\", \"b\"]\neast = [\"c\"]\n"
                 + "[[locality]]\nname = \"book\"\nclass = \"book\"\nprefer = [\"own-zone\", \"own-region\"]\npanic = false\n"
-                + spill
-                + "[[locality]]\nname = \"all\"\nprefer = [\"own-zone\", \"own-region\"" + further + "]\n" + spill
+                + spillKeys
+                + "[[locality]]\nname = \"all\"\nprefer = [\"own-zone\", \"own-region\"" + extraPreferences + "]\n"
+                + spillKeys
                 + "# end\n";
     }
 
     @Test
-    void zonesAreLostCutOffAndReturnWhileLeaveBoundsWhatSpills() throws Exception {
-        try (Zoned fleet = new Zoned()) {
-            fleet.startStewards();
+    void quotasBoundSpilloverWhileZonesFailAndRecover() throws Exception {
+        try (ZonedFleet fleet = new ZonedFleet()) {
+            fleet.startCoordinators();
             fleet.start(0);
-            fleet.awaitReady();
-            fleet.askZone("a", 50);
-            fleet.askZone("b", 60);
-            fleet.askZone("c", 60);
-            fleet.lay(fleet.leader(), rules(", \"any\"", 0.02));
-            fleet.awaitInForce(1);
+            fleet.awaitAllReady();
+            fleet.addZoneLoad("a", 50);
+            fleet.addZoneLoad("b", 60);
+            fleet.addZoneLoad("c", 60);
+            fleet.submit(fleet.leader(), localityRules(", \"any\"", 0.02));
+            fleet.awaitActive(1);
 
             // 1: no fault; all requests stay in their zones.
-            long calm = fleet.chronicle.now();
-            fleet.pass(2000);
-            int homeB = fleet.callsIn("b", calm, calm + 2 * SECOND);
+            long calmFrom = fleet.eventLog.elapsedNanos();
+            fleet.waitFor(2000);
+            int baselineCallsToB = fleet.callCount("b", calmFrom, calmFrom + 2 * SECOND);
 
             // 2: load on zone a exceeds its capacity: the rest spills to b and c by quota grants, bookings
             // to b only.
-            fleet.askZone("a", 50);
-            long overload = fleet.chronicle.now();
-            fleet.pass(8000);
-            Map<String, Double> peaks = fleet.peaks(overload, fleet.chronicle.now());
-            int spilled = fleet.callsIn("b", overload + 6 * SECOND, overload + 8 * SECOND) - homeB;
+            fleet.addZoneLoad("a", 50);
+            long overloadFrom = fleet.eventLog.elapsedNanos();
+            fleet.waitFor(8000);
+            Map<String, Double> peaks = fleet.peaks(overloadFrom, fleet.eventLog.elapsedNanos());
+            int spilledCallsToB =
+                    fleet.callCount("b", overloadFrom + 6 * SECOND, overloadFrom + 8 * SECOND) - baselineCallsToB;
 
             // 3: the leader is killed and restarted; another one takes over granting, after a while.
             String leader = fleet.leader();
             fleet.processes.get(leader).signal("KILL");
-            long killed = fleet.chronicle.now();
-            fleet.pass(5000);
+            long killedAt = fleet.eventLog.elapsedNanos();
+            fleet.waitFor(5000);
             fleet.processes.get(leader).start();
-            Map<String, Double> peaksOfChange = fleet.peaks(killed, fleet.chronicle.now());
+            Map<String, Double> peaksAtLeaderChange = fleet.peaks(killedAt, fleet.eventLog.elapsedNanos());
 
             // 4: the servers of zone a are unreachable from all nodes for 5 s.
-            long lost = fleet.chronicle.now();
-            fleet.faults.play(fleet.edges.keySet().stream()
+            long zoneLostAt = fleet.eventLog.elapsedNanos();
+            fleet.faultInjector.runSchedule(fleet.links.keySet().stream()
                     .filter(e -> e.startsWith("*>"))
-                    .map(e -> new Fault(0, Fault.Kind.CUT, e, 5000, 0))
+                    .map(e -> new Fault(0, Fault.Kind.RESET, e, 5000, 0))
                     .toList());
-            long back = fleet.chronicle.now();
-            Map<String, Double> peaksOfLoss = fleet.peaks(lost, back);
-            fleet.pass(1000);
-            int firstSecond = fleet.callsIn("a", back, back + SECOND);
-            Tests.await(() ->
-                    fleet.callsIn("a", fleet.chronicle.now() - SECOND, fleet.chronicle.now()) > 0.5 * SERVERS * RATE);
+            long zoneBackAt = fleet.eventLog.elapsedNanos();
+            Map<String, Double> peaksDuringZoneLoss = fleet.peaks(zoneLostAt, zoneBackAt);
+            fleet.waitFor(1000);
+            int callsInFirstSecond = fleet.callCount("a", zoneBackAt, zoneBackAt + SECOND);
+            TestSupport.await(
+                    () -> fleet.callCount("a", fleet.eventLog.elapsedNanos() - SECOND, fleet.eventLog.elapsedNanos())
+                            > 0.5 * SERVERS_PER_ZONE * CAPACITY_PER_SERVER);
 
             // 5: no coordinator is reachable for 6 s: nodes use their local view and spill only the smaller
             // share configured for that; bookings as before.
-            List<Fault> cut = new ArrayList<>();
-            for (String steward : fleet.stewards()) {
-                fleet.edgesTo(steward).forEach(e -> cut.add(new Fault(0, Fault.Kind.ONE_WAY_BACK, e, 6000, 0)));
+            List<Fault> linkFaults = new ArrayList<>();
+            for (String coordinator : fleet.coordinators()) {
+                fleet.linksTo(coordinator)
+                        .forEach(e -> linkFaults.add(new Fault(0, Fault.Kind.DROP_TO_CLIENT, e, 6000, 0)));
             }
-            long alone = fleet.chronicle.now();
-            fleet.faults.play(cut);
-            int aloneC = fleet.callsIn("c", alone + 5 * SECOND, alone + 6 * SECOND);
+            long coordinatorsLostAt = fleet.eventLog.elapsedNanos();
+            fleet.faultInjector.runSchedule(linkFaults);
+            int callsToCWithoutCoordinators =
+                    fleet.callCount("c", coordinatorsLostAt + 5 * SECOND, coordinatorsLostAt + 6 * SECOND);
 
             // 6: during the spillover a version is activated by which no request leaves its region.
-            fleet.lay(fleet.leader(), rules("", 0.02));
-            fleet.awaitInForce(2);
-            fleet.pass(500);
-            long forbidden = fleet.chronicle.now();
-            fleet.pass(2000);
-            long end = fleet.chronicle.now();
+            fleet.submit(fleet.leader(), localityRules("", 0.02));
+            fleet.awaitActive(2);
+            fleet.waitFor(500);
+            long forbiddenFrom = fleet.eventLog.elapsedNanos();
+            fleet.waitFor(2000);
+            long endedAt = fleet.eventLog.elapsedNanos();
 
-            List<String> broken = fleet.judge(false);
+            List<String> violations = fleet.stopAndCheckInvariants(false);
             System.out.println(String.format(
                     Locale.ROOT,
                     "peaks under overload %s, at a change of leader %s, while a was lost %s; spilled to b %d in 2 s;"
                             + " calls to a in the first second of its return %d; to c in a second without stewards %d; asked %d, refused %d",
                     peaks,
-                    peaksOfChange,
-                    peaksOfLoss,
-                    spilled,
-                    firstSecond,
-                    aloneC,
-                    fleet.callers.asked().size(),
-                    fleet.callers.asked().stream().filter(Asked::refused).count()));
-            assertEquals(List.of(), broken, fleet.chronicle.last(60));
-            for (HttpUpstream server : fleet.servers) {
-                boolean east = fleet.zoneOf(server.name()).equals("c");
+                    peaksAtLeaderChange,
+                    peaksDuringZoneLoss,
+                    spilledCallsToB,
+                    callsInFirstSecond,
+                    callsToCWithoutCoordinators,
+                    fleet.loadGenerator.requests().size(),
+                    fleet.loadGenerator.requests().stream()
+                            .filter(RequestRecord::isRejected)
+                            .count()));
+            assertEquals(List.of(), violations, fleet.eventLog.tail(60));
+            for (ScriptedHttpServer server : fleet.servers) {
+                boolean isEast = fleet.zoneOf(server.name()).equals("c");
                 assertTrue(
-                        !east || fleet.seenSince(server, calm).noneMatch(id -> isBooking(id) && ofWest(id)),
+                        !isEast
+                                || fleet.requestIdsSince(server, calmFrom)
+                                        .noneMatch(id -> isBooking(id) && isFromWest(id)),
                         "a booking left its region");
             }
-            assertTrue(spilled > 20, "it spills: " + spilled);
+            assertTrue(spilledCallsToB > 20, "it spills: " + spilledCallsToB);
             // A window of 2 s counts 200 requests. In runs of one build a tenth of that varied with chance, the
             // clients' timing and the machine (0.84 to 0.90); without coordination nodes exceed 1.2. The bound
             // of the quota grants is checked to 5% by SpillFleetTest.
-            for (Map<String, Double> each : List.of(peaks, peaksOfChange, peaksOfLoss)) {
+            for (Map<String, Double> peakByZone : List.of(peaks, peaksAtLeaderChange, peaksDuringZoneLoss)) {
                 assertTrue(
-                        each.get("b") <= TARGET * 1.2 && each.get("c") <= TARGET * 1.2,
-                        "pushed past its threshold: " + each);
+                        peakByZone.get("b") <= TARGET_UTILIZATION * 1.2
+                                && peakByZone.get("c") <= TARGET_UTILIZATION * 1.2,
+                        "pushed past its threshold: " + peakByZone);
             }
-            assertTrue(firstSecond < 0.6 * SERVERS * RATE, "a rush back: " + firstSecond);
             assertTrue(
-                    fleet.callsIn("c", forbidden, end) <= 1.15 * 3 * 2 * 1000 / 65 + 10,
-                    "c gets its own alone: " + fleet.callsIn("c", forbidden, end));
+                    callsInFirstSecond < 0.6 * SERVERS_PER_ZONE * CAPACITY_PER_SERVER,
+                    "a rush back: " + callsInFirstSecond);
             assertTrue(
-                    fleet.chronicle.entries().stream().anyMatch(e -> e.what().contains("stale-view: n")),
+                    fleet.callCount("c", forbiddenFrom, endedAt) <= 1.15 * 3 * 2 * 1000 / 65 + 10,
+                    "c gets its own alone: " + fleet.callCount("c", forbiddenFrom, endedAt));
+            assertTrue(
+                    fleet.eventLog.entries().stream().anyMatch(e -> e.event().contains("stale-view: n")),
                     "the silence of stewards is told");
         }
     }
@@ -247,8 +260,8 @@
         return Integer.parseInt(id.replaceFirst(".*-", "")) % 2 == 1;
     }
 
-    private static boolean ofWest(String id) {
-        return !Zoned.zoneOfNode(Integer.parseInt(id.replaceFirst("^n", "").replaceFirst("-.*", "")))
+    private static boolean isFromWest(String id) {
+        return !ZonedFleet.zoneOfNode(Integer.parseInt(id.replaceFirst("^n", "").replaceFirst("-.*", "")))
                 .equals("c");
     }
 
@@ -257,48 +270,54 @@
      * and even while a zone is lost no booking leaves its region.
      */
     @Test
-    void withoutStewardsNodesPlaceByTheirOwnView() throws Exception {
-        try (Zoned fleet = new Zoned()) {
-            fleet.startStewards();
+    void withoutCoordinatorsNodesRouteByTheirLocalView() throws Exception {
+        try (ZonedFleet fleet = new ZonedFleet()) {
+            fleet.startCoordinators();
             fleet.start(0);
-            fleet.awaitReady();
+            fleet.awaitAllReady();
             for (String zone : List.of("a", "b", "c")) {
-                fleet.askZone(zone, 60);
+                fleet.addZoneLoad(zone, 60);
             }
-            fleet.lay(fleet.leader(), rules(", \"any\"", 0.3));
-            fleet.awaitInForce(1);
-            long bound = fleet.chronicle.now();
-            fleet.stewards().forEach(s -> {
+            fleet.submit(fleet.leader(), localityRules(", \"any\"", 0.3));
+            fleet.awaitActive(1);
+            long boundFrom = fleet.eventLog.elapsedNanos();
+            fleet.coordinators().forEach(s -> {
                 try {
                     fleet.processes.get(s).signal("KILL");
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
             });
-            for (Program node : fleet.nodes.values()) {
-                fleet.chronicle.await(
-                        0, 20, e -> e.who().equals(node.name()) && e.what().contains("stale-view"));
+            for (ManagedProcess node : fleet.nodes.values()) {
+                fleet.eventLog.awaitEntry(
+                        0, 20, e -> e.source().equals(node.name()) && e.event().contains("stale-view"));
             }
-            long lost = fleet.chronicle.now();
-            fleet.faults.play(fleet.edges.keySet().stream()
+            long zoneLostAt = fleet.eventLog.elapsedNanos();
+            fleet.faultInjector.runSchedule(fleet.links.keySet().stream()
                     .filter(e -> e.startsWith("*>"))
-                    .map(e -> new Fault(0, Fault.Kind.CUT, e, 4000, 0))
+                    .map(e -> new Fault(0, Fault.Kind.RESET, e, 4000, 0))
                     .toList());
-            long back = fleet.chronicle.now();
-            Tests.await(() -> fleet.callsIn("a", fleet.chronicle.now() - SECOND, fleet.chronicle.now()) > 30);
-            assertEquals(List.of(), fleet.judge(false), fleet.chronicle.last(60));
-            long served = fleet.callers.asked().stream()
-                    .filter(a -> a.node().compareTo("n6") < 0 && !a.node().startsWith("n1")
-                            || a.node().equals("n1"))
-                    .filter(a -> !a.unsafe() && a.sentAt() > lost + SECOND && a.sentAt() < back && a.status() == 200)
+            long zoneBackAt = fleet.eventLog.elapsedNanos();
+            TestSupport.await(() ->
+                    fleet.callCount("a", fleet.eventLog.elapsedNanos() - SECOND, fleet.eventLog.elapsedNanos()) > 30);
+            assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(60));
+            long servedLookups = fleet.loadGenerator.requests().stream()
+                    .filter(request -> request.node().compareTo("n6") < 0
+                                    && !request.node().startsWith("n1")
+                            || request.node().equals("n1"))
+                    .filter(request -> !request.unsafe()
+                            && request.sentAt() > zoneLostAt + SECOND
+                            && request.sentAt() < zoneBackAt
+                            && request.status() == 200)
                     .count();
-            System.out.println("without stewards, zone a lost: look-ups of its callers served in 3 s " + served);
+            System.out.println("without stewards, zone a lost: look-ups of its callers served in 3 s " + servedLookups);
             // Look-ups go wherever servers are (panic); bookings may spill to b only by the smaller share.
-            assertTrue(served > 20, "served " + served);
-            for (HttpUpstream server : fleet.servers) {
+            assertTrue(servedLookups > 20, "served " + servedLookups);
+            for (ScriptedHttpServer server : fleet.servers) {
                 assertTrue(
                         !fleet.zoneOf(server.name()).equals("c")
-                                || fleet.seenSince(server, bound).noneMatch(id -> isBooking(id) && ofWest(id)),
+                                || fleet.requestIdsSince(server, boundFrom)
+                                        .noneMatch(id -> isBooking(id) && isFromWest(id)),
                         "a booking left its region");
             }
         }
--- a/cli/src/test/java/weldhitch/cli/ReplayCommandTest.java
+++ b/cli/src/test/java/weldhitch/cli/ReplayCommandTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import weldhitch.decision.event.RequestArrived;
 
 /** Tests of {@code replay} on a capture from the simulator, with text and JSON output. */
 class ReplayCommandTest {
@@ -23,16 +24,16 @@
     private final StringWriter errors = new StringWriter();
 
     @BeforeAll
-    static void record() {
+    static void recordCapture() {
         capture = directory.resolve("capture").toString();
         assertEquals(
                 0,
-                Weldhitch.commands()
+                Weldhitch.commandLine()
                         .setOut(new PrintWriter(new StringWriter()))
                         .execute(
                                 "lab",
                                 "run",
-                                "lab/scenarios/grey.toml",
+                                "simulator/scenarios/grey.toml",
                                 "--length",
                                 "70",
                                 "--seed",
@@ -41,29 +42,29 @@
                                 capture));
     }
 
-    private int run(String... words) {
+    private int run(String... arguments) {
         out.getBuffer().setLength(0);
-        return Weldhitch.commands()
+        return Weldhitch.commandLine()
                 .setOut(new PrintWriter(out))
                 .setErr(new PrintWriter(errors))
-                .execute(words);
+                .execute(arguments);
     }
 
-    private Path file(String text) throws Exception {
+    private Path routeConfigFile(String text) throws Exception {
         Path file = directory.resolve("w.toml");
         Files.writeString(file, "version = 1\n" + text + "# end\n");
         return file;
     }
 
     @Test
-    void anotherOperatorFileIsTried() throws Exception {
-        Path file = file("[class.view-slots]\nattempts = 1\n");
+    void evaluatesAnotherRouteConfigAgainstACapture() throws Exception {
+        Path file = routeConfigFile("[class.view-slots]\nattempts = 1\n");
         assertEquals(
                 0, run("replay", "--what-if", file.toString(), "--seeds", "3", "--json", capture), errors.toString());
-        JsonNode told = new ObjectMapper().readTree(out.toString());
-        assertTrue(told.at("/measured/partings").asInt() > 0, out.toString());
-        assertEquals(3, told.at("/modelled/seeds").asInt());
-        for (JsonNode line : told.at("/modelled/figures")) {
+        JsonNode report = new ObjectMapper().readTree(out.toString());
+        assertTrue(report.at("/measured/partings").asInt() > 0, out.toString());
+        assertEquals(3, report.at("/modelled/seeds").asInt());
+        for (JsonNode line : report.at("/modelled/figures")) {
             if (line.path("class").asText().equals("view-slots")
                     && line.path("figure").asText().equals("attempts")) {
                 assertEquals(1, line.path("tried").asDouble(), 1e-9);
@@ -79,13 +80,13 @@
     }
 
     @Test
-    void whatCantBeTriedIsRefused() throws Exception {
+    void rejectsInvalidAlternatives() throws Exception {
         assertEquals(
                 1,
                 run(
                         "replay",
                         "--what-if",
-                        file("[class.view-slot]\nattempts = 1\n").toString(),
+                        routeConfigFile("[class.view-slot]\nattempts = 1\n").toString(),
                         capture));
         assertTrue(errors.toString().contains("w.toml:2: error: class.view-slot"), errors.toString());
         assertEquals(2, run("replay", "--what-if", "w.toml", "--model", capture));
@@ -95,36 +96,38 @@
     }
 
     @Test
-    void itBeginsAtASnapshotAndFollowsARequest() throws Exception {
+    void startsAtASnapshotAndFollowsARequest() throws Exception {
         assertEquals(0, run("replay", "--json", capture));
-        JsonNode whole = new ObjectMapper().readTree(out.toString());
-        assertEquals(2, whole.path("snapshots").asInt());
+        JsonNode fullReplay = new ObjectMapper().readTree(out.toString());
+        assertEquals(2, fullReplay.path("snapshots").asInt());
         assertEquals(0, run("replay", "--from", "2", "--json", capture));
-        JsonNode second = new ObjectMapper().readTree(out.toString());
+        JsonNode secondReplay = new ObjectMapper().readTree(out.toString());
         assertTrue(
-                second.path("events").asInt() > 0
-                        && second.path("events").asInt() < whole.path("events").asInt() / 2,
+                secondReplay.path("events").asInt() > 0
+                        && secondReplay.path("events").asInt()
+                                < fullReplay.path("events").asInt() / 2,
                 out.toString());
         assertEquals(0, run("replay", "--request", "9e3779b97f4a7c15", capture));
         assertTrue(out.toString().contains("every decision is the captured one"), out.toString());
         assertEquals(0, run("capture", "summary", capture));
-        String first = firstRequest();
-        assertEquals(0, run("replay", "--request", first, capture));
+        String firstRequestId = firstRequest();
+        assertEquals(0, run("replay", "--request", firstRequestId, capture));
         assertTrue(
-                out.toString().startsWith("event ") && out.toString().contains("Arrival[request=" + first),
+                out.toString().startsWith("event ")
+                        && out.toString().contains("RequestArrived[requestId=" + firstRequestId),
                 out.toString());
         assertTrue(out.toString().contains("  here:     the same"), out.toString());
     }
 
     private String firstRequest() throws Exception {
-        StringBuilder found = new StringBuilder();
+        StringBuilder requestId = new StringBuilder();
         weldhitch.capture.format.CaptureFiles.read(java.util.List.of(Path.of(capture)), entry -> {
-            if (found.isEmpty()
-                    && entry instanceof weldhitch.capture.format.Entry.Told told
-                    && told.event() instanceof weldhitch.decision.Balancing.Arrival a) {
-                found.append(a.request());
+            if (requestId.isEmpty()
+                    && entry instanceof weldhitch.capture.format.CaptureEntry.EventRecord record
+                    && record.event() instanceof RequestArrived arrived) {
+                requestId.append(arrived.requestId());
             }
         });
-        return found.toString();
+        return requestId.toString();
     }
 }
--- a/cli/src/test/java/weldhitch/cli/OperatorFileCommandsTest.java
+++ b/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests of {@code check} and {@code explain}, with text and JSON output. */
-class OperatorFileCommandsTest {
+class RouteConfigCommandsTest {
     private static final String PLATFORM = """
         {"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"0f","limits":{"sockets":256},
          "settings":{"classes":[{"name":"read","effect":"read_like","deadlineS":8},
@@ -30,22 +30,22 @@
     private final StringWriter errors = new StringWriter();
 
     @BeforeEach
-    void write() throws Exception {
+    void writePlatformConfig() throws Exception {
         file = directory.resolve("w.toml");
         config = directory.resolve("config.json");
         Files.writeString(config, PLATFORM);
     }
 
-    private int run(String... words) {
+    private int run(String... arguments) {
         out.getBuffer().setLength(0);
-        return Weldhitch.commands()
+        return Weldhitch.commandLine()
                 .setOut(new PrintWriter(out))
                 .setErr(new PrintWriter(errors))
-                .execute(words);
+                .execute(arguments);
     }
 
     @Test
-    void aSoundFileIsSaidToBe() throws Exception {
+    void reportsAValidFile() throws Exception {
         Files.writeString(file, "version = 1\n[class.read]\nattempts = 3\n# end\n");
         assertEquals(0, run("check", file.toString(), "--config", config.toString()));
         assertEquals(file + ": sound, 1 routes\n", out.toString());
@@ -54,32 +54,32 @@
     }
 
     @Test
-    void allErrorsAreSaidAtOnceEachWithItsPlace() throws Exception {
+    void reportsAllErrorsWithTheirLocations() throws Exception {
         Files.writeString(file, "version = 1\n[class.read]\nattempts = 4\ndeadlin = \"1s\"\n# end\n");
         assertEquals(1, run("check", file.toString(), "--config", config.toString()));
-        String said = out.toString();
-        assertTrue(said.contains(file + ":3: error: class.read.attempts: 4 is more than the platform's 3"), said);
+        String output = out.toString();
+        assertTrue(output.contains(file + ":3: error: class.read.attempts: 4 is more than the platform's 3"), output);
         assertTrue(
-                said.contains(file + ":4: error: class.read.deadlin: is no key that is known here; "
+                output.contains(file + ":4: error: class.read.deadlin: is no key that is known here; "
                         + "did you mean \"deadline\"?"),
-                said);
-        assertTrue(said.endsWith(": 2 errors\n"), said);
+                output);
+        assertTrue(output.endsWith(": 2 errors\n"), output);
     }
 
     @Test
-    void scriptsReadJson() throws Exception {
+    void writesJsonForScripts() throws Exception {
         Files.writeString(file, "version = 1\n[class.read]\nattempts = 4\n# end\n");
         assertEquals(1, run("check", "--json", file.toString(), "--config", config.toString()));
-        JsonNode said = new ObjectMapper().readTree(out.toString());
-        assertFalse(said.get("usable").booleanValue());
-        JsonNode problem = said.get("problems").get(0);
+        JsonNode report = new ObjectMapper().readTree(out.toString());
+        assertFalse(report.get("usable").booleanValue());
+        JsonNode problem = report.get("problems").get(0);
         assertEquals(3, problem.get("line").intValue());
         assertEquals("class.read.attempts", problem.get("key").textValue());
         assertEquals("error", problem.get("severity").textValue());
     }
 
     @Test
-    void explainNamesTheRouteAndWhoSetEachRule() throws Exception {
+    void explainNamesTheRouteAndTheSourceOfEachRule() throws Exception {
         Files.writeString(
                 file,
                 "version = 1\n[defaults]\nattempts = 2\n[[route]]\nname = \"cancel\"\n"
@@ -90,13 +90,14 @@
         assertTrue(lines[1].matches(" +deadline +1s +route cancel, line 7"), lines[1]);
         assertTrue(lines[3].matches(" +attempts +2 +defaults, line 3"), lines[3]);
         assertEquals(0, run("explain", file.toString(), "--path", "/read/7", "--class", "read", "--json"));
-        JsonNode said = new ObjectMapper().readTree(out.toString());
-        assertEquals("defaults", said.get("route").textValue());
-        assertEquals("platform", said.get("rules").get("deadline").get("source").textValue());
+        JsonNode report = new ObjectMapper().readTree(out.toString());
+        assertEquals("defaults", report.get("route").textValue());
+        assertEquals(
+                "platform", report.get("rules").get("deadline").get("source").textValue());
     }
 
     @Test
-    void whatCannotBeExplainedIsNot() throws Exception {
+    void rejectsUnusableFiles() throws Exception {
         Files.writeString(file, "version = 2\n# end\n");
         assertEquals(1, run("explain", file.toString(), "--path", "/read"));
         assertEquals(1, run("check", directory.resolve("none.toml").toString()));
--- a/client/src/main/java/weldhitch/client/CallException.java
+++ b/client/src/main/java/weldhitch/client/CallException.java
@@ -1,42 +1,42 @@
 package weldhitch.client;
 
 import java.time.Duration;
-import weldhitch.client.policy.Verdict;
+import weldhitch.client.policy.CallResult;
 
 /** A call that ended without a response. Its subtype says what the caller may do. Has no stack trace. */
 public abstract sealed class CallException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    private final int tries;
+    private final int attempts;
 
-    private CallException(String what, int tries) {
-        super(what, null, false, false);
-        this.tries = tries;
+    private CallException(String message, int attempts) {
+        super(message, null, false, false);
+        this.attempts = attempts;
     }
 
     /** How many attempts were sent; 0 for none. */
-    public int tries() {
-        return tries;
+    public int attempts() {
+        return attempts;
     }
 
     /** The request was not executed: a later call does no harm. */
-    public static final class NotRun extends CallException {
+    public static final class NotExecuted extends CallException {
         private static final long serialVersionUID = 1L;
-        private final Verdict why;
+        private final CallResult reason;
         private final Duration retryAfter;
 
-        NotRun(Verdict why, int tries, Duration retryAfter) {
+        NotExecuted(CallResult reason, int attempts, Duration retryAfter) {
             super(
                     "it never ran: "
-                            + why.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '),
-                    tries);
-            this.why = why;
+                            + reason.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '),
+                    attempts);
+            this.reason = reason;
             this.retryAfter = retryAfter;
         }
 
         /** Why it was not executed. */
-        public Verdict why() {
-            return why;
+        public CallResult reason() {
+            return reason;
         }
 
         /** How long to wait before the next call; zero if there is no advice. */
@@ -49,8 +49,8 @@
     public static final class Failed extends CallException {
         private static final long serialVersionUID = 1L;
 
-        Failed(int tries) {
-            super("no answer", tries);
+        Failed(int attempts) {
+            super("no answer", attempts);
         }
     }
 
@@ -61,8 +61,8 @@
     public static final class OutcomeUnknown extends CallException {
         private static final long serialVersionUID = 1L;
 
-        OutcomeUnknown(int tries) {
-            super("it may have run: its outcome is unknown", tries);
+        OutcomeUnknown(int attempts) {
+            super("it may have run: its outcome is unknown", attempts);
         }
     }
 }
--- /dev/null
+++ b/client/src/main/java/weldhitch/client/ConnectionPool.java
@@ -0,0 +1,161 @@
+package weldhitch.client;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpClientCodec;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import weldhitch.client.policy.AttemptOutcome;
+
+/** Owns the connections of a client, by node. Used only on the event loop. */
+final class ConnectionPool implements NodeConnection.Owner {
+    private final EventLoop eventLoop;
+    private final int connectMillis;
+    private final int maxConcurrentConnects;
+    private final Consumer<String> onConnectionLost;
+    private final Map<String, ArrayDeque<NodeConnection>> idleByNode = new LinkedHashMap<>();
+    private final Set<NodeConnection> connections = new LinkedHashSet<>();
+    private final ArrayDeque<Runnable> queuedConnects = new ArrayDeque<>();
+    private int connectsInProgress;
+    private boolean closed;
+
+    /**
+     * A pool without connections.
+     *
+     * @param onConnectionLost called with a node whose last connection was closed without notice
+     */
+    ConnectionPool(
+            EventLoop eventLoop, int connectMillis, int maxConcurrentConnects, Consumer<String> onConnectionLost) {
+        this.eventLoop = eventLoop;
+        this.connectMillis = connectMillis;
+        this.maxConcurrentConnects = maxConcurrentConnects;
+        this.onConnectionLost = onConnectionLost;
+    }
+
+    /** A handle of one attempt, by which it can be abandoned. */
+    final class AttemptHandle {
+        private NodeConnection connection;
+        private boolean abandoned;
+
+        /** Abandons the attempt; its listener is not called any more. */
+        void abandon() {
+            abandoned = true;
+            if (connection != null) {
+                connection.abandonAttempt();
+            }
+        }
+    }
+
+    /** Sends on the idle connection used last, or on a new one. */
+    AttemptHandle send(String node, FullHttpRequest request, NodeConnection.AttemptListener listener) {
+        AttemptHandle handle = new AttemptHandle();
+        ArrayDeque<NodeConnection> idleConnections = idleByNode.get(node);
+        NodeConnection connection = idleConnections == null ? null : idleConnections.pollLast();
+        if (connection != null) {
+            handle.connection = connection;
+            connection.send(request, listener);
+        } else {
+            connect(node, handle, request, listener);
+        }
+        return handle;
+    }
+
+    private void connect(
+            String node, AttemptHandle handle, FullHttpRequest request, NodeConnection.AttemptListener listener) {
+        if (handle.abandoned || closed) {
+            request.release();
+            if (!handle.abandoned) {
+                listener.onAttemptEnded(AttemptOutcome.NOT_SENT, 0, null);
+            }
+            return;
+        }
+        if (connectsInProgress >= maxConcurrentConnects) {
+            queuedConnects.add(() -> connect(node, handle, request, listener));
+            return;
+        }
+        connectsInProgress++;
+        NodeConnection connection = new NodeConnection(node, this);
+        int colon = node.lastIndexOf(':');
+        new Bootstrap()
+                .group(eventLoop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel channel) {
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(Request.MAX_BODY_BYTES, true),
+                                        connection);
+                    }
+                })
+                .connect(new InetSocketAddress(node.substring(0, colon), Integer.parseInt(node.substring(colon + 1))))
+                .addListener(connectFuture -> {
+                    connectsInProgress--;
+                    if (!connectFuture.isSuccess()) {
+                        request.release();
+                        if (!handle.abandoned) {
+                            listener.onAttemptEnded(AttemptOutcome.NOT_SENT, 0, null);
+                        }
+                    } else if (closed) {
+                        request.release();
+                        connection.close();
+                    } else {
+                        connections.add(connection);
+                        if (handle.abandoned) {
+                            request.release();
+                            onIdle(connection);
+                        } else {
+                            handle.connection = connection;
+                            connection.send(request, listener);
+                        }
+                    }
+                    Runnable nextConnect = queuedConnects.poll();
+                    if (nextConnect != null) {
+                        nextConnect.run();
+                    }
+                });
+    }
+
+    @Override
+    public void onIdle(NodeConnection connection) {
+        idleByNode.computeIfAbsent(connection.node, n -> new ArrayDeque<>()).addLast(connection);
+    }
+
+    @Override
+    public void onClosed(NodeConnection connection, boolean closeAnnounced) {
+        connections.remove(connection);
+        ArrayDeque<NodeConnection> idleConnections = idleByNode.get(connection.node);
+        if (idleConnections != null) {
+            idleConnections.remove(connection);
+        }
+        if (!closeAnnounced && !closed && connections.stream().noneMatch(c -> c.node.equals(connection.node))) {
+            onConnectionLost.accept(connection.node);
+        }
+    }
+
+    /** Closes all connections and opens no more. */
+    void close() {
+        closed = true;
+        List<NodeConnection> openConnections = new ArrayList<>(connections);
+        openConnections.forEach(NodeConnection::close);
+        for (Runnable nextConnect = queuedConnects.poll(); nextConnect != null; nextConnect = queuedConnects.poll()) {
+            nextConnect.run();
+        }
+    }
+}
--- a/client/src/main/java/weldhitch/client/Connection.java
+++ b/client/src/main/java/weldhitch/client/NodeConnection.java
@@ -9,65 +9,65 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import java.time.Instant;
-import weldhitch.client.policy.Outcome;
+import weldhitch.client.policy.AttemptOutcome;
 
 /**
  * One connection to a node, with one attempt on it at a time. It reports the outcome of each attempt once, and
  * tells its owner when it is idle or closed. Belongs to the event loop of the client.
  */
-final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
+final class NodeConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
     /** The pool that opened the connection. */
     interface Owner {
         /** The connection can carry another attempt. */
-        void idle(Connection connection);
+        void onIdle(NodeConnection connection);
 
         /**
          * The connection is closed.
          *
-         * @param farewell whether the node had announced that it would close it
+         * @param closeAnnounced whether the node had announced that it would close it
          */
-        void gone(Connection connection, boolean farewell);
+        void onClosed(NodeConnection connection, boolean closeAnnounced);
     }
 
     /** Receives the outcome of an attempt, once. */
-    interface Listener {
+    interface AttemptListener {
         /**
          * The attempt has ended.
          *
          * @param retryAfterNanos 0 for no advice
          * @param body null unless it was answered
          */
-        void ended(Outcome outcome, long retryAfterNanos, byte[] body);
+        void onAttemptEnded(AttemptOutcome outcome, long retryAfterNanos, byte[] body);
     }
 
     final String node;
     private final Owner owner;
     private Channel channel;
-    private Listener listener;
-    private boolean written;
-    private boolean used;
-    private boolean farewell;
+    private AttemptListener listener;
+    private boolean requestWritten;
+    private boolean hasReceivedResponse;
+    private boolean closeAnnounced;
 
-    Connection(String node, Owner owner) {
+    NodeConnection(String node, Owner owner) {
         this.node = node;
         this.owner = owner;
     }
 
     /** Sends an attempt; takes ownership of the request. */
-    void send(FullHttpRequest request, Listener to) {
-        listener = to;
-        written = false;
-        channel.writeAndFlush(request).addListener(done -> {
-            if (done.isSuccess()) {
-                written = listener == to;
-            } else if (listener == to) {
+    void send(FullHttpRequest request, AttemptListener attemptListener) {
+        listener = attemptListener;
+        requestWritten = false;
+        channel.writeAndFlush(request).addListener(writeFuture -> {
+            if (writeFuture.isSuccess()) {
+                requestWritten = listener == attemptListener;
+            } else if (listener == attemptListener) {
                 channel.close();
             }
         });
     }
 
     /** Abandons the attempt and closes the connection: a late response could not be told from the next one. */
-    void giveUp() {
+    void abandonAttempt() {
         listener = null;
         channel.close();
     }
@@ -87,33 +87,35 @@
                 && response.status().code() != 101) {
             return;
         }
-        if (listener == null || !written || response.decoderResult().isFailure()) {
+        if (listener == null || !requestWritten || response.decoderResult().isFailure()) {
             // Unsolicited or malformed: the connection is out of step, and no later response on it can be
             // trusted.
-            end(Outcome.BROKEN, 0, null);
+            endAttempt(AttemptOutcome.TRANSPORT_ERROR, 0, null);
             channel.close();
             return;
         }
-        boolean keep = HttpUtil.isKeepAlive(response);
-        farewell |= !keep;
+        boolean keepAlive = HttpUtil.isKeepAlive(response);
+        closeAnnounced |= !keepAlive;
         int status = response.status().code();
         byte[] body = null;
         if (status == 200) {
             body = new byte[response.content().readableBytes()];
             response.content().readBytes(body);
         }
-        long retryAfter = RetryAfter.nanos(response.headers().get(HttpHeaderNames.RETRY_AFTER), Instant.now());
-        used = true;
-        Outcome outcome =
-                status == 200 ? Outcome.ANSWERED : status == 429 || status == 503 ? Outcome.REFUSED : Outcome.FAILED;
-        if (keep) {
-            Listener to = listener;
+        long retryAfter =
+                RetryAfterHeader.parseNanos(response.headers().get(HttpHeaderNames.RETRY_AFTER), Instant.now());
+        hasReceivedResponse = true;
+        AttemptOutcome outcome = status == 200
+                ? AttemptOutcome.OK
+                : status == 429 || status == 503 ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR_RESPONSE;
+        if (keepAlive) {
+            AttemptListener attemptListener = listener;
             listener = null;
-            owner.idle(this);
-            to.ended(outcome, retryAfter, body);
+            owner.onIdle(this);
+            attemptListener.onAttemptEnded(outcome, retryAfter, body);
         } else {
             channel.close();
-            end(outcome, retryAfter, body);
+            endAttempt(outcome, retryAfter, body);
         }
     }
 
@@ -126,15 +128,20 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         // A request that was not completely written cannot have been executed. One that was may have been, even
         // if the connection was closed before.
-        end(!written ? Outcome.NOT_SENT : used ? Outcome.LOST : Outcome.BROKEN, 0, null);
-        owner.gone(this, farewell);
+        endAttempt(
+                !requestWritten
+                        ? AttemptOutcome.NOT_SENT
+                        : hasReceivedResponse ? AttemptOutcome.STALE_CONNECTION : AttemptOutcome.TRANSPORT_ERROR,
+                0,
+                null);
+        owner.onClosed(this, closeAnnounced);
     }
 
-    private void end(Outcome outcome, long retryAfter, byte[] body) {
-        Listener to = listener;
+    private void endAttempt(AttemptOutcome outcome, long retryAfter, byte[] body) {
+        AttemptListener attemptListener = listener;
         listener = null;
-        if (to != null) {
-            to.ended(outcome, retryAfter, body);
+        if (attemptListener != null) {
+            attemptListener.onAttemptEnded(outcome, retryAfter, body);
         }
     }
 }
--- a/client/src/main/java/weldhitch/client/Answer.java
+++ b/client/src/main/java/weldhitch/client/Response.java
@@ -4,6 +4,6 @@
  * A successful response.
  *
  * @param body as the server sent it; not copied
- * @param tries attempts sent, 1 or more
+ * @param attempts attempts sent, 1 or more
  */
-public record Answer(byte[] body, int tries) {}
+public record Response(byte[] body, int attempts) {}
--- a/client/src/main/java/weldhitch/client/WeldhitchClient.java
+++ b/client/src/main/java/weldhitch/client/WeldhitchClient.java
@@ -25,12 +25,12 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import weldhitch.client.policy.ClientCore;
-import weldhitch.client.policy.ClientCore.Action;
-import weldhitch.client.policy.ClientCore.Event;
-import weldhitch.client.policy.ClientRules;
-import weldhitch.client.policy.Effect;
-import weldhitch.client.policy.Outcome;
+import weldhitch.client.policy.AttemptOutcome;
+import weldhitch.client.policy.CallStateMachine;
+import weldhitch.client.policy.CallStateMachine.Action;
+import weldhitch.client.policy.CallStateMachine.Event;
+import weldhitch.client.policy.ClientPolicy;
+import weldhitch.client.policy.Idempotency;
 
 /**
  * A client of balancer nodes that enforces deadlines, retries only what may be executed again, honours
@@ -45,39 +45,44 @@
  */
 public final class WeldhitchClient implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(WeldhitchClient.class);
-    private static final SecureRandom IDS = new SecureRandom();
+    private static final SecureRandom RANDOM = new SecureRandom();
 
-    private final EventLoopGroup ownGroup;
-    private final EventLoop loop;
-    private final Pool pool;
-    private final ClientCore core;
-    private final long usualDeadline;
-    private final Map<Long, Open> open = new LinkedHashMap<>();
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private Future<?> wake;
-    private boolean telling;
+    private final EventLoopGroup ownedEventLoopGroup;
+    private final EventLoop eventLoop;
+    private final ConnectionPool connectionPool;
+    private final CallStateMachine stateMachine;
+    private final long defaultTimeoutNanos;
+    private final Map<Long, PendingCall> pendingCalls = new LinkedHashMap<>();
+    private final ArrayDeque<Event> eventQueue = new ArrayDeque<>();
+    private Future<?> timer;
+    private boolean delivering;
     private boolean closed;
-    private long calls;
+    private long lastCallId;
 
     /** A call that has not completed; belongs to the event loop. */
-    private static final class Open {
+    private static final class PendingCall {
         final Request request;
-        final CompletableFuture<Answer> answer;
-        Pool.Sending sending;
-        byte[] body;
+        final CompletableFuture<Response> response;
+        ConnectionPool.AttemptHandle attemptHandle;
+        byte[] responseBody;
 
-        Open(Request request, CompletableFuture<Answer> answer) {
+        PendingCall(Request request, CompletableFuture<Response> response) {
             this.request = request;
-            this.answer = answer;
+            this.response = response;
         }
     }
 
-    private WeldhitchClient(Builder with) {
-        ownGroup = with.group == null ? new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()) : null;
-        loop = (with.group == null ? ownGroup : with.group).next();
-        usualDeadline = with.deadline.toNanos();
-        pool = new Pool(loop, (int) with.connect.toMillis(), with.dials, node -> tell(new ClientCore.Lost(node)));
-        core = new ClientCore(with.rules, with.nodes, with.seed);
+    private WeldhitchClient(Builder builder) {
+        ownedEventLoopGroup =
+                builder.eventLoopGroup == null ? new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()) : null;
+        eventLoop = (builder.eventLoopGroup == null ? ownedEventLoopGroup : builder.eventLoopGroup).next();
+        defaultTimeoutNanos = builder.defaultTimeout.toNanos();
+        connectionPool = new ConnectionPool(
+                eventLoop,
+                (int) builder.connectTimeout.toMillis(),
+                builder.maxConcurrentConnects,
+                node -> submit(new CallStateMachine.ConnectionLost(node)));
+        stateMachine = new CallStateMachine(builder.policy, builder.nodes, builder.seed);
     }
 
     /** A builder with the default settings. */
@@ -89,18 +94,18 @@
      * Sends a request without blocking. The future completes once and no later than the deadline: with the
      * response, with a {@link CallException}, or cancelled if the caller cancels it or the client is closed.
      */
-    public CompletableFuture<Answer> send(Request request) {
-        CompletableFuture<Answer> answer = new CompletableFuture<>();
+    public CompletableFuture<Response> sendAsync(Request request) {
+        CompletableFuture<Response> response = new CompletableFuture<>();
         long deadline = System.nanoTime()
-                + (request.deadline() == null
-                        ? usualDeadline
-                        : request.deadline().toNanos());
+                + (request.timeout() == null
+                        ? defaultTimeoutNanos
+                        : request.timeout().toNanos());
         try {
-            loop.execute(() -> begin(request, deadline, answer));
+            eventLoop.execute(() -> startCall(request, deadline, response));
         } catch (RejectedExecutionException e) {
-            answer.cancel(false);
+            response.cancel(false);
         }
-        return answer;
+        return response;
     }
 
     /**
@@ -109,12 +114,12 @@
      * @throws CallException if there is no response
      * @throws CancellationException if the client is closed meanwhile
      */
-    public Answer ask(Request request) {
+    public Response send(Request request) {
         try {
-            return send(request).join();
+            return sendAsync(request).join();
         } catch (CompletionException e) {
-            if (e.getCause() instanceof CallException known) {
-                throw known;
+            if (e.getCause() instanceof CallException callFailure) {
+                throw callFailure;
             }
             throw e;
         }
@@ -125,115 +130,124 @@
      *
      * @throws IllegalArgumentException if an address is not host:port
      */
-    public void nodes(List<String> addresses) {
-        List<String> copy = List.copyOf(addresses);
-        copy.forEach(Builder::checkAddress);
-        loop.execute(() -> tell(new ClientCore.Nodes(copy)));
+    public void updateNodes(List<String> addresses) {
+        List<String> newAddresses = List.copyOf(addresses);
+        newAddresses.forEach(Builder::requireValidAddress);
+        eventLoop.execute(() -> submit(new CallStateMachine.NodesChanged(newAddresses)));
     }
 
-    private void begin(Request request, long deadline, CompletableFuture<Answer> answer) {
+    private void startCall(Request request, long deadline, CompletableFuture<Response> response) {
         if (closed) {
-            answer.cancel(false);
+            response.cancel(false);
             return;
         }
-        long id = ++calls;
-        open.put(id, new Open(request, answer));
-        answer.whenComplete((a, e) -> {
-            if (answer.isCancelled()) {
+        long callId = ++lastCallId;
+        pendingCalls.put(callId, new PendingCall(request, response));
+        response.whenComplete((result, failure) -> {
+            if (response.isCancelled()) {
                 try {
-                    loop.execute(() -> tell(new ClientCore.CalledOff(id)));
-                } catch (RejectedExecutionException closing) {
+                    eventLoop.execute(() -> submit(new CallStateMachine.CallCancelled(callId)));
+                } catch (RejectedExecutionException loopClosed) {
                     // close() has cancelled the call already.
                 }
             }
         });
-        tell(new ClientCore.Started(id, request.requestClass(), request.effect(), deadline));
+        submit(new CallStateMachine.CallStarted(callId, request.requestClass(), request.idempotency(), deadline));
     }
 
     // ---- on the loop ----
 
-    private void tell(Event event) {
-        events.add(event);
-        if (telling) {
+    private void submit(Event event) {
+        eventQueue.add(event);
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         try {
-            for (Event next = events.poll(); next != null; next = events.poll()) {
-                core.handle(System.nanoTime(), next).forEach(this::carryOut);
+            for (Event nextEvent = eventQueue.poll(); nextEvent != null; nextEvent = eventQueue.poll()) {
+                stateMachine.handle(System.nanoTime(), nextEvent).forEach(this::execute);
             }
         } finally {
-            telling = false;
+            delivering = false;
         }
     }
 
-    private void carryOut(Action action) {
-        if (action instanceof ClientCore.Try attempt) {
-            Open call = open.get(attempt.call());
-            call.sending = pool.send(attempt.node(), message(call.request, attempt), (outcome, retryAfter, body) -> {
-                call.body = body;
-                if (outcome != Outcome.ANSWERED) {
-                    LOG.debug(
-                            "try {} of {} at {}: {}",
-                            attempt.attempt(),
-                            call.request.requestClass(),
-                            attempt.node(),
-                            outcome);
-                }
-                tell(new ClientCore.Ended(attempt.call(), attempt.attempt(), outcome, retryAfter));
-            });
-        } else if (action instanceof ClientCore.GiveUp) {
-            open.get(((ClientCore.GiveUp) action).call()).sending.giveUp();
-        } else if (action instanceof ClientCore.Finish end) {
-            finish(open.remove(end.call()), end);
-        } else if (action instanceof ClientCore.Wake later) {
-            if (wake != null) {
-                wake.cancel(false);
+    private void execute(Action action) {
+        if (action instanceof CallStateMachine.SendAttempt attempt) {
+            PendingCall call = pendingCalls.get(attempt.callId());
+            call.attemptHandle = connectionPool.send(
+                    attempt.node(), toHttpRequest(call.request, attempt), (outcome, retryAfter, body) -> {
+                        call.responseBody = body;
+                        if (outcome != AttemptOutcome.OK) {
+                            LOG.debug(
+                                    "try {} of {} at {}: {}",
+                                    attempt.attempt(),
+                                    call.request.requestClass(),
+                                    attempt.node(),
+                                    outcome);
+                        }
+                        submit(new CallStateMachine.AttemptEnded(
+                                attempt.callId(), attempt.attempt(), outcome, retryAfter));
+                    });
+        } else if (action instanceof CallStateMachine.CancelAttempt) {
+            pendingCalls
+                    .get(((CallStateMachine.CancelAttempt) action).callId())
+                    .attemptHandle
+                    .abandon();
+        } else if (action instanceof CallStateMachine.CompleteCall completion) {
+            complete(pendingCalls.remove(completion.callId()), completion);
+        } else if (action instanceof CallStateMachine.ScheduleTimer schedule) {
+            if (timer != null) {
+                timer.cancel(false);
             }
-            wake = loop.schedule(
-                    () -> tell(new ClientCore.Due()),
-                    Math.max(0, later.at() - System.nanoTime()),
+            timer = eventLoop.schedule(
+                    () -> submit(new CallStateMachine.TimerFired()),
+                    Math.max(0, schedule.at() - System.nanoTime()),
                     TimeUnit.NANOSECONDS);
         }
     }
 
-    private static void finish(Open call, ClientCore.Finish end) {
-        switch (end.verdict()) {
-            case SERVED -> call.answer.complete(new Answer(call.body, end.tries()));
-            case CANCELLED -> call.answer.cancel(false);
-            case FAILED -> call.answer.completeExceptionally(new CallException.Failed(end.tries()));
-            case OUTCOME_UNKNOWN -> call.answer.completeExceptionally(new CallException.OutcomeUnknown(end.tries()));
-            case REFUSED, THROTTLED, UNREACHABLE, TOO_LATE ->
-                call.answer.completeExceptionally(
-                        new CallException.NotRun(end.verdict(), end.tries(), Duration.ofNanos(end.retryAfter())));
+    private static void complete(PendingCall call, CallStateMachine.CompleteCall completion) {
+        switch (completion.result()) {
+            case SUCCEEDED -> call.response.complete(new Response(call.responseBody, completion.attempts()));
+            case CANCELLED -> call.response.cancel(false);
+            case FAILED -> call.response.completeExceptionally(new CallException.Failed(completion.attempts()));
+            case OUTCOME_UNKNOWN ->
+                call.response.completeExceptionally(new CallException.OutcomeUnknown(completion.attempts()));
+            case REJECTED, THROTTLED, UNREACHABLE, DEADLINE_EXCEEDED ->
+                call.response.completeExceptionally(new CallException.NotExecuted(
+                        completion.result(), completion.attempts(), Duration.ofNanos(completion.retryAfter())));
         }
     }
 
-    private static FullHttpRequest message(Request request, ClientCore.Try attempt) {
+    private static FullHttpRequest toHttpRequest(Request request, CallStateMachine.SendAttempt attempt) {
         byte[] body = request.body();
-        FullHttpRequest message = new DefaultFullHttpRequest(
+        FullHttpRequest httpRequest = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
-                request.effect() == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST,
+                request.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST,
                 "/" + request.requestClass() + request.path(),
                 Unpooled.wrappedBuffer(body));
-        message.headers()
+        httpRequest
+                .headers()
                 .set("Host", attempt.node())
-                .set("X-Trace-Id", String.format("%016x", IDS.nextLong()))
+                .set("X-Trace-Id", String.format("%016x", RANDOM.nextLong()))
                 .set("X-Qos", request.requestClass())
-                .set("X-Expires-In", String.format(Locale.ROOT, "%.3f", Math.max(0.001, attempt.left() / 1e9)));
+                .set(
+                        "X-Expires-In",
+                        String.format(Locale.ROOT, "%.3f", Math.max(0.001, attempt.remainingTime() / 1e9)));
         if (request.tenant() != null) {
-            message.headers().set("X-Customer", request.tenant());
+            httpRequest.headers().set("X-Customer", request.tenant());
         }
-        if (request.key() != null) {
-            message.headers().set("Idempotency-Key", request.key());
+        if (request.idempotencyKey() != null) {
+            httpRequest.headers().set("Idempotency-Key", request.idempotencyKey());
         }
         if (attempt.attempt() > 0) {
-            message.headers().set("X-Second-Try", "1");
+            httpRequest.headers().set("X-Second-Try", "1");
         }
-        if (request.effect() != Effect.SAFE) {
-            message.headers().set("Content-Length", body.length);
+        if (request.idempotency() != Idempotency.IDEMPOTENT) {
+            httpRequest.headers().set("Content-Length", body.length);
         }
-        return message;
+        return httpRequest;
     }
 
     /**
@@ -242,33 +256,34 @@
      */
     @Override
     public void close() {
-        if (!loop.isShuttingDown()) {
-            loop.submit(() -> {
+        if (!eventLoop.isShuttingDown()) {
+            eventLoop
+                    .submit(() -> {
                         closed = true;
-                        for (Long call : List.copyOf(open.keySet())) {
-                            tell(new ClientCore.CalledOff(call));
+                        for (Long callId : List.copyOf(pendingCalls.keySet())) {
+                            submit(new CallStateMachine.CallCancelled(callId));
                         }
-                        pool.close();
-                        if (wake != null) {
-                            wake.cancel(false);
+                        connectionPool.close();
+                        if (timer != null) {
+                            timer.cancel(false);
                         }
                     })
                     .awaitUninterruptibly();
         }
-        if (ownGroup != null) {
-            ownGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        if (ownedEventLoopGroup != null) {
+            ownedEventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
         }
     }
 
     /** Builds a client; {@link #build} reports all invalid settings at once. Not thread-safe. */
     public static final class Builder {
         private List<String> nodes = List.of();
-        private ClientRules rules = ClientRules.USUAL;
-        private Duration deadline = Duration.ofSeconds(3);
-        private Duration connect = Duration.ofSeconds(1);
-        private int dials = 4;
-        private long seed = IDS.nextLong();
-        private EventLoopGroup group;
+        private ClientPolicy policy = ClientPolicy.DEFAULTS;
+        private Duration defaultTimeout = Duration.ofSeconds(3);
+        private Duration connectTimeout = Duration.ofSeconds(1);
+        private int maxConcurrentConnects = 4;
+        private long seed = RANDOM.nextLong();
+        private EventLoopGroup eventLoopGroup;
 
         private Builder() {}
 
@@ -278,27 +293,27 @@
             return this;
         }
 
-        /** The retry, throttling and ejection settings; {@link ClientRules#USUAL} by default. */
-        public Builder rules(ClientRules figures) {
-            rules = figures;
+        /** The retry, throttling and ejection settings; {@link ClientPolicy#DEFAULTS} by default. */
+        public Builder policy(ClientPolicy value) {
+            policy = value;
             return this;
         }
 
         /** Timeout of requests that set none; 3 s by default. */
-        public Builder deadline(Duration usual) {
-            deadline = usual;
+        public Builder defaultTimeout(Duration value) {
+            defaultTimeout = value;
             return this;
         }
 
         /** How long establishing a connection may take; 1 s by default. */
-        public Builder connectTimeout(Duration most) {
-            connect = most;
+        public Builder connectTimeout(Duration value) {
+            connectTimeout = value;
             return this;
         }
 
         /** How many connections may be established concurrently; 4 by default. */
-        public Builder dials(int most) {
-            dials = most;
+        public Builder maxConcurrentConnects(int value) {
+            maxConcurrentConnects = value;
             return this;
         }
 
@@ -312,23 +327,23 @@
          * An event loop group that the caller owns and shuts down; by default the client has one thread of its
          * own.
          */
-        public Builder group(EventLoopGroup shared) {
-            group = shared;
+        public Builder eventLoopGroup(EventLoopGroup value) {
+            eventLoopGroup = value;
             return this;
         }
 
-        private static String wrongIn(String address) {
+        private static String addressError(String address) {
             int colon = address.lastIndexOf(':');
-            boolean sound = colon > 0
+            boolean valid = colon > 0
                     && address.substring(colon + 1).matches("\\d{1,5}")
                     && Integer.parseInt(address.substring(colon + 1)) <= 65_535;
-            return sound ? null : "nodes: " + address + ", expected host:port";
+            return valid ? null : "nodes: " + address + ", expected host:port";
         }
 
-        private static void checkAddress(String address) {
-            String wrong = wrongIn(address);
-            if (wrong != null) {
-                throw new IllegalArgumentException(wrong);
+        private static void requireValidAddress(String address) {
+            String error = addressError(address);
+            if (error != null) {
+                throw new IllegalArgumentException(error);
             }
         }
 
@@ -338,27 +353,27 @@
          * @throws IllegalArgumentException naming all invalid settings
          */
         public WeldhitchClient build() {
-            List<String> wrong = new ArrayList<>();
+            List<String> errors = new ArrayList<>();
             if (nodes.isEmpty()) {
-                wrong.add("nodes: none, expected one or more");
+                errors.add("nodes: none, expected one or more");
             }
-            nodes.forEach(n -> {
-                String what = wrongIn(n);
-                if (what != null) {
-                    wrong.add(what);
+            nodes.forEach(address -> {
+                String error = addressError(address);
+                if (error != null) {
+                    errors.add(error);
                 }
             });
-            if (deadline.isNegative() || deadline.isZero()) {
-                wrong.add("deadline: " + deadline + ", expected more than nothing");
+            if (defaultTimeout.isNegative() || defaultTimeout.isZero()) {
+                errors.add("deadline: " + defaultTimeout + ", expected more than nothing");
             }
-            if (connect.toMillis() < 1 || connect.toMillis() > 60_000) {
-                wrong.add("connectTimeout: " + connect + ", expected 1 ms to 1 minute");
+            if (connectTimeout.toMillis() < 1 || connectTimeout.toMillis() > 60_000) {
+                errors.add("connectTimeout: " + connectTimeout + ", expected 1 ms to 1 minute");
             }
-            if (dials < 1) {
-                wrong.add("dials: " + dials + ", expected 1 or more");
+            if (maxConcurrentConnects < 1) {
+                errors.add("dials: " + maxConcurrentConnects + ", expected 1 or more");
             }
-            if (!wrong.isEmpty()) {
-                throw new IllegalArgumentException(String.join("; ", wrong));
+            if (!errors.isEmpty()) {
+                throw new IllegalArgumentException(String.join("; ", errors));
             }
             return new WeldhitchClient(this);
         }
--- a/client/src/main/java/weldhitch/client/policy/Throttle.java
+++ b/client/src/main/java/weldhitch/client/policy/AdaptiveThrottle.java
@@ -7,46 +7,46 @@
  * one request would otherwise throttle half of what comes next). A request counts when it is rejected, accepted
  * or throttled: while its response is outstanding nothing is known. Single-threaded.
  */
-final class Throttle {
+final class AdaptiveThrottle {
     /** Time constant of the decay in nanoseconds. */
-    private static final double FADE = 30e9;
+    private static final double DECAY_NANOS = 30e9;
 
-    private static final double FREE = 5;
+    private static final double REJECTION_ALLOWANCE = 5;
 
-    private final double k;
+    private final double multiplier;
     private double requests;
     private double accepts;
-    private long at;
+    private long decayedAt;
 
-    Throttle(double k) {
-        this.k = k;
+    AdaptiveThrottle(double multiplier) {
+        this.multiplier = multiplier;
     }
 
     /** The probability with which to reject locally now. */
-    double chance(long now) {
-        fade(now);
-        return Math.max(0, (requests - k * accepts - FREE) / (requests + 1));
+    double rejectionProbability(long now) {
+        decay(now);
+        return Math.max(0, (requests - multiplier * accepts - REJECTION_ALLOWANCE) / (requests + 1));
     }
 
     /** The node rejected a request, or it was throttled here. */
-    void turnedAway(long now) {
-        fade(now);
+    void recordRejection(long now) {
+        decay(now);
         requests++;
     }
 
     /** The node accepted a request, whatever its result. */
-    void accept(long now) {
-        fade(now);
+    void recordAccept(long now) {
+        decay(now);
         requests++;
         accepts++;
     }
 
-    private void fade(long now) {
-        if (now > at) {
-            double left = Math.exp((at - now) / FADE);
-            requests *= left;
-            accepts *= left;
-            at = now;
+    private void decay(long now) {
+        if (now > decayedAt) {
+            double factor = Math.exp((decayedAt - now) / DECAY_NANOS);
+            requests *= factor;
+            accepts *= factor;
+            decayedAt = now;
         }
     }
 }
--- a/client/src/main/java/weldhitch/client/policy/Outcome.java
+++ b/client/src/main/java/weldhitch/client/policy/AttemptOutcome.java
@@ -1,24 +1,24 @@
 package weldhitch.client.policy;
 
 /** How one attempt ended. */
-public enum Outcome {
+public enum AttemptOutcome {
     /** A complete response with status 200. */
-    ANSWERED(false),
+    OK(false),
     /** Status 429 or 503: the node states that the request was not executed. */
-    REFUSED(true),
+    REJECTED(true),
     /** Any other status, which says nothing about execution. */
-    FAILED(false),
+    ERROR_RESPONSE(false),
     /** Not completely written, or no connection was established. */
     NOT_SENT(true),
     /** Completely written to a reused connection, which was then closed without a response byte. */
-    LOST(false),
+    STALE_CONNECTION(false),
     /** Connection reset or closed, response malformed, or no response in time. */
-    BROKEN(false);
+    TRANSPORT_ERROR(false);
 
     /** Whether this outcome proves that the attempt was not executed. */
-    public final boolean neverRan;
+    public final boolean notExecuted;
 
-    Outcome(boolean neverRan) {
-        this.neverRan = neverRan;
+    AttemptOutcome(boolean notExecuted) {
+        this.notExecuted = notExecuted;
     }
 }
--- a/client/src/main/java/weldhitch/client/policy/Verdict.java
+++ b/client/src/main/java/weldhitch/client/policy/CallResult.java
@@ -1,17 +1,17 @@
 package weldhitch.client.policy;
 
 /** How a call ended. */
-public enum Verdict {
+public enum CallResult {
     /** A node answered with success. */
-    SERVED,
+    SUCCEEDED,
     /** Rejected by nodes: it was not executed, and a later call does no harm. */
-    REFUSED,
+    REJECTED,
     /** Rejected by the client itself, as its nodes reject most of its requests: it was not executed. */
     THROTTLED,
     /** No node could be reached: it was not executed. */
     UNREACHABLE,
     /** Its deadline is too close or has passed, and it was not executed. */
-    TOO_LATE,
+    DEADLINE_EXCEEDED,
     /** An idempotent call without a response. */
     FAILED,
     /** It may have been executed, or may be yet: neither a failure nor a success. */
--- /dev/null
+++ b/client/src/main/java/weldhitch/client/policy/CallStateMachine.java
@@ -0,0 +1,442 @@
+package weldhitch.client.policy;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.core.source64.SplitMix64;
+
+/**
+ * All decisions of a client: which node an attempt goes to and when, whether there is another, and how the call
+ * ends. Driven by {@code WeldhitchClient}, which executes the returned actions.
+ *
+ * <p>Invariants: a non-idempotent call is retried only if every attempt before is known not to have been
+ * executed; one with an idempotency key only within the deduplication window; no attempt starts that cannot end
+ * before the deadline; a call that cannot succeed any more ends at once; a node that sent Retry-After gets no
+ * attempt of any call until then; reconnects to lost nodes are spread differently by each client.
+ * Single-threaded; the caller passes the time (nanoseconds, any origin), and all randomness comes from the
+ * seed.
+ */
+public final class CallStateMachine {
+    /** An input of the state machine. */
+    public sealed interface Event
+            permits CallStarted, AttemptEnded, CallCancelled, TimerFired, ConnectionLost, NodesChanged {}
+
+    /**
+     * A call begins.
+     *
+     * @param deadline a time in nanoseconds, not a duration
+     */
+    public record CallStarted(long callId, String requestClass, Idempotency idempotency, long deadline)
+            implements Event {}
+
+    /**
+     * An attempt has ended; not reported for an attempt that was cancelled.
+     *
+     * @param retryAfter nanoseconds that a rejection asks to wait; 0 for none
+     */
+    public record AttemptEnded(long callId, int attempt, AttemptOutcome outcome, long retryAfter) implements Event {}
+
+    /** The caller has cancelled its call. */
+    public record CallCancelled(long callId) implements Event {}
+
+    /** The time requested by {@link ScheduleTimer} has come. */
+    public record TimerFired() implements Event {}
+
+    /** The last connection to a node was closed without notice, with no attempt on it. */
+    public record ConnectionLost(String node) implements Event {}
+
+    /** Replaces the list of nodes. */
+    public record NodesChanged(List<String> addresses) implements Event {}
+
+    /** An output of the state machine; actions are executed in the order returned. */
+    public sealed interface Action permits SendAttempt, CancelAttempt, CompleteCall, ScheduleTimer {}
+
+    /**
+     * Send an attempt to a node.
+     *
+     * @param attempt counts the attempts of the call from 0
+     * @param remainingTime nanoseconds until the deadline of the call
+     */
+    public record SendAttempt(long callId, int attempt, String node, long remainingTime) implements Action {}
+
+    /** Abandon an attempt: its outcome is not needed any more. */
+    public record CancelAttempt(long callId, int attempt) implements Action {}
+
+    /**
+     * Complete the call; sent once for each.
+     *
+     * @param attempts attempts sent
+     * @param retryAfter nanoseconds after which a new call may succeed; 0 for no advice
+     */
+    public record CompleteCall(long callId, CallResult result, int attempts, long retryAfter) implements Action {}
+
+    /** Deliver {@link TimerFired} at this time (nanoseconds); replaces the timer scheduled before, which was later. */
+    public record ScheduleTimer(long at) implements Action {}
+
+    /** Upper bound on an honoured Retry-After: an hour. A longer one is cut to this. */
+    private static final long MAX_RETRY_AFTER = 3600 * ClientPolicy.SECOND;
+
+    /**
+     * How long a probe may go unanswered before that counts as a failure, while no latency of its class is
+     * known.
+     */
+    private static final long DEFAULT_RESPONSE_TIMEOUT = ClientPolicy.SECOND;
+
+    private final ClientPolicy policy;
+    private final long clientId;
+    private final UniformRandomProvider random;
+    private final ReconnectJitter reconnectJitter;
+    private final RetryBudget retryBudget;
+    private final Map<String, NodeState> nodes = new LinkedHashMap<>();
+    private final Map<Long, OutgoingCall> calls = new LinkedHashMap<>();
+    private final Map<String, LatencyEstimate> latencyByClass = new LinkedHashMap<>();
+    private long timerAt = Long.MAX_VALUE;
+    private long now;
+    private List<Action> actions;
+
+    /**
+     * A state machine without calls.
+     *
+     * @param seed unique to this client: two clients with one seed would reconnect at the same times
+     */
+    public CallStateMachine(ClientPolicy policy, List<String> addresses, long seed) {
+        this.policy = policy;
+        clientId = seed;
+        random = new SplitMix64(seed);
+        reconnectJitter = new ReconnectJitter(policy.minReconnectWindow(), policy.maxReconnectWindow());
+        retryBudget = new RetryBudget(policy.retryRatio(), policy.minRetriesPerSecond());
+        updateNodes(addresses);
+    }
+
+    /**
+     * Handles one event and returns the actions, in order.
+     *
+     * @param eventTime the time of the event; one before the last event counts as the time of the last
+     */
+    public List<Action> handle(long eventTime, Event event) {
+        now = Math.max(now == 0 ? eventTime : now, eventTime);
+        actions = new ArrayList<>(2);
+        if (event instanceof CallStarted e) {
+            startCall(e);
+        } else if (event instanceof AttemptEnded e) {
+            onAttemptEnded(e);
+        } else if (event instanceof CallCancelled e) {
+            OutgoingCall call = calls.get(e.callId());
+            if (call != null) {
+                complete(call, CallResult.CANCELLED, 0);
+            }
+        } else if (event instanceof ConnectionLost e) {
+            NodeState node = nodes.get(e.node());
+            if (node != null && node.availability == NodeState.Availability.UP && node.inFlight == 0) {
+                eject(node);
+            }
+        } else if (event instanceof NodesChanged e) {
+            updateNodes(e.addresses());
+        } else {
+            timerAt = Long.MAX_VALUE;
+        }
+        processWaitingCalls();
+        return actions;
+    }
+
+    private void updateNodes(List<String> addresses) {
+        List<String> subset = NodeSubset.select(addresses, policy.subsetSize(), clientId);
+        nodes.keySet().retainAll(subset);
+        subset.forEach(address -> nodes.computeIfAbsent(address, NodeState::new));
+    }
+
+    // ---- calls ----
+
+    private void startCall(CallStarted started) {
+        if (calls.containsKey(started.callId())) {
+            return;
+        }
+        OutgoingCall call =
+                new OutgoingCall(started.callId(), started.requestClass(), started.idempotency(), started.deadline());
+        calls.put(call.id, call);
+        retryBudget.recordCall(now);
+        call.paid = true;
+        sendAttempt(call);
+    }
+
+    /** Checks all calls that wait for a time, for a node with capacity, or for their deadline. */
+    private void processWaitingCalls() {
+        long nextTimer = Long.MAX_VALUE;
+        for (OutgoingCall call : List.copyOf(calls.values())) {
+            if (now >= call.deadline) {
+                onDeadlineExceeded(call);
+            } else if (call.currentNode == null && call.resumeAt <= now) {
+                sendAttempt(call);
+            }
+            if (calls.containsKey(call.id)) {
+                nextTimer = Math.min(
+                        nextTimer,
+                        call.currentNode == null && call.resumeAt > now
+                                ? Math.min(call.resumeAt, call.deadline)
+                                : call.deadline);
+            }
+        }
+        if (nextTimer < timerAt) {
+            timerAt = nextTimer;
+            actions.add(new ScheduleTimer(nextTimer));
+        }
+    }
+
+    private void onDeadlineExceeded(OutgoingCall call) {
+        if (call.currentNode != null) {
+            // A node that does not answer in time has failed. But a probe cut short by the deadline of its own
+            // call proves nothing, and another ejection period would keep the client away from a node that may
+            // be up.
+            LatencyEstimate latency = latencyByClass.get(call.requestClass);
+            if (call.currentNode.availability != NodeState.Availability.PROBING
+                    || now - call.sentAt >= (latency == null ? DEFAULT_RESPONSE_TIMEOUT : latency.responseTimeout())) {
+                recordFailure(call.currentNode);
+            }
+            markPossiblyExecuted(call);
+        }
+        complete(
+                call,
+                call.possiblyExecuted
+                        ? unansweredResult(call)
+                        : call.lastOutcome == AttemptOutcome.REJECTED
+                                ? CallResult.REJECTED
+                                : CallResult.DEADLINE_EXCEEDED,
+                0);
+    }
+
+    private CallResult unansweredResult(OutgoingCall call) {
+        return call.idempotency == Idempotency.IDEMPOTENT ? CallResult.FAILED : CallResult.OUTCOME_UNKNOWN;
+    }
+
+    private void markPossiblyExecuted(OutgoingCall call) {
+        if (!call.possiblyExecuted) {
+            call.possiblyExecuted = true;
+            call.possiblyExecutedSince = call.sentAt;
+        }
+    }
+
+    /** Sends the call to a node, or lets it wait if that can help, or ends it. */
+    private void sendAttempt(OutgoingCall call) {
+        if (nodes.isEmpty()) {
+            complete(call, call.possiblyExecuted ? unansweredResult(call) : CallResult.UNREACHABLE, 0);
+            return;
+        }
+        NodeState node = pickNode(call);
+        if (node == null) {
+            long earliestAvailable = nodes.values().stream()
+                    .mapToLong(NodeState::availableAt)
+                    .min()
+                    .orElse(Long.MAX_VALUE);
+            if (earliestAvailable < Long.MAX_VALUE
+                    && earliestAvailable > now
+                    && !canFinishInTime(call, earliestAvailable)) {
+                failWithoutAttempt(call, earliestAvailable - now);
+                return;
+            }
+            // Waits for the time at which a node becomes available. If a probe is in flight or a node has no
+            // capacity, 0: the outcome of that attempt decides.
+            call.resumeAt = earliestAvailable < Long.MAX_VALUE && earliestAvailable > now ? earliestAvailable : 0;
+            return;
+        }
+        if (!canFinishInTime(call, now)) {
+            failWithoutAttempt(call, 0);
+            return;
+        }
+        AdaptiveThrottle throttle = node.throttles.computeIfAbsent(
+                call.requestClass, c -> new AdaptiveThrottle(policy.throttleMultiplier()));
+        if (random.nextDouble() < throttle.rejectionProbability(now)
+                && node.availability == NodeState.Availability.UP) {
+            throttle.recordRejection(now);
+            complete(
+                    call,
+                    call.possiblyExecuted ? unansweredResult(call) : CallResult.THROTTLED,
+                    policy.initialBackoff());
+            return;
+        }
+        call.currentNode = node;
+        call.sentAt = now;
+        node.onSent();
+        actions.add(new SendAttempt(call.id, call.attempts++, node.address, call.deadline - now));
+    }
+
+    private boolean canFinishInTime(OutgoingCall call, long startTime) {
+        LatencyEstimate latency = latencyByClass.get(call.requestClass);
+        return startTime + (latency == null ? 0 : latency.minimum()) < call.deadline;
+    }
+
+    private void failWithoutAttempt(OutgoingCall call, long retryAfter) {
+        CallResult result = call.possiblyExecuted
+                ? unansweredResult(call)
+                : call.lastOutcome == AttemptOutcome.REJECTED
+                        ? CallResult.REJECTED
+                        : nodes.values().stream().allMatch(n -> n.availability != NodeState.Availability.UP)
+                                ? CallResult.UNREACHABLE
+                                : call.lastOutcome == null
+                                                && nodes.values().stream().anyMatch(n -> n.retryAfterUntil > now)
+                                        ? CallResult.REJECTED
+                                        : CallResult.DEADLINE_EXCEEDED;
+        complete(call, result, retryAfter);
+    }
+
+    /**
+     * Picks the less loaded of two random available nodes (power of two choices), leaving out the node of the
+     * last attempt if there are others; null if none is available.
+     */
+    private NodeState pickNode(OutgoingCall call) {
+        List<NodeState> candidates = new ArrayList<>(nodes.size());
+        for (NodeState node : nodes.values()) {
+            if (node.availableAt() <= now && node.hasCapacity()) {
+                candidates.add(node);
+            }
+        }
+        if (candidates.isEmpty()) {
+            return null;
+        }
+        if (candidates.size() > 1) {
+            candidates.remove(call.previousNode);
+        }
+        NodeState first = candidates.get(random.nextInt(candidates.size()));
+        NodeState second = candidates.get(random.nextInt(candidates.size()));
+        return second.inFlight < first.inFlight ? second : first;
+    }
+
+    // ---- ends of tries ----
+
+    private void onAttemptEnded(AttemptEnded ended) {
+        OutgoingCall call = calls.get(ended.callId());
+        if (call == null || call.currentNode == null || ended.attempt() != call.attempts - 1) {
+            return;
+        }
+        NodeState node = call.currentNode;
+        call.currentNode = null;
+        call.previousNode = node;
+        node.inFlight--;
+        call.lastOutcome = ended.outcome();
+        switch (ended.outcome()) {
+            case OK -> {
+                node.onResponse();
+                node.widenWindow();
+                recordAccept(node, call);
+                latencyByClass
+                        .computeIfAbsent(call.requestClass, c -> new LatencyEstimate())
+                        .record(now - call.sentAt);
+                complete(call, CallResult.SUCCEEDED, 0);
+                return;
+            }
+            case REJECTED -> {
+                node.onResponse();
+                node.throttles.get(call.requestClass).recordRejection(now);
+                if (ended.retryAfter() > 0) {
+                    node.honorRetryAfter(now + Math.min(MAX_RETRY_AFTER, ended.retryAfter()));
+                }
+            }
+            case ERROR_RESPONSE -> {
+                node.onResponse();
+                recordAccept(node, call);
+            }
+            case STALE_CONNECTION -> {
+                // An idle connection may be closed by a healthy node, so this is no failure, unless it was the
+                // probe.
+                if (node.availability == NodeState.Availability.PROBING) {
+                    recordFailure(node);
+                }
+            }
+            case NOT_SENT, TRANSPORT_ERROR -> recordFailure(node);
+        }
+        if (!ended.outcome().notExecuted) {
+            markPossiblyExecuted(call);
+        }
+        retryOrEnd(call, ended.retryAfter());
+    }
+
+    private void recordAccept(NodeState node, OutgoingCall call) {
+        node.throttles.get(call.requestClass).recordAccept(now);
+    }
+
+    private void recordFailure(NodeState node) {
+        if (node.recordFailure(policy.ejectionThreshold())) {
+            eject(node);
+        }
+    }
+
+    private void eject(NodeState node) {
+        long outage = node.availability == NodeState.Availability.UP ? 0 : now - node.ejectedSince;
+        node.eject(now, now + reconnectJitter.nextDelay(outage, random));
+    }
+
+    private void retryOrEnd(OutgoingCall call, long retryAfter) {
+        if (!mayRetry(call) || call.attempts >= policy.maxAttempts()) {
+            endUnanswered(call, retryAfter);
+            return;
+        }
+        // A connection that was closed while idle is no sign of overload: the first such retry of a call waits
+        // for no backoff and takes no retry token.
+        boolean unbudgeted =
+                (call.lastOutcome == AttemptOutcome.STALE_CONNECTION || call.lastOutcome == AttemptOutcome.NOT_SENT)
+                        && !call.unbudgetedRetryUsed;
+        if (!unbudgeted && !retryBudget.tryRetry(now)) {
+            endUnanswered(call, retryAfter);
+            return;
+        }
+        call.unbudgetedRetryUsed |= unbudgeted;
+        call.backoff = unbudgeted
+                ? 0
+                : (long) Math.min(
+                        policy.maxBackoff(),
+                        policy.initialBackoff()
+                                + random.nextDouble()
+                                        * (Math.max(policy.initialBackoff(), 3 * call.backoff)
+                                                - policy.initialBackoff()));
+        // Retry-After is the minimum; the backoff comes on top, so that clients do not return together.
+        long retryAt = now + Math.min(MAX_RETRY_AFTER, Math.max(0, retryAfter)) + call.backoff;
+        if (nodes.size() > 1 && retryAfter > 0) {
+            // The retry goes to another node, which has not sent Retry-After.
+            retryAt = now + call.backoff;
+        }
+        if (!canFinishInTime(call, retryAt)) {
+            endUnanswered(call, retryAfter);
+            return;
+        }
+        call.resumeAt = retryAt;
+    }
+
+    private boolean mayRetry(OutgoingCall call) {
+        return !call.possiblyExecuted
+                || call.idempotency == Idempotency.IDEMPOTENT
+                || call.idempotency == Idempotency.IDEMPOTENCY_KEY
+                        && now - call.possiblyExecutedSince < policy.deduplicationWindow();
+    }
+
+    private void endUnanswered(OutgoingCall call, long retryAfter) {
+        CallResult result = call.possiblyExecuted
+                ? unansweredResult(call)
+                : call.lastOutcome == AttemptOutcome.REJECTED ? CallResult.REJECTED : CallResult.UNREACHABLE;
+        complete(call, result, result == CallResult.REJECTED ? Math.min(MAX_RETRY_AFTER, Math.max(0, retryAfter)) : 0);
+    }
+
+    private void complete(OutgoingCall call, CallResult result, long retryAfter) {
+        calls.remove(call.id);
+        if (call.currentNode != null) {
+            call.currentNode.inFlight--;
+            if (call.currentNode.availability == NodeState.Availability.PROBING) {
+                // The outcome of the abandoned probe is lost: allow another one at once.
+                call.currentNode.eject(now, now);
+            }
+            actions.add(new CancelAttempt(call.id, call.attempts - 1));
+            call.currentNode = null;
+        }
+        actions.add(new CompleteCall(call.id, result, call.attempts, retryAfter));
+    }
+
+    /** The number of calls that have not ended. */
+    public int pendingCallCount() {
+        return calls.size();
+    }
+
+    /** The nodes of the subset that this client uses, best ranked first unless the list has changed. */
+    public List<String> nodes() {
+        return List.copyOf(nodes.keySet());
+    }
+}
--- a/client/src/main/java/weldhitch/client/policy/Effect.java
+++ b/client/src/main/java/weldhitch/client/policy/Idempotency.java
@@ -1,11 +1,11 @@
 package weldhitch.client.policy;
 
 /** Whether a request may be executed more than once. */
-public enum Effect {
+public enum Idempotency {
     /** Idempotent: may be executed any number of times. */
-    SAFE,
+    IDEMPOTENT,
     /** Carries an idempotency key, by which servers discard repeats within the deduplication window. */
-    KEYED,
+    IDEMPOTENCY_KEY,
     /** Must never be executed twice. */
-    UNSAFE
+    NON_IDEMPOTENT
 }
--- a/client/src/main/java/weldhitch/client/policy/Latency.java
+++ b/client/src/main/java/weldhitch/client/policy/LatencyEstimate.java
@@ -2,29 +2,29 @@
 
 /**
  * Latency estimate of one request class: an exponentially weighted mean, and a recent minimum. Nanoseconds.
- * Belongs to {@link ClientCore}, single-threaded.
+ * Belongs to {@link CallStateMachine}, single-threaded.
  */
-final class Latency {
-    private static final double STEP = 0.1;
+final class LatencyEstimate {
+    private static final double SMOOTHING_FACTOR = 0.1;
     /** Fraction of the distance to the mean by which the minimum rises at each answer. */
-    private static final double FORGET = 0.02;
+    private static final double MINIMUM_DECAY = 0.02;
 
     private double mean;
-    private double quickest;
+    private double minimum;
 
     /** Records the latency of a response, in nanoseconds. */
-    void answered(long took) {
-        mean = mean == 0 ? took : mean + STEP * (took - mean);
-        quickest = quickest == 0 ? took : Math.min(took, quickest + FORGET * Math.max(0, mean - quickest));
+    void record(long latency) {
+        mean = mean == 0 ? latency : mean + SMOOTHING_FACTOR * (latency - mean);
+        minimum = minimum == 0 ? latency : Math.min(latency, minimum + MINIMUM_DECAY * Math.max(0, mean - minimum));
     }
 
     /** A response that takes longer than this is overdue. */
-    long patience() {
+    long responseTimeout() {
         return (long) (4 * mean);
     }
 
     /** An attempt with less time left than this cannot succeed; 0 while nothing is known. */
-    long least() {
-        return (long) quickest;
+    long minimum() {
+        return (long) minimum;
     }
 }
--- a/client/src/main/java/weldhitch/client/policy/NodeState.java
+++ b/client/src/main/java/weldhitch/client/policy/NodeState.java
@@ -5,32 +5,32 @@
 
 /**
  * What the client knows of one node: attempts in flight, its Retry-After, whether it is ejected and since when,
- * and how many concurrent calls it gets after an outage. Times are nanoseconds. Belongs to {@link ClientCore},
+ * and how many concurrent calls it gets after an outage. Times are nanoseconds. Belongs to {@link CallStateMachine},
  * single-threaded.
  */
 final class NodeState {
     /** Available; ejected until the time of the next probe; or ejected with that probe in flight. */
-    enum Standing {
+    enum Availability {
         UP,
-        ASIDE,
-        PROBED
+        EJECTED,
+        PROBING
     }
 
     /** From this concurrency on, a recovering node counts as recovered and is not limited any more. */
-    private static final int RECOVERED = 64;
+    private static final int FULLY_RECOVERED_WINDOW = 64;
 
     final String address;
-    final Map<String, Throttle> throttles = new LinkedHashMap<>();
-    int out;
+    final Map<String, AdaptiveThrottle> throttles = new LinkedHashMap<>();
+    int inFlight;
     /** End of the Retry-After that the node sent; it gets no attempts before. */
-    long quietUntil = Long.MIN_VALUE;
+    long retryAfterUntil = Long.MIN_VALUE;
 
-    Standing standing = Standing.UP;
-    long downSince;
+    Availability availability = Availability.UP;
+    long ejectedSince;
     long probeAt;
-    private int failures;
+    private int consecutiveFailures;
     /** Concurrent attempts allowed; unlimited unless the node is recovering. */
-    private int window = Integer.MAX_VALUE;
+    private int concurrencyWindow = Integer.MAX_VALUE;
 
     NodeState(String address) {
         this.address = address;
@@ -40,36 +40,36 @@
      * The time in nanoseconds from which the node may get an attempt; {@code Long.MAX_VALUE} while a probe is
      * in flight.
      */
-    long freeAt() {
-        return standing == Standing.ASIDE
-                ? Math.max(quietUntil, probeAt)
-                : standing == Standing.PROBED ? Long.MAX_VALUE : quietUntil;
+    long availableAt() {
+        return availability == Availability.EJECTED
+                ? Math.max(retryAfterUntil, probeAt)
+                : availability == Availability.PROBING ? Long.MAX_VALUE : retryAfterUntil;
     }
 
     /** Whether its concurrency window allows another attempt. */
-    boolean hasRoom() {
-        return out < window;
+    boolean hasCapacity() {
+        return inFlight < concurrencyWindow;
     }
 
-    void sent() {
-        out++;
-        if (standing == Standing.ASIDE) {
-            standing = Standing.PROBED;
+    void onSent() {
+        inFlight++;
+        if (availability == Availability.EJECTED) {
+            availability = Availability.PROBING;
         }
     }
 
     /** The node has answered, even if with a rejection: it is reachable. */
-    void alive() {
-        failures = 0;
-        if (standing != Standing.UP) {
-            standing = Standing.UP;
-            window = 1;
+    void onResponse() {
+        consecutiveFailures = 0;
+        if (availability != Availability.UP) {
+            availability = Availability.UP;
+            concurrencyWindow = 1;
         }
     }
 
     /** A request succeeded; the window of a recovering node grows by one, which doubles it each round trip. */
-    void served() {
-        window = window >= RECOVERED ? Integer.MAX_VALUE : window + 1;
+    void widenWindow() {
+        concurrencyWindow = concurrencyWindow >= FULLY_RECOVERED_WINDOW ? Integer.MAX_VALUE : concurrencyWindow + 1;
     }
 
     /**
@@ -77,22 +77,23 @@
      *
      * @return whether the node is to be ejected now
      */
-    boolean failed(int openAfter) {
-        failures++;
-        return standing == Standing.PROBED || standing == Standing.UP && failures >= openAfter;
+    boolean recordFailure(int ejectionThreshold) {
+        consecutiveFailures++;
+        return availability == Availability.PROBING
+                || availability == Availability.UP && consecutiveFailures >= ejectionThreshold;
     }
 
     /** Ejects the node until the time of the next probe. */
-    void setAside(long now, long probe) {
-        if (standing == Standing.UP) {
-            downSince = now;
+    void eject(long now, long nextProbeAt) {
+        if (availability == Availability.UP) {
+            ejectedSince = now;
         }
-        standing = Standing.ASIDE;
-        probeAt = probe;
+        availability = Availability.EJECTED;
+        probeAt = nextProbeAt;
     }
 
     /** Records a Retry-After; the latest end counts. */
-    void quiet(long until) {
-        quietUntil = Math.max(quietUntil, until);
+    void honorRetryAfter(long until) {
+        retryAfterUntil = Math.max(retryAfterUntil, until);
     }
 }
--- a/client/src/main/java/weldhitch/client/policy/Subset.java
+++ b/client/src/main/java/weldhitch/client/policy/NodeSubset.java
@@ -10,25 +10,25 @@
  * number (rendezvous hashing, Thaler and Ravishankar 1998), so that clients spread evenly and a removed node
  * moves only its own clients. Stateless.
  */
-final class Subset {
+final class NodeSubset {
     /** A node and its rendezvous hash. */
-    private record Rank(String node, long hash) {}
+    private record Rank(String address, long hash) {}
 
-    private Subset() {}
+    private NodeSubset() {}
 
     /** The nodes of this client, highest hash first. */
-    static List<String> of(List<String> nodes, int size, long client) {
-        return nodes.stream()
+    static List<String> select(List<String> addresses, int size, long clientId) {
+        return addresses.stream()
                 .distinct()
-                .map(node -> new Rank(node, hash(node, client)))
-                .sorted(Comparator.comparingLong(Rank::hash).reversed().thenComparing(Rank::node))
+                .map(address -> new Rank(address, hash(address, clientId)))
+                .sorted(Comparator.comparingLong(Rank::hash).reversed().thenComparing(Rank::address))
                 .limit(size)
-                .map(Rank::node)
+                .map(Rank::address)
                 .toList();
     }
 
-    private static long hash(String node, long client) {
-        byte[] both = (node + '#' + Long.toHexString(client)).getBytes(StandardCharsets.UTF_8);
-        return MurmurHash3.hash128x64(both, 0, both.length, 0)[0];
+    private static long hash(String address, long clientId) {
+        byte[] bytes = (address + '#' + Long.toHexString(clientId)).getBytes(StandardCharsets.UTF_8);
+        return MurmurHash3.hash128x64(bytes, 0, bytes.length, 0)[0];
     }
 }
--- a/client/src/main/java/weldhitch/client/policy/Call.java
+++ b/client/src/main/java/weldhitch/client/policy/OutgoingCall.java
@@ -1,40 +1,40 @@
 package weldhitch.client.policy;
 
-/** The mutable state of one call until it ends; belongs to {@link ClientCore}. Times are nanoseconds. */
-final class Call {
+/** The mutable state of one call until it ends; belongs to {@link CallStateMachine}. Times are nanoseconds. */
+final class OutgoingCall {
     final long id;
     final String requestClass;
-    final Effect effect;
+    final Idempotency idempotency;
     final long deadline;
-    int tries;
+    int attempts;
     /** The node of the attempt in flight; null if there is none. */
-    NodeState at;
+    NodeState currentNode;
     /** The node of the last attempt that ended; null before the first has. */
-    NodeState before;
+    NodeState previousNode;
 
     long sentAt;
     /**
      * When the first attempt that may have been executed was sent; meaningless while {@code mayHaveRun} is
      * false.
      */
-    long mayHaveRunSince;
+    long possiblyExecutedSince;
 
-    boolean mayHaveRun;
+    boolean possiblyExecuted;
     /** Outcome of the last attempt that ended; null before the first has. */
-    Outcome last;
+    AttemptOutcome lastOutcome;
     /** Time of the next attempt; 0 to wait for a node with capacity. */
-    long wakeAt;
+    long resumeAt;
 
-    long wait;
+    long backoff;
     /** Whether a retry token (or the first attempt) covers the attempt at hand. */
     boolean paid;
 
-    boolean sentAgain;
+    boolean unbudgetedRetryUsed;
 
-    Call(long id, String requestClass, Effect effect, long deadline) {
+    OutgoingCall(long id, String requestClass, Idempotency idempotency, long deadline) {
         this.id = id;
         this.requestClass = requestClass;
-        this.effect = effect;
+        this.idempotency = idempotency;
         this.deadline = deadline;
     }
 }
--- a/client/src/main/java/weldhitch/client/policy/RetryBudget.java
+++ b/client/src/main/java/weldhitch/client/policy/RetryBudget.java
@@ -6,26 +6,26 @@
  * minimum rate, and at least one token. Single-threaded.
  */
 final class RetryBudget {
-    private static final double SAVED = 10;
+    private static final double BURST_FACTOR = 10;
 
-    private final double share;
-    private final double floorPerNano;
-    private final double most;
-    private double left;
-    private long at;
-    private boolean begun;
+    private final double retryRatio;
+    private final double minRetriesPerNano;
+    private final double maxTokens;
+    private double tokens;
+    private long refilledAt;
+    private boolean started;
 
-    RetryBudget(double share, double floorPerSecond) {
-        this.share = share;
-        this.floorPerNano = floorPerSecond / ClientRules.SECOND;
-        this.most = Math.max(1, SAVED * Math.max(share * SAVED, floorPerSecond));
-        left = Math.min(most, 1);
+    RetryBudget(double retryRatio, double minRetriesPerSecond) {
+        this.retryRatio = retryRatio;
+        this.minRetriesPerNano = minRetriesPerSecond / ClientPolicy.SECOND;
+        this.maxTokens = Math.max(1, BURST_FACTOR * Math.max(retryRatio * BURST_FACTOR, minRetriesPerSecond));
+        tokens = Math.min(maxTokens, 1);
     }
 
     /** Earns the share of one call. */
-    void call(long now) {
-        pass(now);
-        left = Math.min(most, left + share);
+    void recordCall(long now) {
+        refill(now);
+        tokens = Math.min(maxTokens, tokens + retryRatio);
     }
 
     /**
@@ -33,20 +33,20 @@
      *
      * @return false if there is none
      */
-    boolean take(long now) {
-        pass(now);
-        if (left < 1) {
+    boolean tryRetry(long now) {
+        refill(now);
+        if (tokens < 1) {
             return false;
         }
-        left--;
+        tokens--;
         return true;
     }
 
-    private void pass(long now) {
-        if (begun && now > at) {
-            left = Math.min(most, left + (now - at) * floorPerNano);
+    private void refill(long now) {
+        if (started && now > refilledAt) {
+            tokens = Math.min(maxTokens, tokens + (now - refilledAt) * minRetriesPerNano);
         }
-        at = begun ? Math.max(at, now) : now;
-        begun = true;
+        refilledAt = started ? Math.max(refilledAt, now) : now;
+        started = true;
     }
 }
--- /dev/null
+++ b/client/src/test/java/weldhitch/client/policy/CallStateMachineTest.java
@@ -0,0 +1,471 @@
+package weldhitch.client.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.TreeMap;
+import java.util.stream.IntStream;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.LongRange;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.core.source64.SplitMix64;
+import org.junit.jupiter.api.Test;
+import weldhitch.client.policy.CallStateMachine.Action;
+import weldhitch.client.policy.CallStateMachine.AttemptEnded;
+import weldhitch.client.policy.CallStateMachine.CallCancelled;
+import weldhitch.client.policy.CallStateMachine.CallStarted;
+import weldhitch.client.policy.CallStateMachine.CancelAttempt;
+import weldhitch.client.policy.CallStateMachine.CompleteCall;
+import weldhitch.client.policy.CallStateMachine.ConnectionLost;
+import weldhitch.client.policy.CallStateMachine.Event;
+import weldhitch.client.policy.CallStateMachine.NodesChanged;
+import weldhitch.client.policy.CallStateMachine.ScheduleTimer;
+import weldhitch.client.policy.CallStateMachine.SendAttempt;
+import weldhitch.client.policy.CallStateMachine.TimerFired;
+
+/**
+ * Checks the client state machine with a manual clock: exhaustively for up to three attempts, and with random
+ * events.
+ */
+class CallStateMachineTest {
+    private static final long MS = ClientPolicy.MS;
+    private static final long S = ClientPolicy.SECOND;
+    /** No throttling, and a practically unlimited retry budget. */
+    private static final ClientPolicy LENIENT_POLICY =
+            new ClientPolicy(3, 10 * MS, S, 1, 1000, 100, 3, S, 60 * S, 3, 0);
+
+    /** Drives a state machine with a manual clock, and asserts the invariants of every run. */
+    private static final class ClientHarness {
+        final CallStateMachine stateMachine;
+        final Map<Long, Idempotency> idempotencyByCall = new LinkedHashMap<>();
+        final Map<Long, Long> deadlineByCall = new LinkedHashMap<>();
+        final Map<Long, SendAttempt> outstanding = new LinkedHashMap<>();
+        final Map<Long, Integer> possibleExecutions = new LinkedHashMap<>();
+        final Map<Long, CompleteCall> completions = new LinkedHashMap<>();
+        final List<SendAttempt> attempts = new ArrayList<>();
+        long now = 1000 * S;
+        long timerAt = Long.MAX_VALUE;
+
+        ClientHarness(ClientPolicy policy, long seed, String... nodes) {
+            stateMachine = new CallStateMachine(policy, List.of(nodes), seed);
+        }
+
+        void handle(Event event) {
+            for (Action action : stateMachine.handle(now, event)) {
+                if (action instanceof SendAttempt attempt) {
+                    assertFalse(completions.containsKey(attempt.callId()), "a try after the end: " + attempt);
+                    assertFalse(outstanding.containsKey(attempt.callId()), "two tries at once: " + attempt);
+                    assertEquals(deadlineByCall.get(attempt.callId()) - now, attempt.remainingTime());
+                    assertTrue(attempt.remainingTime() > 0, "a try past the deadline");
+                    assertTrue(
+                            idempotencyByCall.get(attempt.callId()) != Idempotency.NON_IDEMPOTENT
+                                    || possibleExecutions.getOrDefault(attempt.callId(), 0) == 0,
+                            "may run twice: " + attempt);
+                    outstanding.put(attempt.callId(), attempt);
+                    attempts.add(attempt);
+                } else if (action instanceof CompleteCall completion) {
+                    assertEquals(null, completions.put(completion.callId(), completion), "two ends");
+                    outstanding.remove(completion.callId());
+                    boolean notExecuted = possibleExecutions.getOrDefault(completion.callId(), 0) == 0;
+                    switch (completion.result()) {
+                        case REJECTED, THROTTLED, UNREACHABLE, DEADLINE_EXCEEDED ->
+                            assertTrue(
+                                    notExecuted || idempotencyByCall.get(completion.callId()) == Idempotency.IDEMPOTENT,
+                                    "said never to have run: " + completion);
+                        case FAILED -> assertEquals(Idempotency.IDEMPOTENT, idempotencyByCall.get(completion.callId()));
+                        case OUTCOME_UNKNOWN ->
+                            assertTrue(idempotencyByCall.get(completion.callId()) != Idempotency.IDEMPOTENT);
+                        case SUCCEEDED, CANCELLED -> {}
+                    }
+                } else if (action instanceof CancelAttempt cancelled) {
+                    possibleExecutions.merge(cancelled.callId(), 1, Integer::sum);
+                    outstanding.remove(cancelled.callId());
+                } else if (action instanceof ScheduleTimer timer) {
+                    timerAt = Math.min(timerAt, timer.at());
+                }
+            }
+        }
+
+        void startCall(long callId, Idempotency idempotency, long timeout) {
+            idempotencyByCall.put(callId, idempotency);
+            deadlineByCall.put(callId, now + timeout);
+            handle(new CallStarted(callId, "c", idempotency, now + timeout));
+        }
+
+        void endAttempt(long callId, AttemptOutcome outcome, long retryAfter) {
+            SendAttempt attempt = outstanding.remove(callId);
+            if (!outcome.notExecuted && outcome != AttemptOutcome.OK) {
+                possibleExecutions.merge(callId, 1, Integer::sum);
+            }
+            handle(new AttemptEnded(callId, attempt.attempt(), outcome, retryAfter));
+        }
+
+        /** Advances the clock to this time and fires every timer on the way. */
+        void advanceTo(long time) {
+            while (timerAt <= time) {
+                now = Math.max(now, timerAt);
+                timerAt = Long.MAX_VALUE;
+                handle(new TimerFired());
+            }
+            now = time;
+        }
+
+        /** Drops the records of ended calls: those of thousands of clients would not fit into memory. */
+        void clearHistory() {
+            idempotencyByCall.clear();
+            deadlineByCall.clear();
+            possibleExecutions.clear();
+            completions.clear();
+            attempts.clear();
+        }
+
+        CallResult result(long callId) {
+            return completions.containsKey(callId) ? completions.get(callId).result() : null;
+        }
+    }
+
+    /**
+     * Every combination of outcomes of up to three attempts, no response included; the harness asserts the
+     * invariants.
+     */
+    @Test
+    void noSequenceOfOutcomesExecutesANonIdempotentCallTwiceOrLeavesACallPending() {
+        int steps = 0;
+        for (Idempotency idempotency : Idempotency.values()) {
+            for (long deduplicationWindow : new long[] {0, 300 * MS, 60 * S}) {
+                ClientPolicy policy =
+                        new ClientPolicy(3, 10 * MS, S, 1, 1000, 100, 3, S, 60 * S, 3, deduplicationWindow);
+                int endings = AttemptOutcome.values().length + 1;
+                for (int sequence = 0; sequence < endings * endings * endings; sequence++) {
+                    for (long pause : new long[] {0, 1, 400 * MS}) {
+                        ClientHarness harness = new ClientHarness(policy, sequence, "a:1", "b:1");
+                        harness.startCall(1, idempotency, 2 * S);
+                        int remainder = sequence;
+                        for (int i = 0; i < 3 && harness.result(1) == null; i++, remainder /= endings) {
+                            harness.advanceTo(harness.now + pause);
+                            steps++;
+                            if (remainder % endings == endings - 1) {
+                                // No response: only the deadline ends the call.
+                                break;
+                            }
+                            if (harness.outstanding.containsKey(1L)) {
+                                harness.endAttempt(
+                                        1,
+                                        AttemptOutcome.values()[remainder % endings],
+                                        remainder % 2 == 0 ? 0 : 50 * MS);
+                            }
+                            harness.advanceTo(Math.min(harness.now + 1500 * MS, 1000 * S + 2 * S - 1));
+                        }
+                        harness.advanceTo(1000 * S + 2 * S);
+                        assertTrue(harness.result(1) != null, "no end");
+                        assertEquals(0, harness.stateMachine.pendingCallCount());
+                        assertTrue(harness.attempts.size() <= 3);
+                    }
+                }
+            }
+        }
+        assertTrue(steps > 9000, "states: " + steps);
+    }
+
+    @Property(tries = 300, seed = "20261201")
+    void invariantsHoldForRandomHistories(
+            @ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 4) int nodeCount,
+            @ForAll @LongRange(max = 5) long deduplicationSeconds) {
+        UniformRandomProvider random = new SplitMix64(seed);
+        ClientPolicy policy = new ClientPolicy(
+                1 + random.nextInt(5),
+                10 * MS,
+                S,
+                random.nextDouble(),
+                random.nextInt(3),
+                1.1 + random.nextInt(3),
+                1 + random.nextInt(4),
+                500 * MS,
+                20 * S,
+                3,
+                deduplicationSeconds * S);
+        String[] nodeNames =
+                IntStream.range(0, nodeCount).mapToObj(i -> "n" + i + ":1").toArray(String[]::new);
+        ClientHarness harness = new ClientHarness(policy, seed, nodeNames);
+        long callCount = 0;
+        for (int step = 0; step < 400; step++) {
+            harness.advanceTo(harness.now + random.nextInt(100) * MS);
+            int choice = random.nextInt(10);
+            if (choice < 4 || harness.outstanding.isEmpty()) {
+                harness.startCall(
+                        ++callCount, Idempotency.values()[random.nextInt(3)], (1 + random.nextInt(3000)) * MS);
+            } else if (choice < 8) {
+                Long[] outstandingIds = harness.outstanding.keySet().toArray(Long[]::new);
+                harness.endAttempt(
+                        outstandingIds[random.nextInt(outstandingIds.length)],
+                        AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)],
+                        random.nextInt(3) == 0 ? random.nextInt(5000) * MS : 0);
+            } else if (choice == 8) {
+                harness.handle(
+                        random.nextInt(2) == 0
+                                ? new CallCancelled(1 + random.nextLong(callCount))
+                                : new ConnectionLost(nodeNames[random.nextInt(nodeCount)]));
+            } else {
+                harness.handle(
+                        random.nextInt(4) == 0
+                                ? new NodesChanged(List.of(nodeNames[0]))
+                                : new NodesChanged(List.of(nodeNames)));
+            }
+        }
+        harness.advanceTo(harness.now + 4 * S);
+        assertEquals(callCount, harness.completions.size(), "a call without an end");
+        assertEquals(0, harness.stateMachine.pendingCallCount());
+        // First attempts take no retry token, nor does one retry of each call for a closed connection.
+        long retries = harness.attempts.stream().filter(t -> t.attempt() > 0).count();
+        double allowedRetries = 10 * Math.max(policy.retryRatio() * 10, policy.minRetriesPerSecond())
+                + 1
+                + policy.retryRatio() * callCount
+                + policy.minRetriesPerSecond() * (harness.now - 1000 * S) / S
+                + callCount;
+        assertTrue(retries <= allowedRetries, retries + " repeats, " + allowedRetries + " allowed");
+    }
+
+    @Test
+    void retryAfterDelaysAllCallsToTheNode() {
+        ClientHarness harness = new ClientHarness(LENIENT_POLICY, 1, "a:1");
+        harness.startCall(1, Idempotency.NON_IDEMPOTENT, 10 * S);
+        harness.startCall(2, Idempotency.IDEMPOTENT, 10 * S);
+        harness.endAttempt(1, AttemptOutcome.REJECTED, 2 * S);
+        long retryAfterEnd = harness.now + 2 * S;
+        harness.startCall(3, Idempotency.IDEMPOTENT, 10 * S);
+        assertEquals(2, harness.attempts.size());
+        harness.advanceTo(retryAfterEnd - 1);
+        assertEquals(2, harness.attempts.size());
+        harness.advanceTo(retryAfterEnd + S);
+        assertEquals(4, harness.attempts.size());
+        // A call that cannot wait that long is rejected at once, with the remaining time as its Retry-After.
+        harness.endAttempt(2, AttemptOutcome.REJECTED, 5 * S);
+        harness.startCall(4, Idempotency.IDEMPOTENT, S);
+        assertEquals(CallResult.REJECTED, harness.result(4));
+        assertEquals(5 * S, harness.completions.get(4L).retryAfter());
+        assertEquals(4, harness.attempts.size());
+    }
+
+    @Test
+    void extremeRetryAfterAndClockSetBackAreTolerated() {
+        ClientHarness harness = new ClientHarness(LENIENT_POLICY, 1, "a:1");
+        harness.startCall(1, Idempotency.IDEMPOTENT, S);
+        harness.endAttempt(1, AttemptOutcome.REJECTED, Long.MAX_VALUE);
+        assertEquals(CallResult.REJECTED, harness.result(1));
+        harness.now -= 500 * S;
+        harness.startCall(2, Idempotency.IDEMPOTENT, 2 * S);
+        harness.advanceTo(harness.now + 600 * S);
+        assertTrue(harness.result(2) != null);
+        ClientHarness otherHarness = new ClientHarness(LENIENT_POLICY, 1, "a:1");
+        otherHarness.startCall(1, Idempotency.IDEMPOTENT, S);
+        otherHarness.endAttempt(1, AttemptOutcome.REJECTED, -5 * S);
+        otherHarness.advanceTo(otherHarness.now + 500 * MS);
+        assertEquals(2, otherHarness.attempts.size());
+    }
+
+    @Test
+    void noAttemptStartsThatCannotFinishInTime() {
+        ClientHarness harness = new ClientHarness(LENIENT_POLICY, 1, "a:1");
+        for (long i = 1; i <= 20; i++) {
+            harness.startCall(i, Idempotency.IDEMPOTENT, S);
+            harness.advanceTo(harness.now + 200 * MS);
+            harness.endAttempt(i, AttemptOutcome.OK, 0);
+        }
+        harness.startCall(30, Idempotency.IDEMPOTENT, 150 * MS);
+        assertEquals(CallResult.DEADLINE_EXCEEDED, harness.result(30));
+        harness.startCall(31, Idempotency.IDEMPOTENT, 250 * MS);
+        harness.advanceTo(harness.now + 100 * MS);
+        harness.endAttempt(31, AttemptOutcome.ERROR_RESPONSE, 0);
+        assertEquals(CallResult.FAILED, harness.result(31));
+        assertEquals(21, harness.attempts.size());
+    }
+
+    @Test
+    void onlyANodeRejectingMostRequestsIsThrottled() {
+        ClientPolicy policy = new ClientPolicy(1, 10 * MS, S, 0, 0, 2, 1000, S, 60 * S, 3, 0);
+        ClientHarness harness = new ClientHarness(policy, 7, "a:1");
+        int throttled = 0;
+        long lastServedAt = 0;
+        // A node with a capacity of 20 requests a second, offered 200.
+        for (long i = 1; i <= 1000; i++) {
+            harness.startCall(i, Idempotency.IDEMPOTENT, S);
+            if (harness.outstanding.containsKey(i)) {
+                boolean hasCapacity = harness.now - lastServedAt >= 50 * MS;
+                lastServedAt = hasCapacity ? harness.now : lastServedAt;
+                harness.endAttempt(i, hasCapacity ? AttemptOutcome.OK : AttemptOutcome.REJECTED, 0);
+            }
+            throttled += harness.result(i) == CallResult.THROTTLED ? 1 : 0;
+            harness.advanceTo(harness.now + 5 * MS);
+        }
+        assertTrue(throttled > 600 && throttled < 900, throttled + " of 1000 kept back");
+        ClientHarness healthyHarness = new ClientHarness(policy, 7, "a:1");
+        for (long i = 1; i <= 1000; i++) {
+            healthyHarness.startCall(i, Idempotency.IDEMPOTENT, S);
+            healthyHarness.endAttempt(i, AttemptOutcome.OK, 0);
+        }
+        assertTrue(healthyHarness.completions.values().stream().allMatch(f -> f.result() == CallResult.SUCCEEDED));
+    }
+
+    @Test
+    void failingNodeIsEjectedProbedOnceAndRampedUp() {
+        ClientHarness harness = new ClientHarness(LENIENT_POLICY, 3, "a:1", "b:1");
+        long callId = 0;
+        while (harness.attempts.stream().filter(t -> t.node().equals("a:1")).count() < 3) {
+            harness.startCall(++callId, Idempotency.IDEMPOTENT, S);
+            harness.endAttempt(
+                    callId,
+                    harness.outstanding.get(callId).node().equals("a:1") ? AttemptOutcome.NOT_SENT : AttemptOutcome.OK,
+                    0);
+            harness.advanceTo(harness.now + 20 * MS);
+            for (long outstandingId : List.copyOf(harness.outstanding.keySet())) {
+                harness.endAttempt(outstandingId, AttemptOutcome.OK, 0);
+            }
+        }
+        int attemptsBefore = harness.attempts.size();
+        for (int i = 0; i < 40; i++) {
+            harness.startCall(++callId, Idempotency.IDEMPOTENT, S);
+        }
+        assertTrue(harness.attempts.subList(attemptsBefore, harness.attempts.size()).stream()
+                .allMatch(t -> t.node().equals("b:1")));
+        harness.advanceTo(harness.now + 900 * MS);
+        for (int i = 0; i < 40; i++) {
+            harness.startCall(++callId, Idempotency.IDEMPOTENT, 5 * S);
+        }
+        List<SendAttempt> probes = harness.outstanding.values().stream()
+                .filter(t -> t.node().equals("a:1"))
+                .toList();
+        assertEquals(1, probes.size(), "one call probes it: " + probes);
+        harness.endAttempt(probes.get(0).callId(), AttemptOutcome.OK, 0);
+        for (int i = 0; i < 40; i++) {
+            harness.startCall(++callId, Idempotency.IDEMPOTENT, 5 * S);
+        }
+        assertEquals(
+                2,
+                harness.outstanding.values().stream()
+                        .filter(t -> t.node().equals("a:1"))
+                        .count(),
+                "a node that came back is flooded");
+    }
+
+    /** Whatever the outcome of a probe, the node gets attempts again later. */
+    @Test
+    void nodeIsRetriedAfterEveryProbeOutcome() {
+        for (AttemptOutcome outcome : AttemptOutcome.values()) {
+            ClientHarness harness = new ClientHarness(LENIENT_POLICY, 5, "a:1");
+            harness.handle(new ConnectionLost("a:1"));
+            harness.advanceTo(harness.now + S);
+            harness.startCall(1, Idempotency.NON_IDEMPOTENT, 100 * S);
+            harness.endAttempt(1, outcome, 0);
+            harness.advanceTo(harness.now + 50 * S);
+            if (harness.outstanding.containsKey(1L)) {
+                // The call was retried; a recovering node gets one attempt at a time, so this one must end
+                // first.
+                harness.endAttempt(1, AttemptOutcome.OK, 0);
+            }
+            harness.startCall(2, Idempotency.IDEMPOTENT, 50 * S);
+            harness.advanceTo(harness.now + 40 * S);
+            assertTrue(harness.attempts.stream().anyMatch(t -> t.callId() == 2), outcome + ": never tried again");
+        }
+    }
+
+    /** 2,000 clients lose their only node for 10 s; their reconnects must be spread over time. */
+    @Test
+    void reconnectsOfManyClientsSpreadOverTheOutageLength() {
+        record Wakeup(long at, int client) {}
+        int clientCount = 2000;
+        long outageStart = 1001 * S;
+        long outageEnd = outageStart + 10 * S;
+        PriorityQueue<Wakeup> wakeups = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+        ClientHarness[] harnesses = new ClientHarness[clientCount];
+        TreeMap<Long, Integer> returnsByHalfSecond = new TreeMap<>();
+        for (int i = 0; i < clientCount; i++) {
+            harnesses[i] = new ClientHarness(LENIENT_POLICY, 1000 + i, "a:1");
+            harnesses[i].now = outageStart;
+            harnesses[i].handle(new ConnectionLost("a:1"));
+            // Each client always has a call in flight.
+            wakeups.add(new Wakeup(outageStart + i, i));
+        }
+        boolean[] reconnected = new boolean[clientCount];
+        long lastCallId = 0;
+        while (!wakeups.isEmpty()) {
+            Wakeup wakeup = wakeups.poll();
+            ClientHarness harness = harnesses[wakeup.client];
+            harness.advanceTo(wakeup.at);
+            if (harness.stateMachine.pendingCallCount() == 0) {
+                harness.clearHistory();
+                harness.startCall(++lastCallId, Idempotency.IDEMPOTENT, 3 * S);
+            }
+            for (long callId : List.copyOf(harness.outstanding.keySet())) {
+                boolean reachable = harness.now >= outageEnd;
+                if (reachable && !reconnected[wakeup.client]) {
+                    reconnected[wakeup.client] = true;
+                    returnsByHalfSecond.merge((harness.now - outageEnd) / (500 * MS), 1, Integer::sum);
+                }
+                harness.endAttempt(callId, reachable ? AttemptOutcome.OK : AttemptOutcome.NOT_SENT, 0);
+            }
+            if (!reconnected[wakeup.client]) {
+                wakeups.add(new Wakeup(wakeup.at + 100 * MS, wakeup.client));
+                assertTrue(wakeup.at < outageEnd + 60 * S, "a client stays away: " + wakeup.client);
+            }
+        }
+        assertEquals(
+                clientCount,
+                returnsByHalfSecond.values().stream().mapToInt(n -> n).sum());
+        int maxReturns =
+                returnsByHalfSecond.values().stream().mapToInt(n -> n).max().orElseThrow();
+        assertTrue(
+                returnsByHalfSecond.lastKey() >= 10,
+                "back within " + (returnsByHalfSecond.lastKey() + 1) / 2.0 + " s: " + returnsByHalfSecond);
+        assertTrue(maxReturns < clientCount / 5, "in half a second " + maxReturns + ": " + returnsByHalfSecond);
+    }
+
+    @Test
+    void subsetsAreBalancedAndRemovingANodeMovesOnlyItsClients() {
+        List<String> nodes =
+                IntStream.range(0, 50).mapToObj(i -> "n" + i + ":1").toList();
+        Map<String, Integer> clientsByNode = new TreeMap<>();
+        int moved = 0;
+        for (long clientId = 0; clientId < 10_000; clientId++) {
+            List<String> subset = new CallStateMachine(LENIENT_POLICY, nodes, clientId).nodes();
+            assertEquals(3, subset.size());
+            subset.forEach(n -> clientsByNode.merge(n, 1, Integer::sum));
+            List<String> subsetWithoutNode =
+                    new CallStateMachine(LENIENT_POLICY, nodes.subList(1, 50), clientId).nodes();
+            moved += subset.stream().filter(n -> !subsetWithoutNode.contains(n)).count();
+            assertTrue(subset.contains("n0:1") || subset.equals(subsetWithoutNode));
+        }
+        assertEquals(50, clientsByNode.size());
+        clientsByNode.values().forEach(n -> assertTrue(n > 480 && n < 720, clientsByNode.toString()));
+        assertEquals(clientsByNode.get("n0:1"), moved);
+    }
+
+    @Test
+    void allInvalidPolicyValuesAreReportedTogether() {
+        String message = assertThrows(
+                        IllegalArgumentException.class, () -> new ClientPolicy(0, 0, 1, 2, -1, 1, 0, 1, 0, 0, -1))
+                .getMessage();
+        for (String name : List.of(
+                "tries",
+                "firstWait",
+                "budgetShare",
+                "budgetFloor",
+                "accepts",
+                "openAfter",
+                "spread",
+                "longestSpread",
+                "subset",
+                "keyMemory")) {
+            assertTrue(message.contains(name + ": "), name + " in " + message);
+        }
+    }
+}
--- a/control/src/main/java/weldhitch/control/certs/Authority.java
+++ b/consensus/src/main/java/weldhitch/certificates/CertificateAuthority.java
@@ -1,4 +1,4 @@
-package weldhitch.control.certs;
+package weldhitch.certificates;
 
 import java.io.IOException;
 import java.io.StringReader;
@@ -46,20 +46,20 @@
  * on P-256). Stored as PEM: {@code ca.pem} is public, {@code ca.key} is readable by its owner only. Immutable
  * and thread-safe.
  */
-public final class Authority {
+public final class CertificateAuthority {
     private static final SecureRandom RANDOM = new SecureRandom();
     private static final int SERIAL_BITS = 127;
 
     private final X509Certificate certificate;
     private final PrivateKey key;
 
-    private Authority(X509Certificate certificate, PrivateKey key) {
+    private CertificateAuthority(X509Certificate certificate, PrivateKey key) {
         this.certificate = certificate;
         this.key = key;
     }
 
     /** A certificate and its private key. Immutable. */
-    public record Issued(X509Certificate certificate, PrivateKey key) {
+    public record IssuedCertificate(X509Certificate certificate, PrivateKey key) {
         /**
          * Writes {@code NAME.pem}, and {@code NAME.key} with read permission for its owner only.
          *
@@ -73,28 +73,29 @@
                             Set.of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE),
                             PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")))
                     .close();
-            Files.writeString(keyFile, pem(key));
-            Files.writeString(directory.resolve(name + ".pem"), pem(certificate), StandardOpenOption.CREATE_NEW);
+            Files.writeString(keyFile, toPem(key));
+            Files.writeString(directory.resolve(name + ".pem"), toPem(certificate), StandardOpenOption.CREATE_NEW);
         }
     }
 
     /** Creates an authority with a new key and a self-signed certificate, valid between the two instants. */
-    public static Authority create(String fleet, Instant from, Instant until) throws GeneralSecurityException {
-        KeyPair pair = keys();
+    public static CertificateAuthority create(String fleet, Instant notBefore, Instant notAfter)
+            throws GeneralSecurityException {
+        KeyPair keyPair = generateKeyPair();
         X500Principal subject = new X500Principal("CN=" + new Identity(null, fleet).name());
         JcaX509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(
-                subject, serial(), Date.from(from), Date.from(until), subject, pair.getPublic());
+                subject, randomSerialNumber(), Date.from(notBefore), Date.from(notAfter), subject, keyPair.getPublic());
         try {
             builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(0));
             builder.addExtension(Extension.keyUsage, true, new KeyUsage(KeyUsage.keyCertSign | KeyUsage.cRLSign));
             builder.addExtension(
                     Extension.subjectKeyIdentifier,
                     false,
-                    new JcaX509ExtensionUtils().createSubjectKeyIdentifier(pair.getPublic()));
+                    new JcaX509ExtensionUtils().createSubjectKeyIdentifier(keyPair.getPublic()));
         } catch (IOException e) {
             throw new GeneralSecurityException(e);
         }
-        return new Authority(sign(builder, pair.getPrivate()), pair.getPrivate());
+        return new CertificateAuthority(sign(builder, keyPair.getPrivate()), keyPair.getPrivate());
     }
 
     /**
@@ -102,13 +103,13 @@
      *
      * @throws IOException if {@code ca.pem} or {@code ca.key} is missing or invalid
      */
-    public static Authority read(Path directory) throws IOException {
-        Issued read = readPem(directory.resolve("ca.pem"), directory.resolve("ca.key"));
-        return new Authority(read.certificate(), read.key());
+    public static CertificateAuthority read(Path directory) throws IOException {
+        IssuedCertificate issued = readPem(directory.resolve("ca.pem"), directory.resolve("ca.key"));
+        return new CertificateAuthority(issued.certificate(), issued.key());
     }
 
-    /** Reads a certificate and a key that {@link Issued#write} wrote. */
-    public static Issued readPem(Path certificateFile, Path keyFile) throws IOException {
+    /** Reads a certificate and a key that {@link IssuedCertificate#write} wrote. */
+    public static IssuedCertificate readPem(Path certificateFile, Path keyFile) throws IOException {
         try (PEMParser certificates = new PEMParser(new StringReader(Files.readString(certificateFile)));
                 PEMParser keys = new PEMParser(new StringReader(Files.readString(keyFile)))) {
             if (!(certificates.readObject() instanceof X509CertificateHolder holder)) {
@@ -117,7 +118,7 @@
             if (!(keys.readObject() instanceof PrivateKeyInfo key)) {
                 throw new IOException(keyFile + ": holds no private key");
             }
-            return new Issued(
+            return new IssuedCertificate(
                     new JcaX509CertificateConverter().getCertificate(holder),
                     new JcaPEMKeyConverter().getPrivateKey(key));
         } catch (GeneralSecurityException e) {
@@ -127,7 +128,7 @@
 
     /** Writes {@code ca.pem} and {@code ca.key}; existing files are not overwritten. */
     public void write(Path directory) throws IOException {
-        new Issued(certificate, key).write(directory, "ca");
+        new IssuedCertificate(certificate, key).write(directory, "ca");
     }
 
     /** Returns the authority's own certificate, the trust anchor of the fleet. */
@@ -141,41 +142,44 @@
      * @param hosts DNS names and IP addresses of an agent; empty for operators
      * @throws GeneralSecurityException also if the certificate would outlive the authority's own
      */
-    public Issued issue(Identity who, List<String> hosts, Instant from, Instant until) throws GeneralSecurityException {
-        if (until.isAfter(certificate.getNotAfter().toInstant())) {
+    public IssuedCertificate issue(Identity identity, List<String> hosts, Instant notBefore, Instant notAfter)
+            throws GeneralSecurityException {
+        if (notAfter.isAfter(certificate.getNotAfter().toInstant())) {
             throw new GeneralSecurityException(
                     "the authority itself ends at " + certificate.getNotAfter().toInstant());
         }
-        KeyPair pair = keys();
+        KeyPair keyPair = generateKeyPair();
         JcaX509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(
                 certificate,
-                serial(),
-                Date.from(from),
-                Date.from(until),
-                new X500Principal("CN=" + who.name()),
-                pair.getPublic());
-        List<GeneralName> names =
-                new ArrayList<>(List.of(new GeneralName(GeneralName.uniformResourceIdentifier, who.uri())));
+                randomSerialNumber(),
+                Date.from(notBefore),
+                Date.from(notAfter),
+                new X500Principal("CN=" + identity.name()),
+                keyPair.getPublic());
+        List<GeneralName> alternativeNames =
+                new ArrayList<>(List.of(new GeneralName(GeneralName.uniformResourceIdentifier, identity.uri())));
         for (String host : hosts) {
-            names.add(new GeneralName(isAddress(host) ? GeneralName.iPAddress : GeneralName.dNSName, host));
+            alternativeNames.add(new GeneralName(isAddress(host) ? GeneralName.iPAddress : GeneralName.dNSName, host));
         }
         // Agents are clients of each other too, to learn committed states.
-        KeyPurposeId[] purposes = who.isAgent()
+        KeyPurposeId[] purposes = identity.isAgent()
                 ? new KeyPurposeId[] {KeyPurposeId.id_kp_serverAuth, KeyPurposeId.id_kp_clientAuth}
                 : new KeyPurposeId[] {KeyPurposeId.id_kp_clientAuth};
         try {
-            JcaX509ExtensionUtils utils = new JcaX509ExtensionUtils();
+            JcaX509ExtensionUtils extensionUtils = new JcaX509ExtensionUtils();
             builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(false));
             builder.addExtension(Extension.keyUsage, true, new KeyUsage(KeyUsage.digitalSignature));
             builder.addExtension(Extension.extendedKeyUsage, false, new ExtendedKeyUsage(purposes));
             builder.addExtension(
-                    Extension.authorityKeyIdentifier, false, utils.createAuthorityKeyIdentifier(certificate));
+                    Extension.authorityKeyIdentifier, false, extensionUtils.createAuthorityKeyIdentifier(certificate));
             builder.addExtension(
-                    Extension.subjectAlternativeName, false, new GeneralNames(names.toArray(new GeneralName[0])));
+                    Extension.subjectAlternativeName,
+                    false,
+                    new GeneralNames(alternativeNames.toArray(new GeneralName[0])));
         } catch (IOException e) {
             throw new GeneralSecurityException(e);
         }
-        return new Issued(sign(builder, key), pair.getPrivate());
+        return new IssuedCertificate(sign(builder, key), keyPair.getPrivate());
     }
 
     private static boolean isAddress(String host) {
@@ -190,33 +194,33 @@
         }
     }
 
-    private static X509Certificate sign(JcaX509v3CertificateBuilder builder, PrivateKey by)
+    private static X509Certificate sign(JcaX509v3CertificateBuilder builder, PrivateKey signingKey)
             throws GeneralSecurityException {
         try {
             return new JcaX509CertificateConverter()
-                    .getCertificate(builder.build(new JcaContentSignerBuilder("SHA256withECDSA").build(by)));
+                    .getCertificate(builder.build(new JcaContentSignerBuilder("SHA256withECDSA").build(signingKey)));
         } catch (OperatorCreationException e) {
             throw new GeneralSecurityException(e);
         }
     }
 
-    private static KeyPair keys() throws GeneralSecurityException {
+    private static KeyPair generateKeyPair() throws GeneralSecurityException {
         KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
         generator.initialize(new ECGenParameterSpec("secp256r1"), RANDOM);
         return generator.generateKeyPair();
     }
 
-    private static BigInteger serial() {
+    private static BigInteger randomSerialNumber() {
         return new BigInteger(SERIAL_BITS, RANDOM).add(BigInteger.ONE);
     }
 
-    private static String pem(Object object) throws IOException {
-        StringWriter text = new StringWriter();
-        try (JcaPEMWriter writer = new JcaPEMWriter(text)) {
+    private static String toPem(Object object) throws IOException {
+        StringWriter output = new StringWriter();
+        try (JcaPEMWriter writer = new JcaPEMWriter(output)) {
             // PKCS #8, which other programs read too; by default the writer would use the older format for this
             // curve.
             writer.writeObject(object instanceof PrivateKey key ? new JcaPKCS8Generator(key, null) : object);
         }
-        return text.toString();
+        return output.toString();
     }
 }
--- a/control/src/main/java/weldhitch/control/certs/Identity.java
+++ b/consensus/src/main/java/weldhitch/certificates/Identity.java
@@ -1,4 +1,4 @@
-package weldhitch.control.certs;
+package weldhitch.certificates;
 
 import java.security.cert.CertificateParsingException;
 import java.security.cert.X509Certificate;
@@ -24,19 +24,19 @@
         ADMIN;
 
         /** Whether this role includes the permissions of the other one. */
-        public boolean covers(Role asked) {
-            return compareTo(asked) >= 0;
+        public boolean covers(Role required) {
+            return compareTo(required) >= 0;
         }
     }
 
-    private static final int URI_NAME = 6;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
-    private static final Pattern URI =
+    private static final int SAN_TYPE_URI = 6;
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,64}");
+    private static final Pattern URI_PATTERN =
             Pattern.compile("weldhitch://(?:agent|operator/(viewer|operator|admin))/([A-Za-z0-9._-]{1,64})");
 
     /** Validates the name. */
     public Identity {
-        if (!NAME.matcher(name).matches()) {
+        if (!NAME_PATTERN.matcher(name).matches()) {
             throw new IllegalArgumentException(
                     "\"" + name + "\" is no name: use 1 to 64 letters, digits, dots, - and _");
         }
@@ -56,27 +56,28 @@
      *
      * @throws IllegalArgumentException if the certificate names no identity of a fleet, or more than one
      */
-    public static Identity of(X509Certificate certificate) {
-        String found = null;
+    public static Identity fromCertificate(X509Certificate certificate) {
+        String uriName = null;
         try {
             if (certificate.getSubjectAlternativeNames() != null) {
-                for (List<?> each : certificate.getSubjectAlternativeNames()) {
-                    if (each.get(0).equals(URI_NAME)) {
-                        if (found != null) {
+                for (List<?> alternativeName : certificate.getSubjectAlternativeNames()) {
+                    if (alternativeName.get(0).equals(SAN_TYPE_URI)) {
+                        if (uriName != null) {
                             throw new IllegalArgumentException("the certificate has more than one URI");
                         }
-                        found = (String) each.get(1);
+                        uriName = (String) alternativeName.get(1);
                     }
                 }
             }
         } catch (CertificateParsingException e) {
             throw new IllegalArgumentException("the certificate's names cannot be read", e);
         }
-        Matcher uri = URI.matcher(String.valueOf(found));
-        if (!uri.matches()) {
-            throw new IllegalArgumentException("the certificate names nobody of a fleet: " + found);
+        Matcher matcher = URI_PATTERN.matcher(String.valueOf(uriName));
+        if (!matcher.matches()) {
+            throw new IllegalArgumentException("the certificate names nobody of a fleet: " + uriName);
         }
         return new Identity(
-                uri.group(1) == null ? null : Role.valueOf(uri.group(1).toUpperCase(Locale.ROOT)), uri.group(2));
+                matcher.group(1) == null ? null : Role.valueOf(matcher.group(1).toUpperCase(Locale.ROOT)),
+                matcher.group(2));
     }
 }
--- /dev/null
+++ b/consensus/src/main/java/weldhitch/consensus/Acceptor.java
@@ -0,0 +1,98 @@
+package weldhitch.consensus;
+
+import java.util.List;
+import weldhitch.consensus.Message.Accept;
+import weldhitch.consensus.Message.Learn;
+import weldhitch.consensus.Message.Prepare;
+import weldhitch.consensus.Reply.Accepted;
+import weldhitch.consensus.Reply.AlreadyCommitted;
+import weldhitch.consensus.Reply.Preempted;
+import weldhitch.consensus.Reply.Promise;
+import weldhitch.consensus.Reply.Superseded;
+
+/**
+ * An acceptor of Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2) that runs one instance per generation
+ * and discards an instance when the next one starts. A proposer of a generation has seen the previous one
+ * committed, so nothing is lost by that.
+ *
+ * <p>A reply is valid only once the {@link AcceptorState} state is on disk: write first, then reply.
+ *
+ * <p>Not thread-safe.
+ */
+public final class Acceptor {
+
+    private final String name;
+    private AcceptorState state;
+
+    /** Creates an acceptor that continues from the given state. */
+    public Acceptor(String name, AcceptorState state) {
+        this.name = name;
+        this.state = state;
+    }
+
+    /** Returns the state to write to disk before the last reply is sent. */
+    public AcceptorState state() {
+        return state;
+    }
+
+    /** Returns the last state known to be committed. */
+    public CommittedState committed() {
+        return state.committed();
+    }
+
+    /** Whether a promise or an accepted value of the current generation is not yet committed. */
+    public boolean hasOpenProposal() {
+        return state.generation() > state.committed().generation() && state.promised() != null;
+    }
+
+    /** Handles a message and returns the reply, which may be sent once the state is on disk. */
+    public Reply onMessage(Message message) {
+        long generation = message.generation();
+        if (message instanceof Learn learn) {
+            learn(learn.state());
+            return new AlreadyCommitted(name, state.committed());
+        }
+        if (generation <= state.committed().generation()) {
+            return new AlreadyCommitted(name, state.committed());
+        }
+        if (generation < state.generation()) {
+            return new Superseded(name, state.generation());
+        }
+        if (generation > state.generation()) {
+            state = new AcceptorState(state.committed(), generation, null, null, null);
+        }
+        if (message instanceof Prepare prepare) {
+            if (isBelowPromise(prepare.ballot())) {
+                return new Preempted(name, prepare.ballot(), state.promised());
+            }
+            state = new AcceptorState(
+                    state.committed(), generation, prepare.ballot(), state.acceptedBallot(), state.accepted());
+            return new Promise(name, prepare.ballot(), state.acceptedBallot(), state.accepted());
+        }
+        Accept accept = (Accept) message;
+        if (isBelowPromise(accept.ballot())) {
+            return new Preempted(name, accept.ballot(), state.promised());
+        }
+        state = new AcceptorState(state.committed(), generation, accept.ballot(), accept.ballot(), accept.state());
+        return new Accepted(name, accept.ballot());
+    }
+
+    private boolean isBelowPromise(Ballot ballot) {
+        return state.promised() != null && ballot.compareTo(state.promised()) < 0;
+    }
+
+    /** Adopts a state that another acceptor knows to be committed. */
+    public void learn(CommittedState learned) {
+        if (learned.generation() > state.committed().generation()) {
+            state = learned.generation() >= state.generation()
+                    ? new AcceptorState(learned, learned.generation() + 1, null, null, null)
+                    : new AcceptorState(
+                            learned, state.generation(), state.promised(), state.acceptedBallot(), state.accepted());
+        }
+    }
+
+    /** Returns a proposer that completes the open generation on behalf of this acceptor. */
+    public Proposer recoveryProposer(List<String> acceptors, long round) {
+        return new Proposer(name, acceptors, state.committed(), Command.noOp(name), round);
+    }
+}
--- a/control/src/main/java/weldhitch/control/order/Ballot.java
+++ b/consensus/src/main/java/weldhitch/consensus/Ballot.java
@@ -1,4 +1,4 @@
-package weldhitch.control.order;
+package weldhitch.consensus;
 
 /** A ballot number of Paxos: ordered by round, then by the proposer's name, which must be unique. Immutable. */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
--- a/control/src/main/java/weldhitch/control/order/Message.java
+++ b/consensus/src/main/java/weldhitch/consensus/Message.java
@@ -1,4 +1,4 @@
-package weldhitch.control.order;
+package weldhitch.consensus;
 
 /** The Paxos messages that proposers send to acceptors, and acceptors to each other. Immutable. */
 public sealed interface Message {
@@ -9,18 +9,18 @@
     record Prepare(long generation, Ballot ballot) implements Message {}
 
     /** Phase 2a: requests to accept this state. */
-    record Propose(Ballot ballot, Epoch epoch) implements Message {
+    record Accept(Ballot ballot, CommittedState state) implements Message {
         @Override
         public long generation() {
-            return epoch.generation();
+            return state.generation();
         }
     }
 
     /** Announces that this state is committed. */
-    record Decide(Epoch epoch) implements Message {
+    record Learn(CommittedState state) implements Message {
         @Override
         public long generation() {
-            return epoch.generation();
+            return state.generation();
         }
     }
 }
--- a/control/src/main/java/weldhitch/control/order/Reply.java
+++ b/consensus/src/main/java/weldhitch/consensus/Reply.java
@@ -1,25 +1,25 @@
-package weldhitch.control.order;
+package weldhitch.consensus;
 
 /** The replies of acceptors. Immutable. Each names the acceptor that sent it. */
 public sealed interface Reply {
     /** Returns the name of the acceptor that replies. */
-    String agent();
+    String acceptor();
 
     /** Phase 1b: a promise, with the ballot and value accepted before in this generation, or nulls. */
-    record Promise(String agent, Ballot ballot, Ballot takenBallot, Epoch taken) implements Reply {}
+    record Promise(String acceptor, Ballot ballot, Ballot acceptedBallot, CommittedState accepted) implements Reply {}
 
     /** Phase 2b: the value was accepted. */
-    record Taken(String agent, Ballot ballot) implements Reply {}
+    record Accepted(String acceptor, Ballot ballot) implements Reply {}
 
     /** A higher ballot was promised already. */
-    record Outbid(String agent, Ballot ballot, Ballot promised) implements Reply {}
+    record Preempted(String acceptor, Ballot ballot, Ballot promised) implements Reply {}
 
     /** The generation, or a later one, is committed: the last state that this acceptor knows. */
-    record Decided(String agent, Epoch epoch) implements Reply {}
+    record AlreadyCommitted(String acceptor, CommittedState state) implements Reply {}
 
     /** This acceptor may have lost a promise, and does not vote. */
-    record Abstains(String agent) implements Reply {}
+    record Abstained(String acceptor) implements Reply {}
 
     /** The generation is over, and this acceptor does not know what was committed in it. */
-    record Passed(String agent, long generation) implements Reply {}
+    record Superseded(String acceptor, long generation) implements Reply {}
 }
