--- a/control/src/main/java/weldhitch/control/agent/DurableAcceptor.java
+++ b/consensus/src/main/java/weldhitch/consensus/durable/DurableAcceptor.java
@@ -1,15 +1,15 @@
-package weldhitch.control.agent;
+package weldhitch.consensus.durable;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.file.Path;
-import weldhitch.control.log.StateLog;
-import weldhitch.control.order.Acceptor;
-import weldhitch.control.order.Acceptor.Kept;
-import weldhitch.control.order.Epoch;
-import weldhitch.control.order.Message;
-import weldhitch.control.order.Reply;
+import weldhitch.consensus.Acceptor;
+import weldhitch.consensus.AcceptorState;
+import weldhitch.consensus.CommittedState;
+import weldhitch.consensus.Message;
+import weldhitch.consensus.Reply;
+import weldhitch.statelog.StateLog;
 
 /**
  * A Paxos acceptor whose state is fsynced to a {@link StateLog} before each reply is returned. If the write
@@ -19,8 +19,8 @@
  * <p>Not thread-safe.
  */
 public final class DurableAcceptor implements Closeable {
-    private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long COMPACT_AT = 1 << 20;
+    private static final ObjectMapper JSON = ConsensusJson.register(new ObjectMapper());
+    private static final long COMPACTION_THRESHOLD_BYTES = 1 << 20;
 
     private final String name;
     private final StateLog log;
@@ -33,10 +33,11 @@
      */
     public DurableAcceptor(String name, Path file) throws IOException {
         this.name = name;
-        log = StateLog.open(file, COMPACT_AT);
+        log = StateLog.open(file, COMPACTION_THRESHOLD_BYTES);
         try {
-            byte[] state = log.state();
-            acceptor = new Acceptor(name, state == null ? Kept.FIRST : JSON.readValue(state, Kept.class));
+            byte[] persisted = log.state();
+            acceptor = new Acceptor(
+                    name, persisted == null ? AcceptorState.INITIAL : JSON.readValue(persisted, AcceptorState.class));
         } catch (IOException e) {
             log.close();
             throw new IOException(file + ": not a state of this version: " + e.getMessage(), e);
@@ -44,13 +45,13 @@
     }
 
     /** Whether this acceptor votes; false if its log is suspect. */
-    public boolean votes() {
+    public boolean isVoting() {
         return !log.suspect();
     }
 
     /** Returns the last state known to be committed. */
-    public Epoch decided() {
-        return acceptor.decided();
+    public CommittedState committed() {
+        return acceptor.committed();
     }
 
     /**
@@ -59,16 +60,16 @@
      * @throws IOException if the new state could not be written: nothing may be replied, and the previous state
      *     stays in force
      */
-    public Reply on(Message message) throws IOException {
-        if (!votes() && !(message instanceof Message.Decide)) {
-            return new Reply.Abstains(name);
+    public Reply onMessage(Message message) throws IOException {
+        if (!isVoting() && !(message instanceof Message.Learn)) {
+            return new Reply.Abstained(name);
         }
-        Acceptor next = new Acceptor(name, acceptor.kept());
-        Reply reply = next.on(message);
-        if (!next.kept().equals(acceptor.kept())) {
-            log.write(JSON.writeValueAsBytes(next.kept()));
+        Acceptor updated = new Acceptor(name, acceptor.state());
+        Reply reply = updated.onMessage(message);
+        if (!updated.state().equals(acceptor.state())) {
+            log.write(JSON.writeValueAsBytes(updated.state()));
         }
-        acceptor = next;
+        acceptor = updated;
         return reply;
     }
 
--- a/control/src/main/java/weldhitch/control/fleet/Instance.java
+++ b/consensus/src/main/java/weldhitch/rollout/Instance.java
@@ -1,4 +1,4 @@
-package weldhitch.control.fleet;
+package weldhitch.rollout;
 
 import java.util.Map;
 
--- /dev/null
+++ b/consensus/src/main/java/weldhitch/rollout/RestartBackoff.java
@@ -0,0 +1,69 @@
+package weldhitch.rollout;
+
+import java.util.ArrayDeque;
+import java.util.Deque;
+
+/**
+ * Decides when to restart an instance that has exited by itself: after an exponential backoff up to a maximum,
+ * and not at all in a crash loop, which another restart will not fix. Times are nanoseconds of the caller's
+ * clock.
+ *
+ * <p>Not thread-safe.
+ */
+public final class RestartBackoff {
+    private final long initialDelay;
+    private final long maxDelay;
+    private final long resetAfter;
+    private final int maxExits;
+    private final long exitWindow;
+    private final Deque<Long> exitTimes = new ArrayDeque<>();
+    private int consecutiveExits;
+    private long startedAt;
+
+    /**
+     * Creates the backoff state of one instance.
+     *
+     * @param initialDelay delay before the first restart
+     * @param maxDelay maximum delay, where doubling stops
+     * @param resetAfter how long the instance must run for the delay to be reset
+     * @param maxExits this many exits ...
+     * @param exitWindow ... within this time are a crash loop
+     */
+    public RestartBackoff(long initialDelay, long maxDelay, long resetAfter, int maxExits, long exitWindow) {
+        if (initialDelay <= 0 || maxDelay < initialDelay || resetAfter <= 0 || maxExits < 1 || exitWindow <= 0) {
+            throw new IllegalArgumentException("wanted: spans over 0, the longest wait no shorter than the first");
+        }
+        this.initialDelay = initialDelay;
+        this.maxDelay = maxDelay;
+        this.resetAfter = resetAfter;
+        this.maxExits = maxExits;
+        this.exitWindow = exitWindow;
+    }
+
+    /** Records that the instance has started. */
+    public void onStarted(long now) {
+        startedAt = now;
+    }
+
+    /**
+     * Records an exit that nobody requested. Returns the delay before the next restart, or -1 for a crash loop.
+     */
+    public long onExited(long now) {
+        consecutiveExits = now - startedAt >= resetAfter ? 1 : consecutiveExits + 1;
+        exitTimes.addLast(now);
+        while (now - exitTimes.peekFirst() > exitWindow) {
+            exitTimes.removeFirst();
+        }
+        if (exitTimes.size() >= maxExits) {
+            return -1;
+        }
+        int doublings = consecutiveExits - 1;
+        return doublings > 40 || initialDelay > maxDelay >> doublings ? maxDelay : initialDelay << doublings;
+    }
+
+    /** Resets all counts, because an operator requests another attempt. */
+    public void reset() {
+        exitTimes.clear();
+        consecutiveExits = 0;
+    }
+}
--- a/control/src/main/java/weldhitch/control/fleet/Rollout.java
+++ b/consensus/src/main/java/weldhitch/rollout/Rollout.java
@@ -1,4 +1,4 @@
-package weldhitch.control.fleet;
+package weldhitch.rollout;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -19,16 +19,16 @@
 public final class Rollout {
     /** The progress of a rollout. */
     public enum State {
-        GOING,
-        DONE,
+        RUNNING,
+        COMPLETED,
         FAILED,
         STOPPED
     }
 
-    private final Deque<List<String>> waves = new ArrayDeque<>();
-    private final Set<String> away = new LinkedHashSet<>();
-    private final List<String> changed = new ArrayList<>();
-    private State state = State.GOING;
+    private final Deque<List<String>> pendingWaves = new ArrayDeque<>();
+    private final Set<String> currentWave = new LinkedHashSet<>();
+    private final List<String> updated = new ArrayList<>();
+    private State state = State.RUNNING;
     private String reason = "";
 
     /**
@@ -36,40 +36,40 @@
      *
      * @param fleet all instances: the fraction refers to these, not to the targets
      * @param targets names of the instances to update
-     * @param mostAway fraction of a site's instances, above 0 and up to 1, that may be unavailable at once; one
+     * @param maxUnavailableFraction fraction of a site's instances, above 0 and up to 1, that may be unavailable at once; one
      *     instance always may
      */
-    public Rollout(List<Instance> fleet, Set<String> targets, double mostAway) {
-        if (!(mostAway > 0 && mostAway <= 1)) {
+    public Rollout(List<Instance> fleet, Set<String> targets, double maxUnavailableFraction) {
+        if (!(maxUnavailableFraction > 0 && maxUnavailableFraction <= 1)) {
             throw new IllegalArgumentException("wanted: a share over 0 and up to 1");
         }
         Map<String, List<Instance>> sites = new LinkedHashMap<>();
-        fleet.forEach(
-                i -> sites.computeIfAbsent(i.site(), s -> new ArrayList<>()).add(i));
-        sites.values().forEach(site -> waves(site, targets, mostAway));
-        if (waves.isEmpty()) {
-            state = State.DONE;
+        fleet.forEach(instance -> sites.computeIfAbsent(instance.site(), newSite -> new ArrayList<>())
+                .add(instance));
+        sites.values().forEach(site -> planWaves(site, targets, maxUnavailableFraction));
+        if (pendingWaves.isEmpty()) {
+            state = State.COMPLETED;
         }
     }
 
-    private void waves(List<Instance> site, Set<String> targets, double mostAway) {
+    private void planWaves(List<Instance> site, Set<String> targets, double maxUnavailableFraction) {
         // An instance that is unavailable already and is no target uses up capacity for the whole rollout.
-        long awayAnyway = site.stream()
-                .filter(i -> !i.ready() && !targets.contains(i.name()))
+        long alreadyUnavailable = site.stream()
+                .filter(instance -> !instance.ready() && !targets.contains(instance.name()))
                 .count();
-        int size = (int) Math.max(1, Math.floor(mostAway * site.size() + 1e-9) - awayAnyway);
+        int waveSize = (int) Math.max(1, Math.floor(maxUnavailableFraction * site.size() + 1e-9) - alreadyUnavailable);
         List<String> wave = new ArrayList<>();
-        for (Instance i : site) {
-            if (targets.contains(i.name())) {
-                wave.add(i.name());
-                if (wave.size() == size) {
-                    waves.add(List.copyOf(wave));
+        for (Instance instance : site) {
+            if (targets.contains(instance.name())) {
+                wave.add(instance.name());
+                if (wave.size() == waveSize) {
+                    pendingWaves.add(List.copyOf(wave));
                     wave.clear();
                 }
             }
         }
         if (!wave.isEmpty()) {
-            waves.add(List.copyOf(wave));
+            pendingWaves.add(List.copyOf(wave));
         }
     }
 
@@ -77,36 +77,36 @@
      * Starts the next wave and returns its instances; empty while a wave is in progress and after the rollout
      * has ended.
      */
-    public List<String> next() {
-        if (state != State.GOING || !away.isEmpty()) {
+    public List<String> nextWave() {
+        if (state != State.RUNNING || !currentWave.isEmpty()) {
             return List.of();
         }
-        List<String> wave = waves.remove();
-        away.addAll(wave);
-        changed.addAll(wave);
+        List<String> wave = pendingWaves.remove();
+        currentWave.addAll(wave);
+        updated.addAll(wave);
         return wave;
     }
 
     /** Reports that an instance of the current wave is updated and ready again. */
-    public void ready(String name) {
-        if (away.remove(name) && away.isEmpty() && waves.isEmpty() && state == State.GOING) {
-            state = State.DONE;
+    public void markReady(String name) {
+        if (currentWave.remove(name) && currentWave.isEmpty() && pendingWaves.isEmpty() && state == State.RUNNING) {
+            state = State.COMPLETED;
         }
     }
 
     /** Reports that an instance of the current wave was not updated or did not become ready again. */
-    public void failed(String name, String why) {
-        if (away.contains(name) && state == State.GOING) {
+    public void markFailed(String name, String cause) {
+        if (currentWave.contains(name) && state == State.RUNNING) {
             state = State.FAILED;
-            reason = name + ": " + why;
+            reason = name + ": " + cause;
         }
     }
 
     /** Starts no more waves; the current wave is not cancelled. */
-    public void stop(String why) {
-        if (state == State.GOING) {
+    public void stop(String cause) {
+        if (state == State.RUNNING) {
             state = State.STOPPED;
-            reason = why;
+            reason = cause;
         }
     }
 
@@ -124,9 +124,9 @@
      * Returns the instances whose update was completed or started, the latest first: the order for a rollback.
      * Empty unless the rollout failed.
      */
-    public List<String> toChangeBack() {
-        List<String> back = new ArrayList<>(changed);
-        java.util.Collections.reverse(back);
-        return state == State.FAILED ? back : List.of();
+    public List<String> rollbackOrder() {
+        List<String> reversed = new ArrayList<>(updated);
+        java.util.Collections.reverse(reversed);
+        return state == State.FAILED ? reversed : List.of();
     }
 }
--- a/control/src/main/java/weldhitch/control/fleet/package-info.java
+++ b/consensus/src/main/java/weldhitch/rollout/package-info.java
@@ -1,2 +1,2 @@
 /** Decisions over many instances: selection, minimum capacity, rolling updates and restart backoff. */
-package weldhitch.control.fleet;
+package weldhitch.rollout;
--- a/control/src/main/java/weldhitch/control/log/StateLog.java
+++ b/consensus/src/main/java/weldhitch/statelog/StateLog.java
@@ -1,4 +1,4 @@
-package weldhitch.control.log;
+package weldhitch.statelog;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -27,39 +27,39 @@
  */
 public final class StateLog implements Closeable {
     /** The maximum size of a state, in bytes. */
-    public static final int LONGEST = 16 << 20;
+    public static final int MAX_STATE_BYTES = 16 << 20;
 
-    private static final int HEAD = 8;
+    private static final int HEADER_BYTES = 8;
 
     private final Path file;
-    private final long compactAt;
+    private final long compactionThreshold;
     private final FileChannel lockChannel;
-    private final Device device;
+    private final StorageDevice device;
     private FileChannel channel;
     private byte[] state;
-    private long end;
-    private long cut;
+    private long endOffset;
+    private long truncatedBytes;
     private boolean suspect;
-    private boolean broken;
+    private boolean failed;
 
-    private StateLog(Path file, long compactAt, FileChannel lockChannel, Device device) {
+    private StateLog(Path file, long compactionThreshold, FileChannel lockChannel, StorageDevice device) {
         this.device = device;
         this.file = file;
-        this.compactAt = compactAt;
+        this.compactionThreshold = compactionThreshold;
         this.lockChannel = lockChannel;
     }
 
     /**
      * Opens a log or creates one, readable by its owner only.
      *
-     * @param compactAt file size in bytes from which on the file is rewritten with its last state only
+     * @param compactionThreshold file size in bytes from which on the file is rewritten with its last state only
      * @throws IOException also if another process has locked the log
      */
-    public static StateLog open(Path file, long compactAt) throws IOException {
-        return open(file, compactAt, new Device() {});
+    public static StateLog open(Path file, long compactionThreshold) throws IOException {
+        return open(file, compactionThreshold, new StorageDevice() {});
     }
 
-    static StateLog open(Path file, long compactAt, Device device) throws IOException {
+    static StateLog open(Path file, long compactionThreshold, StorageDevice device) throws IOException {
         Path lockFile = file.resolveSibling(file.getFileName() + ".lock");
         FileChannel lockChannel = FileChannel.open(lockFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
@@ -72,8 +72,8 @@
             if (lock == null) {
                 throw new IOException(file + ": another agent holds it");
             }
-            StateLog log = new StateLog(file, compactAt, lockChannel, device);
-            log.read();
+            StateLog log = new StateLog(file, compactionThreshold, lockChannel, device);
+            log.recover();
             return log;
         } catch (IOException e) {
             lockChannel.close();
@@ -81,52 +81,52 @@
         }
     }
 
-    private void read() throws IOException {
+    private void recover() throws IOException {
         // Left over from a compaction that was interrupted.
-        Files.deleteIfExists(beside());
-        boolean fresh = !Files.exists(file);
-        channel = create(file, StandardOpenOption.CREATE);
-        if (fresh) {
+        Files.deleteIfExists(compactionFile());
+        boolean created = !Files.exists(file);
+        channel = openOwnerOnly(file, StandardOpenOption.CREATE);
+        if (created) {
             syncDirectory();
         }
         long size = channel.size();
-        while (size - end >= HEAD) {
-            ByteBuffer head = readAt(end, HEAD);
-            int length = head.getInt();
-            int sum = head.getInt();
-            if (length < 0 || length > LONGEST) {
+        while (size - endOffset >= HEADER_BYTES) {
+            ByteBuffer header = readAt(endOffset, HEADER_BYTES);
+            int length = header.getInt();
+            int storedChecksum = header.getInt();
+            if (length < 0 || length > MAX_STATE_BYTES) {
                 suspect = true;
                 break;
             }
-            if (size - end - HEAD < length) {
+            if (size - endOffset - HEADER_BYTES < length) {
                 break;
             }
-            byte[] read = readAt(end + HEAD, length).array();
-            if (sum != checksum(length, read)) {
+            byte[] payload = readAt(endOffset + HEADER_BYTES, length).array();
+            if (storedChecksum != checksum(length, payload)) {
                 suspect = true;
                 break;
             }
-            state = read;
-            end += HEAD + length;
+            state = payload;
+            endOffset += HEADER_BYTES + length;
         }
-        cut = size - end;
-        if (suspect && !Files.exists(mark())) {
+        truncatedBytes = size - endOffset;
+        if (suspect && !Files.exists(suspectMarker())) {
             // The marker is created before the bytes are truncated: the next open must not take the file for
             // intact.
-            create(mark(), StandardOpenOption.CREATE).close();
+            openOwnerOnly(suspectMarker(), StandardOpenOption.CREATE).close();
             syncDirectory();
         }
-        suspect = Files.exists(mark());
-        if (cut > 0) {
-            channel.truncate(end);
+        suspect = Files.exists(suspectMarker());
+        if (truncatedBytes > 0) {
+            channel.truncate(endOffset);
             channel.force(true);
         }
     }
 
-    private ByteBuffer readAt(long from, int length) throws IOException {
+    private ByteBuffer readAt(long offset, int length) throws IOException {
         ByteBuffer bytes = ByteBuffer.allocate(length);
         while (bytes.hasRemaining()) {
-            if (channel.read(bytes, from + bytes.position()) < 0) {
+            if (channel.read(bytes, offset + bytes.position()) < 0) {
                 throw new IOException(file + ": ends while it is read");
             }
         }
@@ -139,8 +139,8 @@
     }
 
     /** Returns how many bytes were truncated at the open. */
-    public long cut() {
-        return cut;
+    public long truncatedBytes() {
+        return truncatedBytes;
     }
 
     /**
@@ -154,7 +154,7 @@
 
     /** Returns the size of the file in bytes. */
     public long size() {
-        return end;
+        return endOffset;
     }
 
     /**
@@ -162,33 +162,33 @@
      *
      * @throws IOException if that fails; the previous state stays in force, here and after a reopen
      */
-    public void write(byte[] next) throws IOException {
-        if (next.length > LONGEST) {
-            throw new IOException(file + ": a state of " + next.length + " bytes, " + LONGEST + " at most");
+    public void write(byte[] newState) throws IOException {
+        if (newState.length > MAX_STATE_BYTES) {
+            throw new IOException(file + ": a state of " + newState.length + " bytes, " + MAX_STATE_BYTES + " at most");
         }
-        if (broken) {
+        if (failed) {
             throw new IOException(file + ": a write or rename before may not hold; open it again");
         }
-        ByteBuffer record = record(next);
+        ByteBuffer record = encodeRecord(newState);
         try {
-            device.append(channel, record, end);
+            device.append(channel, record, endOffset);
         } catch (IOException e) {
-            takeBack(e);
+            rollBackAppend(e);
             throw e;
         }
-        end += record.limit();
-        state = next.clone();
-        if (end >= compactAt && end > 2L * record.limit()) {
+        endOffset += record.limit();
+        state = newState.clone();
+        if (endOffset >= compactionThreshold && endOffset > 2L * record.limit()) {
             compact(record.rewind());
         }
     }
 
-    private void takeBack(IOException cause) {
+    private void rollBackAppend(IOException cause) {
         try {
-            channel.truncate(end);
+            channel.truncate(endOffset);
             channel.force(true);
         } catch (IOException e) {
-            broken = true;
+            failed = true;
             cause.addSuppressed(e);
         }
     }
@@ -199,25 +199,25 @@
      */
     private void compact(ByteBuffer record) {
         try {
-            FileChannel shorter = create(beside(), StandardOpenOption.CREATE_NEW);
+            FileChannel compacted = openOwnerOnly(compactionFile(), StandardOpenOption.CREATE_NEW);
             try {
-                device.append(shorter, record, 0);
-                Files.move(beside(), file, StandardCopyOption.ATOMIC_MOVE);
+                device.append(compacted, record, 0);
+                Files.move(compactionFile(), file, StandardCopyOption.ATOMIC_MOVE);
             } catch (IOException e) {
-                shorter.close();
-                Files.deleteIfExists(beside());
+                compacted.close();
+                Files.deleteIfExists(compactionFile());
                 return;
             }
-            FileChannel longer = channel;
-            channel = shorter;
-            end = record.limit();
+            FileChannel previous = channel;
+            channel = compacted;
+            endOffset = record.limit();
             try {
                 syncDirectory();
             } catch (IOException e) {
                 // A crash might bring the longer file back, without the records written from here on.
-                broken = true;
+                failed = true;
             }
-            longer.close();
+            previous.close();
         } catch (IOException e) {
             // The file in use is complete, whether long or short; the compaction of a long one is retried at
             // the next write.
@@ -225,50 +225,50 @@
     }
 
     /** The operations of a storage device that may fail; tests replace it to inject faults. */
-    interface Device {
+    public interface StorageDevice {
         /** Writes a record and syncs it to the device. */
-        default void append(FileChannel to, ByteBuffer record, long at) throws IOException {
-            StateLog.append(to, record, at);
+        default void append(FileChannel target, ByteBuffer record, long offset) throws IOException {
+            StateLog.append(target, record, offset);
         }
 
         /** Syncs a directory's entries to the device. */
-        default void sync(Path directory) throws IOException {
+        default void syncDirectory(Path directory) throws IOException {
             try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
                 channel.force(true);
             }
         }
     }
 
-    static void append(FileChannel to, ByteBuffer record, long at) throws IOException {
-        long position = at;
+    public static void append(FileChannel target, ByteBuffer record, long offset) throws IOException {
+        long position = offset;
         while (record.hasRemaining()) {
-            position += to.write(record, position);
+            position += target.write(record, position);
         }
-        to.force(true);
+        target.force(true);
     }
 
     /** Exists for as long as the log is suspect. */
-    private Path mark() {
+    private Path suspectMarker() {
         return file.resolveSibling(file.getFileName() + ".suspect");
     }
 
-    private Path beside() {
+    private Path compactionFile() {
         return file.resolveSibling(file.getFileName() + ".next");
     }
 
-    private static FileChannel create(Path file, StandardOpenOption how) throws IOException {
+    private static FileChannel openOwnerOnly(Path file, StandardOpenOption mode) throws IOException {
         return FileChannel.open(
                 file,
-                java.util.Set.of(how, StandardOpenOption.READ, StandardOpenOption.WRITE),
+                java.util.Set.of(mode, StandardOpenOption.READ, StandardOpenOption.WRITE),
                 PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
     }
 
     private void syncDirectory() throws IOException {
-        device.sync(file.toAbsolutePath().getParent());
+        device.syncDirectory(file.toAbsolutePath().getParent());
     }
 
-    private static ByteBuffer record(byte[] state) {
-        return ByteBuffer.allocate(HEAD + state.length)
+    private static ByteBuffer encodeRecord(byte[] state) {
+        return ByteBuffer.allocate(HEADER_BYTES + state.length)
                 .putInt(state.length)
                 .putInt(checksum(state.length, state))
                 .put(state)
@@ -276,10 +276,10 @@
     }
 
     private static int checksum(int length, byte[] state) {
-        CRC32C sum = new CRC32C();
-        sum.update(ByteBuffer.allocate(4).putInt(length).flip());
-        sum.update(state);
-        return (int) sum.getValue();
+        CRC32C crc = new CRC32C();
+        crc.update(ByteBuffer.allocate(4).putInt(length).flip());
+        crc.update(state);
+        return (int) crc.getValue();
     }
 
     @Override
--- a/control/src/main/java/weldhitch/control/log/package-info.java
+++ b/consensus/src/main/java/weldhitch/statelog/package-info.java
@@ -1,2 +1,2 @@
 /** A log on disk for state that must survive a crash. */
-package weldhitch.control.log;
+package weldhitch.statelog;
--- a/control/src/test/java/weldhitch/control/log/StateLogTest.java
+++ b/consensus/src/test/java/weldhitch/statelog/StateLogTest.java
@@ -1,4 +1,4 @@
-package weldhitch.control.log;
+package weldhitch.statelog;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -25,7 +25,7 @@
 
 /** Recovery, compaction, locking and write failures of {@link StateLog}, on real files. */
 class StateLogTest {
-    private static final long MANY = 1 << 20;
+    private static final long COMPACTION_THRESHOLD = 1 << 20;
 
     @TempDir
     Path directory;
@@ -35,7 +35,7 @@
     }
 
     private StateLog open() throws IOException {
-        return StateLog.open(file(), MANY);
+        return StateLog.open(file(), COMPACTION_THRESHOLD);
     }
 
     private static byte[] bytes(String text) {
@@ -51,14 +51,14 @@
     }
 
     @Test
-    void theLastStateIsThereAfterAnOpenAndTheOwnersAlone() throws Exception {
+    void lastStateIsRecoveredOnOpenAndFileIsReadableByItsOwnerOnly() throws Exception {
         try (StateLog log = open()) {
             assertNull(log.state());
         }
         write("one", "two");
         try (StateLog log = open()) {
             assertArrayEquals(bytes("two"), log.state());
-            assertEquals(0, log.cut());
+            assertEquals(0, log.truncatedBytes());
             assertFalse(log.suspect());
         }
         assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(file())));
@@ -66,15 +66,15 @@
 
     /** A crash may leave any prefix of the last record. */
     @Test
-    void aTornLastRecordIsCutOffWhereverItIsTorn() throws Exception {
+    void tornLastRecordIsTruncatedWhereverItIsTorn() throws Exception {
         write("one", "two");
-        byte[] whole = Files.readAllBytes(file());
-        int second = 8 + 3;
-        for (int length = second; length < whole.length; length++) {
-            Files.write(file(), Arrays.copyOf(whole, length));
+        byte[] original = Files.readAllBytes(file());
+        int secondRecordOffset = 8 + 3;
+        for (int length = secondRecordOffset; length < original.length; length++) {
+            Files.write(file(), Arrays.copyOf(original, length));
             try (StateLog log = open()) {
                 assertArrayEquals(bytes("one"), log.state(), "cut at " + length);
-                assertEquals(length - second, log.cut());
+                assertEquals(length - secondRecordOffset, log.truncatedBytes());
                 assertFalse(log.suspect(), "what was never whole was never acknowledged");
                 log.write(bytes("three"));
             }
@@ -85,16 +85,16 @@
     }
 
     @Test
-    void aFlippedBitAnywhereInTheLastRecordIsSeenAndSaid() throws Exception {
+    void flippedBitAnywhereInTheLastRecordIsDetectedAndReported() throws Exception {
         write("one", "two");
-        byte[] whole = Files.readAllBytes(file());
-        for (int bit = (8 + 3) * 8; bit < whole.length * 8; bit++) {
-            byte[] flipped = whole.clone();
+        byte[] original = Files.readAllBytes(file());
+        for (int bit = (8 + 3) * 8; bit < original.length * 8; bit++) {
+            byte[] flipped = original.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(file(), flipped);
             try (StateLog log = open()) {
                 assertArrayEquals(bytes("one"), log.state(), "bit " + bit);
-                assertTrue(log.cut() > 0);
+                assertTrue(log.truncatedBytes() > 0);
                 boolean lengthGrew = bit < (8 + 3 + 4) * 8;
                 assertTrue(log.suspect() || lengthGrew, "bit " + bit + " may have been acknowledged");
             }
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void itIsWrittenAnewWithItsLastStateAloneOnceItIsLong() throws Exception {
+    void logIsCompactedToItsLastStateBeyondTheThreshold() throws Exception {
         try (StateLog log = StateLog.open(file(), 1000)) {
             for (int i = 0; i < 500; i++) {
                 log.write(bytes("state " + i));
@@ -121,49 +121,49 @@
 
     /** Half of the record is written to the disk; the rest goes to Linux's {@code /dev/full}. */
     @Test
-    void aWriteOnAFullDiskIsRefusedAndTheStateBeforeStays() throws Exception {
+    void writeOnAFullDiskFailsAndThePreviousStateRemains() throws Exception {
         write("one");
-        AtomicBoolean isFull = new AtomicBoolean(true);
-        try (FileChannel full = FileChannel.open(Path.of("/dev/full"), StandardOpenOption.WRITE);
-                StateLog log = StateLog.open(file(), MANY, new StateLog.Device() {
+        AtomicBoolean diskFull = new AtomicBoolean(true);
+        try (FileChannel fullDevice = FileChannel.open(Path.of("/dev/full"), StandardOpenOption.WRITE);
+                StateLog log = StateLog.open(file(), COMPACTION_THRESHOLD, new StateLog.StorageDevice() {
                     @Override
-                    public void append(FileChannel to, ByteBuffer record, long at) throws IOException {
-                        if (isFull.get()) {
-                            StateLog.append(to, record.duplicate().limit(record.limit() / 2), at);
-                            StateLog.append(full, record, at);
+                    public void append(FileChannel target, ByteBuffer record, long offset) throws IOException {
+                        if (diskFull.get()) {
+                            StateLog.append(target, record.duplicate().limit(record.limit() / 2), offset);
+                            StateLog.append(fullDevice, record, offset);
                         }
-                        StateLog.append(to, record, at);
+                        StateLog.append(target, record, offset);
                     }
                 })) {
             IOException e = assertThrows(IOException.class, () -> log.write(bytes("two")));
             assertTrue(e.getMessage().contains("No space left"), e.toString());
             assertArrayEquals(bytes("one"), log.state());
             assertEquals(log.size(), Files.size(file()), "what was begun is taken back");
-            isFull.set(false);
+            diskFull.set(false);
             log.write(bytes("three"));
         }
         try (StateLog log = open()) {
             assertArrayEquals(bytes("three"), log.state());
-            assertThrows(IOException.class, () -> log.write(new byte[StateLog.LONGEST + 1]));
+            assertThrows(IOException.class, () -> log.write(new byte[StateLog.MAX_STATE_BYTES + 1]));
             assertArrayEquals(bytes("three"), log.state());
         }
     }
 
     /** The rename is visible to this process, but a crash might still bring the longer file back. */
     @Test
-    void afterARenameThatMayNotLastNothingMoreIsAcknowledged() throws Exception {
-        AtomicBoolean fails = new AtomicBoolean();
-        try (StateLog log = StateLog.open(file(), 100, new StateLog.Device() {
+    void noWriteIsAcknowledgedAfterARenameThatWasNotSynced() throws Exception {
+        AtomicBoolean syncFails = new AtomicBoolean();
+        try (StateLog log = StateLog.open(file(), 100, new StateLog.StorageDevice() {
             @Override
-            public void sync(Path names) throws IOException {
-                if (fails.get()) {
+            public void syncDirectory(Path syncedDirectory) throws IOException {
+                if (syncFails.get()) {
                     throw new IOException("the device refuses");
                 }
-                StateLog.Device.super.sync(names);
+                StateLog.StorageDevice.super.syncDirectory(syncedDirectory);
             }
         })) {
             log.write(bytes("one"));
-            fails.set(true);
+            syncFails.set(true);
             int written = 0;
             while (log.size() >= written) {
                 written = (int) log.size();
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void oneProcessAtATimeHoldsIt() throws Exception {
+    void onlyOneProcessAtATimeLocksTheLog() throws Exception {
         try (StateLog log = open()) {
             IOException e = assertThrows(IOException.class, this::open);
             assertTrue(e.getMessage().contains("another agent holds it"), e.getMessage());
@@ -187,8 +187,8 @@
     }
 
     /** Writes states, and prints each once it is on the device, until the process is killed. */
-    static final class Writer {
-        private Writer() {}
+    static final class StateWriter {
+        private StateWriter() {}
 
         public static void main(String[] args) throws Exception {
             try (StateLog log = StateLog.open(Path.of(args[0]), 2000)) {
@@ -201,27 +201,27 @@
     }
 
     @Test
-    void nothingAcknowledgedIsLostWhenTheProcessIsKilled() throws Exception {
+    void noAcknowledgedStateIsLostWhenTheProcessIsKilled() throws Exception {
         int acknowledged = -1;
         for (int round = 0; round < 5; round++) {
             Process writer = new ProcessBuilder(List.of(
                             ProcessHandle.current().info().command().orElse("java"),
                             "-cp",
                             System.getProperty("java.class.path"),
-                            Writer.class.getName(),
+                            StateWriter.class.getName(),
                             file().toString()))
                     .start();
-            List<String> said = new ArrayList<>();
+            List<String> outputLines = new ArrayList<>();
             try (BufferedReader out = writer.inputReader()) {
                 for (int lines = 0; lines < 20 + 37 * round; lines++) {
-                    said.add(out.readLine());
+                    outputLines.add(out.readLine());
                 }
                 writer.toHandle().destroyForcibly();
-                out.lines().forEach(said::add);
+                out.lines().forEach(outputLines::add);
             }
             assertEquals(137, writer.waitFor(), "killed, not ended");
-            assertEquals(acknowledged + 1, Integer.parseInt(said.get(0)), "went on from the last state");
-            acknowledged = Integer.parseInt(said.get(said.size() - 1));
+            assertEquals(acknowledged + 1, Integer.parseInt(outputLines.get(0)), "went on from the last state");
+            acknowledged = Integer.parseInt(outputLines.get(outputLines.size() - 1));
             try (StateLog log = open()) {
                 int last = Integer.parseInt(new String(log.state()).trim());
                 assertTrue(last == acknowledged || last == acknowledged + 1, last + " after " + acknowledged);
--- a/steward/src/main/java/weldhitch/steward/core/package-info.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/package-info.java
@@ -3,4 +3,4 @@
  * top of the consensus of {@code weldhitch.consensus}. Free of I/O, clocks and threads. See
  * docs/design/activation.md.
  */
-package weldhitch.steward.core;
+package weldhitch.coordinator.core;
--- a/steward/src/main/java/weldhitch/steward/run/StewardSettings.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorSettings.java
@@ -1,4 +1,4 @@
-package weldhitch.steward.run;
+package weldhitch.coordinator.server;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -14,32 +14,32 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldhitch.fleet.activation.Timing;
-import weldhitch.fleet.error.FleetError.SettingUnusable;
-import weldhitch.operator.Addresses;
-import weldhitch.operator.Lines;
-import weldhitch.steward.core.StewardCore.Absent;
+import weldhitch.coordinator.core.MissingMemberPolicy;
+import weldhitch.fleet.activation.LeaseTiming;
+import weldhitch.fleet.error.FleetError.InvalidSetting;
+import weldhitch.routeconfig.AddressParser;
+import weldhitch.routeconfig.TomlLineIndex;
 
 /**
  * The validated configuration of a coordinator. Immutable.
  *
  * @param listen a loopback address
- * @param stewards addresses of all coordinators by name, this one included; 1, 3 or 5
+ * @param coordinators addresses of all coordinators by name, this one included; 1, 3 or 5
  * @param directory holds the log, and {@code versions}, where files are submitted
- * @param absent what becomes of a version when a member does not vote
+ * @param missingMemberPolicy what becomes of a version when a member does not vote
  */
-public record StewardSettings(
+public record CoordinatorSettings(
         String name,
         String cluster,
         InetSocketAddress listen,
-        Map<String, InetSocketAddress> stewards,
+        Map<String, InetSocketAddress> coordinators,
         Path directory,
-        Absent absent,
-        Timing timing) {
-    private static final List<String> TOP =
+        MissingMemberPolicy missingMemberPolicy,
+        LeaseTiming timing) {
+    private static final List<String> TOP_LEVEL_KEYS =
             List.of("version", "name", "cluster", "listen", "directory", "absent", "stewards", "timing");
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
-    private static final Pattern SPAN = Pattern.compile("([0-9]{1,6})(ms|s)");
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
+    private static final Pattern DURATION_PATTERN = Pattern.compile("([0-9]{1,6})(ms|s)");
 
     /**
      * The result of reading a file.
@@ -47,17 +47,17 @@
      * @param settings null if the file is invalid
      * @param errors all errors; empty if the file is valid
      */
-    public record Read(StewardSettings settings, List<SettingUnusable> errors) {}
+    public record ReadResult(CoordinatorSettings settings, List<InvalidSetting> errors) {}
 
     /** Reads and validates a file; blocks on I/O. */
-    public static Read read(Path file) {
+    public static ReadResult read(Path file) {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            return new Read(
+            return new ReadResult(
                     null,
-                    List.of(new SettingUnusable(
+                    List.of(new InvalidSetting(
                             file.toString(),
                             0,
                             "file",
@@ -65,12 +65,12 @@
                             "name a file that this user may read")));
         }
         try {
-            return new Reader(file.toString(), new Lines(text)).read(new TomlMapper().readTree(text));
+            return new TomlParser(file.toString(), new TomlLineIndex(text)).parse(new TomlMapper().readTree(text));
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-            return new Read(
+            return new ReadResult(
                     null,
-                    List.of(new SettingUnusable(
+                    List.of(new InvalidSetting(
                             file.toString(),
                             line,
                             "file",
@@ -81,24 +81,24 @@
     }
 
     /** Parses one file and collects all of its errors. */
-    private static final class Reader {
+    private static final class TomlParser {
         private final String file;
-        private final Lines lines;
-        private final List<SettingUnusable> errors = new ArrayList<>();
+        private final TomlLineIndex lines;
+        private final List<InvalidSetting> errors = new ArrayList<>();
 
-        Reader(String file, Lines lines) {
+        TomlParser(String file, TomlLineIndex lines) {
             this.file = file;
             this.lines = lines;
         }
 
         private void error(String key, String found, String expected) {
-            errors.add(new SettingUnusable(file, lines.of(key), key, found, expected));
+            errors.add(new InvalidSetting(file, lines.lineOf(key), key, found, expected));
         }
 
-        Read read(JsonNode root) {
+        ReadResult parse(JsonNode root) {
             root.fieldNames().forEachRemaining(key -> {
-                if (!TOP.contains(key)) {
-                    error(key, "is not known", "expected one of " + String.join(", ", TOP));
+                if (!TOP_LEVEL_KEYS.contains(key)) {
+                    error(key, "is not known", "expected one of " + String.join(", ", TOP_LEVEL_KEYS));
                 }
             });
             if (!root.path("version").isInt() || root.path("version").intValue() != 1) {
@@ -107,19 +107,21 @@
             String name = name(root, "name");
             String cluster = name(root, "cluster");
             InetSocketAddress listen = address(root.path("listen"), "listen");
-            Map<String, InetSocketAddress> stewards = stewards(root.path("stewards"), name);
+            Map<String, InetSocketAddress> coordinators = coordinators(root.path("stewards"), name);
             Path directory = directory(root.path("directory"));
-            Absent absent = absent(root.path("absent"));
-            Timing timing = timing(root.path("timing"));
+            MissingMemberPolicy missingMemberPolicy = missingMemberPolicy(root.path("absent"));
+            LeaseTiming timing = timing(root.path("timing"));
             return errors.isEmpty()
-                    ? new Read(
-                            new StewardSettings(name, cluster, listen, stewards, directory, absent, timing), List.of())
-                    : new Read(null, List.copyOf(errors));
+                    ? new ReadResult(
+                            new CoordinatorSettings(
+                                    name, cluster, listen, coordinators, directory, missingMemberPolicy, timing),
+                            List.of())
+                    : new ReadResult(null, List.copyOf(errors));
         }
 
         private String name(JsonNode root, String key) {
             JsonNode value = root.path(key);
-            if (!value.isTextual() || !NAME.matcher(value.textValue()).matches()) {
+            if (!value.isTextual() || !NAME_PATTERN.matcher(value.textValue()).matches()) {
                 error(
                         key,
                         value.isMissingNode() ? "is missing" : value + " is no name",
@@ -131,7 +133,7 @@
 
         /** Only loopback addresses, as requests are not authenticated. */
         private InetSocketAddress address(JsonNode value, String key) {
-            InetSocketAddress address = value.isTextual() ? Addresses.read(value.textValue()) : null;
+            InetSocketAddress address = value.isTextual() ? AddressParser.parse(value.textValue()) : null;
             if (address != null) {
                 if (address.getAddress().isLoopbackAddress()) {
                     return address;
@@ -147,16 +149,16 @@
             return null;
         }
 
-        private Map<String, InetSocketAddress> stewards(JsonNode table, String name) {
-            Map<String, InetSocketAddress> all = new LinkedHashMap<>();
-            table.properties().forEach(each -> {
-                String key = "stewards." + each.getKey();
-                if (!NAME.matcher(each.getKey()).matches()) {
+        private Map<String, InetSocketAddress> coordinators(JsonNode table, String name) {
+            Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
+            table.properties().forEach(entry -> {
+                String key = "stewards." + entry.getKey();
+                if (!NAME_PATTERN.matcher(entry.getKey()).matches()) {
                     error(key, "is no name", "expected 1 to 64 letters, digits, dots, - and _");
                 }
-                InetSocketAddress address = address(each.getValue(), key);
+                InetSocketAddress address = address(entry.getValue(), key);
                 if (address != null) {
-                    all.put(each.getKey(), address);
+                    addresses.put(entry.getKey(), address);
                 }
             });
             if (table.size() != 1 && table.size() != 3 && table.size() != 5) {
@@ -170,7 +172,7 @@
                         "does not name " + name + ", this steward itself",
                         "add it: all stewards have the same table");
             }
-            return all;
+            return addresses;
         }
 
         private Path directory(JsonNode value) {
@@ -189,48 +191,54 @@
             return null;
         }
 
-        private Absent absent(JsonNode value) {
+        private MissingMemberPolicy missingMemberPolicy(JsonNode value) {
             if (value.isMissingNode() || value.asText().equals("abort")) {
-                return Absent.ABORT;
+                return MissingMemberPolicy.ABORT;
             }
             if (value.asText().equals("fence")) {
-                return Absent.FENCE;
+                return MissingMemberPolicy.FENCE;
             }
             error("absent", value + " is not known", "expected \"abort\" or \"fence\"");
             return null;
         }
 
-        private Timing timing(JsonNode table) {
+        private LeaseTiming timing(JsonNode table) {
             table.fieldNames().forEachRemaining(key -> {
                 if (!List.of("authority", "lease", "lead", "vote", "drift").contains(key)) {
                     error("timing." + key, "is not known", "expected one of authority, lease, lead, vote, drift");
                 }
             });
-            Timing usual = Timing.USUAL;
-            long authority = span(table, "authority", usual.authority());
-            long lease = span(table, "lease", usual.lease());
-            long lead = span(table, "lead", usual.lead());
-            long vote = span(table, "vote", usual.vote());
+            LeaseTiming defaults = LeaseTiming.DEFAULT;
+            long leaderLease = durationNanos(table, "authority", defaults.leaderLease());
+            long memberLease = durationNanos(table, "lease", defaults.memberLease());
+            long activationMargin = durationNanos(table, "lead", defaults.activationDelay());
+            long voteTimeout = durationNanos(table, "vote", defaults.voteTimeout());
             JsonNode drift = table.path("drift");
             if (!drift.isMissingNode() && (!drift.isNumber() || drift.doubleValue() < 0 || drift.doubleValue() > 0.1)) {
                 error("timing.drift", drift + " is no share", "expected 0 to 0.1");
                 return null;
             }
-            return authority < 0 || lease < 0 || lead < 0 || vote < 0
+            return leaderLease < 0 || memberLease < 0 || activationMargin < 0 || voteTimeout < 0
                     ? null
-                    : new Timing(
-                            authority, lease, lead, vote, drift.isMissingNode() ? usual.drift() : drift.doubleValue());
+                    : new LeaseTiming(
+                            leaderLease,
+                            memberLease,
+                            activationMargin,
+                            voteTimeout,
+                            drift.isMissingNode() ? defaults.maxClockDrift() : drift.doubleValue());
         }
 
-        private long span(JsonNode table, String name, long usual) {
-            JsonNode value = table.path(name);
+        private long durationNanos(JsonNode table, String key, long defaultNanos) {
+            JsonNode value = table.path(key);
             if (value.isMissingNode()) {
-                return usual;
+                return defaultNanos;
             }
-            Matcher m = SPAN.matcher(value.isTextual() ? value.textValue() : "");
-            long millis = m.matches() ? Long.parseLong(m.group(1)) * (m.group(2).equals("s") ? 1000 : 1) : -1;
+            Matcher matcher = DURATION_PATTERN.matcher(value.isTextual() ? value.textValue() : "");
+            long millis = matcher.matches()
+                    ? Long.parseLong(matcher.group(1)) * (matcher.group(2).equals("s") ? 1000 : 1)
+                    : -1;
             if (millis < 50 || millis > 600_000) {
-                error("timing." + name, value + " is no span", "expected 50ms to 600s");
+                error("timing." + key, value + " is no span", "expected 50ms to 600s");
                 return -1;
             }
             return millis * 1_000_000;
--- a/steward/src/main/java/weldhitch/steward/run/Peers.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/PeerClient.java
@@ -1,4 +1,4 @@
-package weldhitch.steward.run;
+package weldhitch.coordinator.server;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import java.net.InetSocketAddress;
@@ -11,61 +11,61 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicInteger;
-import weldhitch.steward.core.Peer;
+import weldhitch.coordinator.core.PeerMessage;
 
 /**
  * Sends messages to other coordinators over HTTP, without waiting for any and without retries: whoever depends
  * on a lost message sends it again. Beyond the maximum of requests in flight to a peer, messages are dropped.
- * Called on the decision thread of {@link Steward}.
+ * Called on the decision thread of {@link CoordinatorServer}.
  */
-final class Peers {
-    private static final int MOST_UNDER_WAY = 64;
+final class PeerClient {
+    private static final int MAX_IN_FLIGHT = 64;
 
     private final String cluster;
     private final String name;
     private final Map<String, URI> addresses = new ConcurrentHashMap<>();
-    private final Map<String, AtomicInteger> underWay = new ConcurrentHashMap<>();
+    private final Map<String, AtomicInteger> inFlight = new ConcurrentHashMap<>();
     private final HttpClient client;
-    private final Duration patience;
+    private final Duration requestTimeout;
 
-    Peers(StewardSettings settings, Executor executor) {
+    PeerClient(CoordinatorSettings settings, Executor executor) {
         cluster = settings.cluster();
         name = settings.name();
-        patience = Duration.ofNanos(settings.timing().authority() / 2);
-        settings.stewards().forEach((peer, at) -> {
-            addresses.put(peer, uri(at));
-            underWay.put(peer, new AtomicInteger());
+        requestTimeout = Duration.ofNanos(settings.timing().leaderLease() / 2);
+        settings.coordinators().forEach((peer, address) -> {
+            addresses.put(peer, uri(address));
+            inFlight.put(peer, new AtomicInteger());
         });
         client = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(patience)
+                .connectTimeout(requestTimeout)
                 .executor(executor)
                 .build();
     }
 
-    private static URI uri(InetSocketAddress at) {
-        return URI.create("http://" + at.getAddress().getHostAddress() + ":" + at.getPort() + "/v1/peer");
+    private static URI uri(InetSocketAddress address) {
+        return URI.create("http://" + address.getAddress().getHostAddress() + ":" + address.getPort() + "/v1/peer");
     }
 
-    void tell(String peer, Peer message) {
-        AtomicInteger open = underWay.get(peer);
-        if (open == null || open.get() >= MOST_UNDER_WAY) {
+    void send(String peer, PeerMessage message) {
+        AtomicInteger inFlightToPeer = inFlight.get(peer);
+        if (inFlightToPeer == null || inFlightToPeer.get() >= MAX_IN_FLIGHT) {
             return;
         }
         byte[] body;
         try {
-            body = StewardJson.JSON.writeValueAsBytes(new StewardJson.Said(cluster, name, message));
+            body = CoordinatorJson.JSON.writeValueAsBytes(new CoordinatorJson.PeerEnvelope(cluster, name, message));
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
-        open.incrementAndGet();
+        inFlightToPeer.incrementAndGet();
         client.sendAsync(
                         HttpRequest.newBuilder(addresses.get(peer))
-                                .timeout(patience)
+                                .timeout(requestTimeout)
                                 .header("Content-Type", "application/json")
                                 .POST(HttpRequest.BodyPublishers.ofByteArray(body))
                                 .build(),
                         HttpResponse.BodyHandlers.discarding())
-                .whenComplete((response, failure) -> open.decrementAndGet());
+                .whenComplete((response, failure) -> inFlightToPeer.decrementAndGet());
     }
 }
--- /dev/null
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/SubmissionDirectory.java
@@ -0,0 +1,126 @@
+package weldhitch.coordinator.server;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.charset.CharacterCodingException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import weldhitch.fleet.error.FleetError;
+import weldhitch.fleet.member.BundleDigest;
+import weldhitch.routeconfig.RouteConfig;
+
+/**
+ * The directory where operators submit versions, as {@code NAME.toml}, and name members that are removed for
+ * good, as {@code NAME.gone}; by rename, so that no file is read half written. A file that became a version is
+ * moved to {@code taken}, an invalid one to {@code refused}.
+ *
+ * <p>Not thread-safe; used on the decision thread of {@link CoordinatorServer}.
+ */
+final class SubmissionDirectory {
+    private static final int MAX_FILE_BYTES = 256 << 10;
+
+    /**
+     * A submitted file.
+     *
+     * @param submissionId unique for this file name, content, modification time and size
+     * @param text its content
+     */
+    record SubmittedFile(Path path, String submissionId, String sha256, String text) {}
+
+    private final Path directory;
+    private final Path acceptedDirectory;
+    private final Path rejectedDirectory;
+    private final Map<Path, String> knownStamps = new HashMap<>();
+
+    SubmissionDirectory(Path directory) throws IOException {
+        this.directory = Files.createDirectories(directory.resolve("versions"));
+        acceptedDirectory = Files.createDirectories(this.directory.resolve("taken"));
+        rejectedDirectory = Files.createDirectories(this.directory.resolve("refused"));
+    }
+
+    /**
+     * Returns the files that are new since the last scan; a file that is no valid version is moved aside, with
+     * an error for each.
+     */
+    List<SubmittedFile> scan(List<FleetError> errors) {
+        List<SubmittedFile> submitted = new ArrayList<>();
+        for (Path file : listFiles(".toml")) {
+            try {
+                String stamp = Files.getLastModifiedTime(file).toMillis() + " " + Files.size(file);
+                if (stamp.equals(knownStamps.get(file))) {
+                    continue;
+                }
+                knownStamps.put(file, stamp);
+                if (Files.size(file) > MAX_FILE_BYTES) {
+                    reject(file, 0, "holds more than " + MAX_FILE_BYTES + " bytes", errors);
+                    continue;
+                }
+                byte[] bytes = Files.readAllBytes(file);
+                String text = StandardCharsets.UTF_8
+                        .newDecoder()
+                        .decode(ByteBuffer.wrap(bytes))
+                        .toString();
+                RouteConfig parsed = RouteConfig.parse(file.getFileName().toString(), bytes, null);
+                if (!parsed.isUsable()) {
+                    var firstError = parsed.errors().get(0);
+                    reject(file, firstError.line(), firstError.key() + ": " + firstError.description(), errors);
+                    continue;
+                }
+                String sha256 = BundleDigest.sha256(bytes);
+                submitted.add(new SubmittedFile(
+                        file, file.getFileName() + ":" + sha256 + ":" + stamp.replace(' ', ':'), sha256, text));
+            } catch (CharacterCodingException e) {
+                reject(file, 0, "is not UTF-8", errors);
+            } catch (IOException e) {
+                // Deleted between the scan and the read: the operator has withdrawn it.
+                knownStamps.remove(file);
+            }
+        }
+        return submitted;
+    }
+
+    /** Returns the members that an operator has removed for good, with the files that name them. */
+    Map<String, Path> removedMembers() {
+        Map<String, Path> removed = new HashMap<>();
+        listFiles(".gone")
+                .forEach(file -> removed.put(file.getFileName().toString().replaceFirst("\\.gone$", ""), file));
+        return removed;
+    }
+
+    private List<Path> listFiles(String suffix) {
+        try (Stream<Path> files = Files.list(directory)) {
+            return files.filter(file -> file.getFileName().toString().endsWith(suffix) && Files.isRegularFile(file))
+                    .sorted()
+                    .toList();
+        } catch (IOException e) {
+            return List.of();
+        }
+    }
+
+    /** Moves a file aside that became the version with this number. */
+    void markAccepted(Path file, long number) {
+        move(file, acceptedDirectory.resolve(number + "-" + file.getFileName()));
+    }
+
+    private void reject(Path file, int line, String reason, List<FleetError> errors) {
+        errors.add(new FleetError.InvalidBundle(file.toString(), line, reason));
+        move(file, rejectedDirectory.resolve(file.getFileName()));
+    }
+
+    private void move(Path source, Path target) {
+        knownStamps.remove(source);
+        try {
+            Files.move(source, target, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        } catch (IOException e) {
+            // The file stays where it is, and the next scan finds it again; a version that is prepared already
+            // is recognized by its submission id.
+        }
+    }
+}
--- a/steward/src/test/java/weldhitch/steward/run/RecordedMessagesTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/RecordedMessagesTest.java
@@ -1,4 +1,4 @@
-package weldhitch.steward.run;
+package weldhitch.coordinator.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,15 +20,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import weldhitch.control.order.Message;
-import weldhitch.control.order.Reply;
-import weldhitch.fleet.activation.MemberReply;
+import weldhitch.consensus.Message;
+import weldhitch.consensus.Reply;
+import weldhitch.coordinator.core.MissingMemberPolicy;
+import weldhitch.coordinator.core.PeerMessage;
+import weldhitch.fleet.activation.LeaseTiming;
 import weldhitch.fleet.activation.MemberRequest;
-import weldhitch.fleet.activation.Timing;
-import weldhitch.steward.core.Peer;
-import weldhitch.steward.core.StewardCore.Absent;
-import weldhitch.testkit.Tests;
-import weldhitch.testkit.Wire;
+import weldhitch.fleet.activation.MemberResponse;
+import weldhitch.testkit.TestConnection;
+import weldhitch.testkit.TestSupport;
 
 /**
  * HTTP bodies as an earlier version (32a2790) sent them to members and peers: a fleet of which half runs that
@@ -36,8 +36,9 @@
  * again.
  */
 class RecordedMessagesTest {
-    private static final Path RECORDED = Path.of("steward/src/test/resources/weldhitch/recorded");
-    private static final Timing TIMES = new Timing(200_000_000L, 300_000_000L, 50_000_000L, 1_000_000_000L, 0.002);
+    private static final Path RECORDED = Path.of("coordinator/src/test/resources/weldhitch/recorded");
+    private static final LeaseTiming TIMING =
+            new LeaseTiming(200_000_000L, 300_000_000L, 50_000_000L, 1_000_000_000L, 0.002);
 
     @TempDir
     Path directory;
@@ -65,10 +66,10 @@
 
     private static <T> T readAndWriteBack(Path file, Class<T> type) throws IOException {
         String recorded = Files.readString(file);
-        T read = StewardJson.JSON.readValue(recorded, type);
+        T read = CoordinatorJson.JSON.readValue(recorded, type);
         assertEquals(
-                StewardJson.JSON.readTree(recorded),
-                StewardJson.JSON.readTree(StewardJson.JSON.writeValueAsBytes(read)),
+                CoordinatorJson.JSON.readTree(recorded),
+                CoordinatorJson.JSON.readTree(CoordinatorJson.JSON.writeValueAsBytes(read)),
                 file.toString());
         return read;
     }
@@ -76,7 +77,7 @@
     @ParameterizedTest
     @MethodSource("peerMessages")
     void peerMessagesKeepTheirForm(Path file) throws IOException {
-        readAndWriteBack(file, StewardJson.Said.class);
+        readAndWriteBack(file, CoordinatorJson.PeerEnvelope.class);
     }
 
     @ParameterizedTest
@@ -88,7 +89,7 @@
     @ParameterizedTest
     @MethodSource("memberReplies")
     void memberRepliesKeepTheirForm(Path file) throws IOException {
-        readAndWriteBack(file, MemberReply.class);
+        readAndWriteBack(file, MemberResponse.class);
     }
 
     @Test
@@ -96,12 +97,12 @@
         Set<Class<?>> recorded = peerMessages().stream()
                 .flatMap(file -> {
                     try {
-                        Peer message =
-                                readAndWriteBack(file, StewardJson.Said.class).message();
-                        return message instanceof Peer.Ballots ballots
+                        PeerMessage message = readAndWriteBack(file, CoordinatorJson.PeerEnvelope.class)
+                                .message();
+                        return message instanceof PeerMessage.ConsensusRequest ballots
                                 ? Stream.of(
                                         message.getClass(), ballots.message().getClass())
-                                : message instanceof Peer.Counted counted
+                                : message instanceof PeerMessage.ConsensusReply counted
                                         ? Stream.of(
                                                 message.getClass(),
                                                 counted.reply().getClass())
@@ -111,7 +112,7 @@
                     }
                 })
                 .collect(Collectors.toSet());
-        Set<Class<?>> all = Stream.of(Peer.class, Message.class, Reply.class)
+        Set<Class<?>> all = Stream.of(PeerMessage.class, Message.class, Reply.class)
                 .flatMap(kind -> Stream.of(kind.getPermittedSubclasses()))
                 .collect(Collectors.toSet());
         assertEquals(all, recorded);
@@ -119,40 +120,49 @@
 
     @Test
     void aProcessAnswersTheMessagesOfTheEarlierVersion() throws Exception {
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress ephemeralAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         Map<String, InetSocketAddress> three = Map.of(
                 "s1",
-                any,
+                ephemeralAddress,
                 "s2",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
                 "s3",
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
-        try (Steward steward = Steward.start(
-                new StewardSettings("s1", "kigali", any, three, directory, Absent.ABORT, TIMES), line -> {})) {
+        try (CoordinatorServer coordinator = CoordinatorServer.start(
+                new CoordinatorSettings(
+                        "s1", "kigali", ephemeralAddress, three, directory, MissingMemberPolicy.ABORT, TIMING),
+                line -> {})) {
             for (Path file : peerMessages()) {
                 String body = Files.readString(file).replace("\"from\":\"s1\"", "\"from\":\"s3\"");
-                assertEquals(204, post(steward, "/v1/peer", body).status(), file.toString());
+                assertEquals(204, post(coordinator, "/v1/peer", body).status(), file.toString());
             }
         }
     }
 
     @Test
     void aLeaderAnswersMembersOfTheEarlierVersionInTheFormThatTheyRead() throws Exception {
-        InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        JsonNode recorded = StewardJson.JSON.readTree(
+        InetSocketAddress ephemeralAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        JsonNode recorded = CoordinatorJson.JSON.readTree(
                 RECORDED.resolve("member-reply-joined.json").toFile());
-        try (Steward steward = Steward.start(
-                new StewardSettings("s1", "kigali", any, Map.of("s1", any), directory, Absent.ABORT, TIMES),
+        try (CoordinatorServer coordinator = CoordinatorServer.start(
+                new CoordinatorSettings(
+                        "s1",
+                        "kigali",
+                        ephemeralAddress,
+                        Map.of("s1", ephemeralAddress),
+                        directory,
+                        MissingMemberPolicy.ABORT,
+                        TIMING),
                 line -> {})) {
             JsonNode[] reply = new JsonNode[1];
-            Tests.await(() -> {
+            TestSupport.await(() -> {
                 try {
-                    reply[0] = StewardJson.JSON.readTree(post(
-                                    steward,
+                    reply[0] = CoordinatorJson.JSON.readTree(post(
+                                    coordinator,
                                     "/v1/member",
                                     Files.readString(RECORDED.resolve("member-request-polls.json"))
                                             .replace("\"waitMillis\":400", "\"waitMillis\":0"))
-                            .text());
+                            .bodyText());
                     return reply[0].path("answer").path("joined").asBoolean();
                 } catch (IOException e) {
                     throw new java.io.UncheckedIOException(e);
@@ -165,7 +175,7 @@
                 assertEquals(
                         200,
                         post(
-                                        steward,
+                                        coordinator,
                                         "/v1/member",
                                         Files.readString(file).replace("\"waitMillis\":400", "\"waitMillis\":0"))
                                 .status(),
@@ -181,11 +191,12 @@
         return names;
     }
 
-    private static weldhitch.testkit.Message post(Steward steward, String path, String body) throws IOException {
-        try (Wire wire = new Wire(
-                new Socket(InetAddress.getLoopbackAddress(), steward.address().getPort()))) {
+    private static weldhitch.testkit.RawHttpMessage post(CoordinatorServer coordinator, String path, String body)
+            throws IOException {
+        try (TestConnection wire = new TestConnection(new Socket(
+                InetAddress.getLoopbackAddress(), coordinator.address().getPort()))) {
             wire.write("POST " + path + " HTTP/1.1\r\nHost: s\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            return wire.message();
+            return wire.readMessage();
         }
     }
 }
--- /dev/null
+++ b/decision/src/main/java/weldhitch/decision/action/CancelAttempt.java
@@ -0,0 +1,4 @@
+package weldhitch.decision.action;
+
+/** Cancels an attempt. */
+public record CancelAttempt(String requestId, int attempt) implements BalancerAction {}
--- a/decision/src/main/java/weldhitch/decision/AdmissionLimit.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/AdaptiveConcurrencyLimit.java
@@ -1,63 +1,63 @@
-package weldhitch.decision;
+package weldhitch.decision.balancing;
 
 /**
  * An adaptive concurrency limit on admitted requests: it settles where a tenth of the answers miss their
  * latency objective. Its last part is reserved for requests of more than average priority weight for their
  * work. Called by {@link RatioBalancer} on its thread; not thread-safe.
  */
-final class AdmissionLimit {
+final class AdaptiveConcurrencyLimit {
     /** The fraction of the limit that all requests may use; the rest is for the more important ones. */
-    private static final double OPEN_TO_ALL = 0.7;
+    private static final double NORMAL_PRIORITY_FRACTION = 0.7;
 
-    private static final double LEAST = 8;
+    private static final double MIN_LIMIT = 8;
     /** Assumed concurrency of one endpoint before there is any answer. */
-    private static final double FIRST_PER_SERVER = 6;
+    private static final double INITIAL_PER_ENDPOINT = 6;
     /** The fraction of late answers at which the limit is stable. */
-    private static final double LATE_SHARE = 0.1;
+    private static final double TARGET_LATE_FRACTION = 0.1;
 
-    private static final int SLOW_ENOUGH = 4;
+    private static final int SLOW_START_EXIT_COUNT = 4;
 
-    double limit = LEAST;
+    double limit = MIN_LIMIT;
     int admitted;
     /** Whether answers have moved the limit from its initial value. */
-    boolean learning;
+    boolean adjusted;
     /** Whether it is in slow start: nothing has yet shown that endpoints are at capacity. */
-    boolean starting = true;
+    boolean inSlowStart = true;
     /** Lowest ratio of a latency to its objective so far. */
-    double quickest = Double.MAX_VALUE;
+    double lowestLatencyRatio = Double.MAX_VALUE;
     /** By how many the slow answers outnumber the quick ones during slow start, never below 0. */
-    int slow;
+    int slowAnswerExcess;
     /** Total weight of the endpoints that the limit was learned with. */
-    double learnedOver = 1;
+    double endpointWeight = 1;
 
     /** Whether a request may be admitted; {@code highPriority}: whether it may use the reserved part. */
-    boolean hasRoom(boolean worthMore) {
-        return admitted < (worthMore ? limit : OPEN_TO_ALL * limit);
+    boolean hasCapacity(boolean highPriority) {
+        return admitted < (highPriority ? limit : NORMAL_PRIORITY_FRACTION * limit);
     }
 
-    void enter() {
+    void acquire() {
         admitted++;
     }
 
-    void leave() {
+    void release() {
         admitted--;
     }
 
     /**
      * The endpoint list has changed. A learned limit is scaled in proportion to the endpoints' total weight.
      *
-     * @param ready number of ready endpoints
-     * @param strength their total weight
-     * @param siblings number of nodes that share them
+     * @param readyCount number of ready endpoints
+     * @param totalWeight their total weight
+     * @param nodeCount number of nodes that share them
      */
-    void servers(int ready, double strength, int siblings) {
-        if (!learning) {
-            limit = Math.max(LEAST, FIRST_PER_SERVER * ready / siblings);
-        } else if (strength > 0) {
-            limit = Math.max(LEAST, limit * strength / learnedOver);
+    void onEndpointsChanged(int readyCount, double totalWeight, int nodeCount) {
+        if (!adjusted) {
+            limit = Math.max(MIN_LIMIT, INITIAL_PER_ENDPOINT * readyCount / nodeCount);
+        } else if (totalWeight > 0) {
+            limit = Math.max(MIN_LIMIT, limit * totalWeight / endpointWeight);
         }
-        if (strength > 0) {
-            learnedOver = strength;
+        if (totalWeight > 0) {
+            endpointWeight = totalWeight;
         }
     }
 
@@ -71,24 +71,25 @@
      * endpoints are at capacity, each answer raises it by one, so that it doubles with each round trip (slow
      * start, RFC 5681 section 3.1). An endpoint that rejects as full is such a sign. So are answers that took
      * half of their objective and twice the lowest ratio so far, once they outnumber the others by
-     * {@value #SLOW_ENOUGH}. A single slow answer says little: the first answers of a fresh fleet are slow even
+     * {@value #SLOW_START_EXIT_COUNT}. A single slow answer says little: the first answers of a fresh fleet are slow even
      * without load (RFC 9406 section 4.2 asks for eight samples).
      *
-     * @param taken the latency in nanoseconds
-     * @param aim the latency objective in nanoseconds
+     * @param latency the latency in nanoseconds
+     * @param latencyObjective the latency objective in nanoseconds
      */
-    void answered(long taken, long aim) {
-        if (starting) {
-            double share = (double) taken / aim;
-            quickest = Math.min(quickest, share);
-            slow = Math.max(0, slow + (share >= 0.5 && share >= 2 * quickest ? 1 : -1));
-            starting = slow < SLOW_ENOUGH;
+    void recordLatency(long latency, long latencyObjective) {
+        if (inSlowStart) {
+            double latencyRatio = (double) latency / latencyObjective;
+            lowestLatencyRatio = Math.min(lowestLatencyRatio, latencyRatio);
+            slowAnswerExcess = Math.max(
+                    0, slowAnswerExcess + (latencyRatio >= 0.5 && latencyRatio >= 2 * lowestLatencyRatio ? 1 : -1));
+            inSlowStart = slowAnswerExcess < SLOW_START_EXIT_COUNT;
         }
-        if (taken > aim) {
-            lower();
-        } else if (admitted >= OPEN_TO_ALL * limit) {
-            learning = true;
-            limit += starting ? 1 : LATE_SHARE;
+        if (latency > latencyObjective) {
+            decrease();
+        } else if (admitted >= NORMAL_PRIORITY_FRACTION * limit) {
+            adjusted = true;
+            limit += inSlowStart ? 1 : TARGET_LATE_FRACTION;
         }
     }
 
@@ -96,17 +97,17 @@
      * An endpoint rejected a request as full. This ends slow start only: one may be chance, and the next has
      * capacity.
      */
-    void turnedAway() {
-        starting = false;
+    void onEndpointFull() {
+        inSlowStart = false;
     }
 
     /** A second endpoint in a row rejected a request as full: more is admitted than they can take. */
-    void turnedAwayAgain() {
-        lower();
+    void onSecondEndpointFull() {
+        decrease();
     }
 
-    private void lower() {
-        learning = true;
-        limit = Math.max(LEAST, limit - (1 - LATE_SHARE));
+    private void decrease() {
+        adjusted = true;
+        limit = Math.max(MIN_LIMIT, limit - (1 - TARGET_LATE_FRACTION));
     }
 }
--- a/decision/src/main/java/weldhitch/decision/ReuseTrust.java
+++ b/decision/src/main/java/weldhitch/decision/connection/ConnectionReusePolicy.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.connection;
 
 /**
  * Decides how long a connection may have been idle and still be reused for a request that is not idempotent.
@@ -13,42 +13,42 @@
  * one fails. The value is shared by all endpoints of a tier: a node that uses each rarely would never learn it
  * for a single one, and the half is the margin for endpoints that close earlier than the others.
  */
-public final class ReuseTrust {
+public final class ConnectionReusePolicy {
     private static final long MILLI = 1_000_000L;
     /** Allowed without any observation: an endpoint hardly closes a connection so soon after using it. */
-    public static final long FRESH = 100 * MILLI;
+    public static final long DEFAULT_MAX_IDLE = 100 * MILLI;
     /** How long a failure suspends reuse, and how long an answer proves the idle time before it. */
-    static final long REMEMBERED = 10_000 * MILLI;
+    static final long OBSERVATION_LIFETIME = 10_000 * MILLI;
 
-    private long waryUntil = Long.MIN_VALUE;
-    private long proven;
+    private long suspendedUntil = Long.MIN_VALUE;
+    private long provenIdle;
     private long provenAt;
 
     /**
      * A request was answered on a connection after this idle time. One that is not idempotent never raises the
      * limit.
      */
-    public void answered(long idle, long now) {
-        if (idle >= proven || now - provenAt > REMEMBERED) {
-            proven = idle;
+    public void recordSuccess(long idle, long now) {
+        if (idle >= provenIdle || now - provenAt > OBSERVATION_LIFETIME) {
+            provenIdle = idle;
             provenAt = now;
         }
     }
 
     /** A reused connection failed as soon as it was used again. */
-    public void broke(long now) {
-        waryUntil = now + REMEMBERED;
-        proven = 0;
+    public void recordFailure(long now) {
+        suspendedUntil = now + OBSERVATION_LIFETIME;
+        provenIdle = 0;
     }
 
     /**
      * Returns the idle time in nanoseconds below which a non-idempotent request may reuse a connection; 0 for
      * none.
      */
-    public long longestIdle(long now) {
-        if (now < waryUntil) {
+    public long maxIdle(long now) {
+        if (now < suspendedUntil) {
             return 0;
         }
-        return now - provenAt > REMEMBERED ? FRESH : Math.max(FRESH, proven / 2);
+        return now - provenAt > OBSERVATION_LIFETIME ? DEFAULT_MAX_IDLE : Math.max(DEFAULT_MAX_IDLE, provenIdle / 2);
     }
 }
--- /dev/null
+++ b/decision/src/main/java/weldhitch/decision/connection/DispatchGuard.java
@@ -0,0 +1,68 @@
+package weldhitch.decision.connection;
+
+/**
+ * Decides whether an attempt may still be dispatched. The node calls it once, just before the first byte is
+ * written, on new and reused connections alike. Connecting may take as long as the settings allow; meanwhile
+ * the client may disconnect, the deadline or the deduplication window may expire, and the endpoint may drain,
+ * restart or move. An attempt that is not dispatched ends as not executed, so that the balancer can retry the
+ * request elsewhere.
+ *
+ * <p>Stateless, without I/O or clock; times are nanoseconds of the caller's clock.
+ */
+public final class DispatchGuard {
+    /** The incarnation of an endpoint that is no longer listed. */
+    public static final long NOT_LISTED = -1;
+
+    /** Why an attempt must not be dispatched; {@link #ALLOWED} if it may. */
+    public enum Verdict {
+        /** It may be dispatched. */
+        ALLOWED,
+        /** Its request is answered, its client has disconnected, or it was abandoned. */
+        ABANDONED,
+        /** Its timeout or deadline has passed. */
+        DEADLINE_EXCEEDED,
+        /** An earlier attempt may have been executed, and endpoints no longer discard its repeats. */
+        DEDUPLICATION_WINDOW_EXPIRED,
+        /** Its endpoint is no longer listed. */
+        ENDPOINT_REMOVED,
+        /** Its endpoint has restarted or moved, so that the state it was chosen by no longer applies. */
+        ENDPOINT_REPLACED,
+        /** Its endpoint is draining. */
+        ENDPOINT_DRAINING
+    }
+
+    private DispatchGuard() {}
+
+    /**
+     * Decides whether an attempt may be dispatched now.
+     *
+     * @param awaited whether its request still waits for its answer
+     * @param deadline when its timeout or deadline passes
+     * @param deduplicatedUntil the end of the deduplication window of an earlier attempt that may have been executed;
+     *     {@link Long#MAX_VALUE} if none may have been
+     * @param chosenIncarnation the incarnation of the endpoint when it was chosen
+     * @param listedIncarnation its present incarnation, or {@link #NOT_LISTED}
+     * @param draining whether the endpoint is draining now
+     */
+    public static Verdict check(
+            boolean awaited,
+            long now,
+            long deadline,
+            long deduplicatedUntil,
+            long chosenIncarnation,
+            long listedIncarnation,
+            boolean draining) {
+        if (!awaited) {
+            return Verdict.ABANDONED;
+        } else if (now >= deadline) {
+            return Verdict.DEADLINE_EXCEEDED;
+        } else if (now >= deduplicatedUntil) {
+            return Verdict.DEDUPLICATION_WINDOW_EXPIRED;
+        } else if (listedIncarnation == NOT_LISTED) {
+            return Verdict.ENDPOINT_REMOVED;
+        } else if (listedIncarnation != chosenIncarnation) {
+            return Verdict.ENDPOINT_REPLACED;
+        }
+        return draining ? Verdict.ENDPOINT_DRAINING : Verdict.ALLOWED;
+    }
+}
--- a/decision/src/main/java/weldhitch/decision/ListAge.java
+++ b/decision/src/main/java/weldhitch/decision/discovery/EndpointListStaleness.java
@@ -1,33 +1,33 @@
-package weldhitch.decision;
+package weldhitch.decision.discovery;
 
 /**
  * Tracks how stale the endpoint list is and when to warn: first 3 s after discovery last confirmed it, then
  * each time its age has doubled, later every five minutes. Used by the node's discovery client. Times are
  * nanoseconds of one clock. Not thread-safe.
  */
-public final class ListAge {
+public final class EndpointListStaleness {
     private static final long SECOND = 1_000_000_000L;
-    private static final long FIRST_WORD = 3 * SECOND;
-    private static final long LONGEST_SILENCE = 300 * SECOND;
+    private static final long FIRST_WARNING_AGE = 3 * SECOND;
+    private static final long MAX_WARNING_INTERVAL = 300 * SECOND;
 
-    private long sureAt;
-    private boolean everSure;
-    private long nextWord = FIRST_WORD;
+    private long confirmedAt;
+    private boolean everConfirmed;
+    private long nextWarningAge = FIRST_WARNING_AGE;
 
     /**
      * Starts with a list of unknown age.
      *
      * @param startedAt when the node started
      */
-    public ListAge(long startedAt) {
-        sureAt = startedAt;
+    public EndpointListStaleness(long startedAt) {
+        confirmedAt = startedAt;
     }
 
     /** Discovery confirmed the list in force, or sent a newer one. */
-    public void sure(long now) {
-        sureAt = now;
-        everSure = true;
-        nextWord = FIRST_WORD;
+    public void confirm(long now) {
+        confirmedAt = now;
+        everConfirmed = true;
+        nextWarningAge = FIRST_WARNING_AGE;
     }
 
     /**
@@ -35,23 +35,23 @@
      * start.
      */
     public long age(long now) {
-        return Math.max(0, now - sureAt);
+        return Math.max(0, now - confirmedAt);
     }
 
     /** Whether discovery has ever confirmed the list. */
-    public boolean everSure() {
-        return everSure;
+    public boolean everConfirmed() {
+        return everConfirmed;
     }
 
     /** Returns the warning to log now, or null for none. */
-    public String word(long now) {
+    public String warning(long now) {
         long age = age(now);
-        if (age < nextWord) {
+        if (age < nextWarningAge) {
             return null;
         }
-        nextWord = age + Math.min(LONGEST_SILENCE, age);
+        nextWarningAge = age + Math.min(MAX_WARNING_INTERVAL, age);
         long seconds = age / SECOND;
-        return everSure
+        return everConfirmed
                 ? "serving by a list that discovery last confirmed " + seconds
                         + " s ago; look whether it runs and can be reached"
                 : "serving by the list of the configuration, not heard of discovery in the " + seconds
--- a/decision/src/main/java/weldhitch/decision/RingPosition.java
+++ b/decision/src/main/java/weldhitch/decision/endpoint/RingPosition.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.endpoint;
 
 /**
  * Positions of endpoints on the hash ring by which balancers order the endpoint list. Used by the balancer and
@@ -11,7 +11,7 @@
      * Returns an endpoint's position, 0 to 2^31 - 1. It depends on the name alone, so it is the same on all
      * nodes.
      */
-    public static int of(String server) {
-        return server.hashCode() * 0x9E3779B1 >>> 1;
+    public static int of(String endpointId) {
+        return endpointId.hashCode() * 0x9E3779B1 >>> 1;
     }
 }
--- /dev/null
+++ b/decision/src/main/java/weldhitch/decision/endpoint/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Values about endpoints that events, routes and snapshots share. Immutable.
+ */
+package weldhitch.decision.endpoint;
--- /dev/null
+++ b/decision/src/main/java/weldhitch/decision/event/EndpointsChanged.java
@@ -0,0 +1,7 @@
+package weldhitch.decision.event;
+
+import java.util.List;
+import weldhitch.decision.endpoint.EndpointEntry;
+
+/** An update of the endpoint list. */
+public record EndpointsChanged(EndpointUpdateKind kind, List<EndpointEntry> entries) implements BalancerEvent {}
--- /dev/null
+++ b/decision/src/main/java/weldhitch/decision/event/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * What a balancer is told: immutable records, one for each kind of event. Times are nanoseconds of one monotonic clock.
+ */
+package weldhitch.decision.event;
--- a/decision/src/main/java/weldhitch/decision/LifeCycle.java
+++ b/decision/src/main/java/weldhitch/decision/lifecycle/ProcessLifecycle.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.lifecycle;
 
 /**
  * The state machine of a node process: it decides what to do at each signal, whenever it arrives. The process
@@ -17,68 +17,68 @@
  * <tr><td>terminated</td><td>nothing</td><td>nothing</td></tr>
  * </table>
  */
-public final class LifeCycle {
+public final class ProcessLifecycle {
     /** What the caller has to do now. */
-    public enum Step {
-        NOTHING,
+    public enum LifecycleAction {
+        NONE,
         RELOAD,
         DRAIN,
-        END
+        EXIT
     }
 
-    private boolean listens;
-    private boolean told;
-    private boolean ended;
+    private boolean listenerOpen;
+    private boolean terminationRequested;
+    private boolean terminated;
     private boolean reloading;
-    private boolean reloadWanted;
+    private boolean reloadPending;
 
     /** Called right before the listener opens; returns whether it may. */
-    public boolean mayListen() {
-        listens = !told;
-        return listens;
+    public boolean tryOpenListener() {
+        listenerOpen = !terminationRequested;
+        return listenerOpen;
     }
 
     /** The listener is open; returns a reload if one was requested before. */
-    public Step listening() {
-        return next();
+    public LifecycleAction onListening() {
+        return nextAction();
     }
 
     /** SIGHUP was received. */
-    public Step hangUp() {
-        reloadWanted = true;
-        return next();
+    public LifecycleAction onHangUp() {
+        reloadPending = true;
+        return nextAction();
     }
 
     /** A reload has ended, successfully or not. */
-    public Step reloaded() {
+    public LifecycleAction onReloaded() {
         reloading = false;
-        return next();
+        return nextAction();
     }
 
     /** SIGTERM was received. */
-    public Step terminate() {
-        if (told) {
-            return Step.NOTHING;
+    public LifecycleAction onTerminate() {
+        if (terminationRequested) {
+            return LifecycleAction.NONE;
         }
-        told = true;
-        if (!listens) {
-            ended = true;
-            return Step.END;
+        terminationRequested = true;
+        if (!listenerOpen) {
+            terminated = true;
+            return LifecycleAction.EXIT;
         }
-        return Step.DRAIN;
+        return LifecycleAction.DRAIN;
     }
 
     /** The drain has ended. */
-    public void drained() {
-        ended = true;
+    public void onDrained() {
+        terminated = true;
     }
 
-    private Step next() {
-        if (!listens || ended || reloading || !reloadWanted) {
-            return Step.NOTHING;
+    private LifecycleAction nextAction() {
+        if (!listenerOpen || terminated || reloading || !reloadPending) {
+            return LifecycleAction.NONE;
         }
-        reloadWanted = false;
+        reloadPending = false;
         reloading = true;
-        return Step.RELOAD;
+        return LifecycleAction.RELOAD;
     }
 }
--- a/decision/src/main/java/weldhitch/decision/SeededRandom.java
+++ b/decision/src/main/java/weldhitch/decision/random/SeededRandom.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.random;
 
 import org.apache.commons.rng.core.RandomProviderDefaultState;
 import org.apache.commons.rng.core.source64.SplitMix64;
@@ -8,10 +8,10 @@
  * pseudorandom number generators", 2014) yields the same numbers as {@link java.util.SplittableRandom} for the
  * same seed, bit for bit. Not thread-safe; each owner has its own.
  */
-final class SeededRandom {
+public final class SeededRandom {
     private final SplitMix64 source;
 
-    SeededRandom(long seed) {
+    public SeededRandom(long seed) {
         source = new SplitMix64(seed);
     }
 
@@ -20,23 +20,23 @@
      *
      * @throws IllegalArgumentException if the bytes are not a state of this generator
      */
-    SeededRandom(byte[] saved) {
+    public SeededRandom(byte[] savedState) {
         this(0);
         try {
-            source.restoreState(new RandomProviderDefaultState(saved));
+            source.restoreState(new RandomProviderDefaultState(savedState));
         } catch (IllegalStateException e) {
             throw new IllegalArgumentException(
-                    "snapshot: random: " + saved.length + " bytes that are no state of SplitMix64", e);
+                    "snapshot: random: " + savedState.length + " bytes that are no state of SplitMix64", e);
         }
     }
 
     /** Returns a number from 0 inclusive to 1 exclusive. */
-    double nextDouble() {
+    public double nextDouble() {
         return source.nextDouble();
     }
 
     /** Returns the state, for the constructor that restores it. */
-    byte[] save() {
+    public byte[] save() {
         return ((RandomProviderDefaultState) source.saveState()).getState();
     }
 }
--- a/decision/src/main/java/weldhitch/decision/PreparedRoutes.java
+++ b/decision/src/main/java/weldhitch/decision/routing/PreparedRoutes.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.routing;
 
 /**
  * The state of routes, prepared on another thread ahead of their activation, so that the time a balancer needs
--- a/decision/src/main/java/weldhitch/decision/RoutePattern.java
+++ b/decision/src/main/java/weldhitch/decision/routing/RoutePattern.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.routing;
 
 import java.util.List;
 import java.util.Objects;
@@ -10,43 +10,44 @@
  *
  * @param requestClass the class's name, or null for any
  * @param method the method's name, or null for any
- * @param parts the path's segments, null standing for any one; empty for {@code /}
+ * @param segments the path's segments, null standing for any one; empty for {@code /}
  * @param prefix whether more segments may follow
  */
-public record RoutePattern(String requestClass, String method, List<String> parts, boolean prefix) {
+public record RoutePattern(String requestClass, String method, List<String> segments, boolean prefix) {
     /** Matches every request. */
     public static final RoutePattern ALL = new RoutePattern(null, null, List.of(), true);
 
     public RoutePattern {
-        parts = java.util.Collections.unmodifiableList(new java.util.ArrayList<>(parts));
+        segments = java.util.Collections.unmodifiableList(new java.util.ArrayList<>(segments));
     }
 
     /** Whether there is a request that matches both patterns. */
     public boolean overlaps(RoutePattern other) {
-        if (!meet(requestClass, other.requestClass) || !meet(method, other.method)) {
+        if (!compatible(requestClass, other.requestClass) || !compatible(method, other.method)) {
             return false;
         }
-        int common = Math.min(parts.size(), other.parts.size());
+        int common = Math.min(segments.size(), other.segments.size());
         for (int i = 0; i < common; i++) {
-            if (!meet(parts.get(i), other.parts.get(i))) {
+            if (!compatible(segments.get(i), other.segments.get(i))) {
                 return false;
             }
         }
-        return parts.size() == other.parts.size() || (parts.size() < other.parts.size() ? prefix : other.prefix);
+        return segments.size() == other.segments.size()
+                || (segments.size() < other.segments.size() ? prefix : other.prefix);
     }
 
     /** Whether both have the same path, whatever the names of their wildcard segments. */
     public boolean samePath(RoutePattern other) {
-        return prefix == other.prefix && parts.equals(other.parts);
+        return prefix == other.prefix && segments.equals(other.segments);
     }
 
     /** Whether this pattern has every constraint on class and method that the other one has. */
-    public boolean asksAllOf(RoutePattern other) {
+    public boolean constrainsAllOf(RoutePattern other) {
         return (other.requestClass == null || Objects.equals(requestClass, other.requestClass))
                 && (other.method == null || Objects.equals(method, other.method));
     }
 
-    private static boolean meet(String one, String other) {
+    private static boolean compatible(String one, String other) {
         return one == null || other == null || one.equals(other);
     }
 }
--- a/decision/src/main/java/weldhitch/decision/RouteRules.java
+++ b/decision/src/main/java/weldhitch/decision/routing/RoutePolicy.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.routing;
 
 import java.util.Collections;
 import java.util.EnumSet;
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.TreeMap;
-import weldhitch.decision.Balancing.Outcome;
+import weldhitch.decision.endpoint.AttemptOutcome;
 
 /**
  * An operator's policy for the requests of one route. It narrows what the platform allows and never widens it.
@@ -15,37 +15,41 @@
  *
  * @param deadline the longest time from arrival to the final answer; 0 for the client's own
  * @param attemptTimeout the longest time of one attempt; 0 for the default
- * @param attempts the maximum number of attempts, the first included; 0 for the platform's
+ * @param maxAttempts the maximum number of attempts, the first included; 0 for the platform's
  * @param backoff the backoff between attempts, or null
  * @param retryOn outcomes after which a retry is allowed, if the class's idempotency allows it
- * @param budget the retry budget, or null for the balancer's own retry tokens
- * @param hedge when a hedged request of an idempotent request is sent, or null for the balancer's default
+ * @param retryBudget the retry budget, or null for the balancer's own retry tokens
+ * @param hedging when a hedged request of an idempotent request is sent, or null for the balancer's default
  * @param retryAfter bounds of the Retry-After advice of a rejection, or null
- * @param tenants requests per second by tenant over all nodes; {@code *} stands for all others together
+ * @param tenantQuotas requests per second by tenant over all nodes; {@code *} stands for all others together
  */
-public record RouteRules(
+public record RoutePolicy(
         long deadline,
         long attemptTimeout,
-        int attempts,
+        int maxAttempts,
         Backoff backoff,
-        Set<Outcome> retryOn,
-        Budget budget,
-        Hedge hedge,
-        Bounds retryAfter,
-        Map<String, Double> tenants) {
+        Set<AttemptOutcome> retryOn,
+        RetryBudgetSettings retryBudget,
+        HedgingPolicy hedging,
+        RetryAfterBounds retryAfter,
+        Map<String, Double> tenantQuotas) {
     /** Outcomes that an operator may name; the others are not caused by an endpoint. */
-    public static final Set<Outcome> RETRYABLE = Collections.unmodifiableSet(
-            EnumSet.of(Outcome.CONNECT_FAILED, Outcome.FULL, Outcome.RESET, Outcome.TIMED_OUT, Outcome.ERROR));
+    public static final Set<AttemptOutcome> RETRYABLE = Collections.unmodifiableSet(EnumSet.of(
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.FULL,
+            AttemptOutcome.RESET,
+            AttemptOutcome.TIMED_OUT,
+            AttemptOutcome.ERROR));
     /** The policy that restricts nothing. */
-    public static final RouteRules NONE = new RouteRules(0, 0, 0, null, RETRYABLE, null, null, null, Map.of());
+    public static final RoutePolicy NONE = new RoutePolicy(0, 0, 0, null, RETRYABLE, null, null, null, Map.of());
 
-    public RouteRules {
+    public RoutePolicy {
         // Ordered, as policies are saved and compared: the order must be the same in every run.
-        EnumSet<Outcome> outcomes = EnumSet.noneOf(Outcome.class);
+        EnumSet<AttemptOutcome> outcomes = EnumSet.noneOf(AttemptOutcome.class);
         outcomes.addAll(retryOn);
         retryOn = Collections.unmodifiableSet(outcomes);
-        tenants = Collections.unmodifiableMap(new TreeMap<>(tenants));
-        if (deadline < 0 || attemptTimeout < 0 || attempts < 0) {
+        tenantQuotas = Collections.unmodifiableMap(new TreeMap<>(tenantQuotas));
+        if (deadline < 0 || attemptTimeout < 0 || maxAttempts < 0) {
             throw new IllegalArgumentException("a span or count below 0");
         }
     }
@@ -60,62 +64,64 @@
         }
 
         /** Returns the longest backoff before retry {@code n}, counted from 1. */
-        public long ceiling(int n) {
-            return n > 40 || base > max >> Math.min(n - 1, 62) ? max : Math.min(max, base << (n - 1));
+        public long ceiling(int retry) {
+            return retry > 40 || base > max >> Math.min(retry - 1, 62) ? max : Math.min(max, base << (retry - 1));
         }
     }
 
     /**
      * A retry budget over any ten seconds (after Finagle's RetryBudget). Each route has its own.
      *
-     * @param share retries allowed as a fraction of the requests of that time
-     * @param floor retries per second allowed in addition
+     * @param retryRatio retries allowed as a fraction of the requests of that time
+     * @param minRetriesPerSecond retries per second allowed in addition
      */
-    public record Budget(double share, double floor) {
-        public Budget {
-            require(share >= 0 && share <= 10 && floor >= 0, "share from 0 to 10, floor from 0");
+    public record RetryBudgetSettings(double retryRatio, double minRetriesPerSecond) {
+        public RetryBudgetSettings {
+            require(
+                    retryRatio >= 0 && retryRatio <= 10 && minRetriesPerSecond >= 0,
+                    "share from 0 to 10, floor from 0");
         }
     }
 
     /** When a hedged request is sent: after a fixed delay, at a percentile of the route's latency, or never. */
-    public sealed interface Hedge permits HedgeAfter, HedgePercentile, HedgeOff {}
+    public sealed interface HedgingPolicy permits HedgeAfterDelay, HedgeAtPercentile, HedgingDisabled {}
 
     /** Hedge after {@code delay} nanoseconds without an answer. */
-    public record HedgeAfter(long delay) implements Hedge {
-        public HedgeAfter {
+    public record HedgeAfterDelay(long delay) implements HedgingPolicy {
+        public HedgeAfterDelay {
             require(delay > 0, "delay from 1 ns");
         }
     }
 
     /** Hedge at the given percentile, 50 to 99, of the last latencies; not before there are enough samples. */
-    public record HedgePercentile(double percentile) implements Hedge {
-        public HedgePercentile {
+    public record HedgeAtPercentile(double percentile) implements HedgingPolicy {
+        public HedgeAtPercentile {
             require(percentile >= 50 && percentile <= 99, "percentile from 50 to 99");
         }
 
         /** Returns the number of samples at which ten are expected beyond the percentile. */
-        public int samples() {
+        public int minSamples() {
             return (int) Math.ceil(1000 / (100 - percentile));
         }
     }
 
     /** No hedged requests. */
-    public record HedgeOff() implements Hedge {}
+    public record HedgingDisabled() implements HedgingPolicy {}
 
     /** Bounds of Retry-After advice, in nanoseconds. */
-    public record Bounds(long min, long max) {
-        public Bounds {
+    public record RetryAfterBounds(long min, long max) {
+        public RetryAfterBounds {
             require(min >= 0 && max >= min, "min from 0, max from min");
         }
 
-        long hold(long span) {
-            return Math.max(min, Math.min(max, span));
+        public long clamp(long duration) {
+            return Math.max(min, Math.min(max, duration));
         }
     }
 
-    private static void require(boolean sound, String wanted) {
-        if (!sound) {
-            throw new IllegalArgumentException("wanted: " + Objects.requireNonNull(wanted));
+    private static void require(boolean valid, String expected) {
+        if (!valid) {
+            throw new IllegalArgumentException("wanted: " + Objects.requireNonNull(expected));
         }
     }
 }
--- /dev/null
+++ b/decision/src/main/java/weldhitch/decision/settings/DeduplicationScope.java
@@ -0,0 +1,8 @@
+package weldhitch.decision.settings;
+
+/** The endpoints that discard each other's repeats of a request with an idempotency key. */
+public enum DeduplicationScope {
+    ALL,
+    ZONE,
+    CELL
+}
--- a/decision/src/main/java/weldhitch/decision/SettingRange.java
+++ b/decision/src/main/java/weldhitch/decision/settings/SettingRange.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.settings;
 
 /** Checks that settings are within their range; called by the settings records. Stateless. */
 final class SettingRange {
@@ -7,15 +7,15 @@
     /**
      * Rejects a setting that is out of range.
      *
-     * @param sound whether it is in range
+     * @param valid whether it is in range
      * @param setting its name in configuration files
      * @throws IllegalArgumentException if it is out of range; names the setting, the actual and the expected
      * value
      */
-    static void require(boolean sound, String setting, Object found, String expected) {
-        if (!sound) {
+    static void require(boolean valid, String setting, Object actual, String expected) {
+        if (!valid) {
             throw new IllegalArgumentException(
-                    "setting out of range: " + setting + ": found " + found + ", expected " + expected);
+                    "setting out of range: " + setting + ": found " + actual + ", expected " + expected);
         }
     }
 }
--- /dev/null
+++ b/decision/src/main/java/weldhitch/decision/snapshot/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * A snapshot of a balancer as plain, immutable data that checks itself.
+ */
+package weldhitch.decision.snapshot;
--- a/decision/src/test/java/weldhitch/decision/WatchLabelsTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/DecisionReasonLabelsTest.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -11,7 +11,7 @@
  * Checks the labels of reasons. Scripts and recorded reports read them, so they never change, whatever the
  * constants' names.
  */
-class WatchLabelsTest {
+class DecisionReasonLabelsTest {
     @Test
     void reasonsKeepTheirRecordedLabels() {
         assertEquals(
@@ -33,13 +33,17 @@
                         "backoff too long",
                         "asks for zones",
                         "no zone"),
-                Stream.of(Watch.Why.values()).map(Watch.Why::label).toList());
+                Stream.of(DecisionListener.DecisionReason.values())
+                        .map(DecisionListener.DecisionReason::label)
+                        .toList());
     }
 
     @Test
     void exclusionsKeepTheirRecordedLabels() {
         assertEquals(
                 List.of("in", "draining", "not_around", "cold", "tried", "other_group", "other_zone"),
-                Arrays.stream(Watch.Out.values()).map(Watch.Out::label).toList());
+                Arrays.stream(DecisionListener.ExclusionReason.values())
+                        .map(DecisionListener.ExclusionReason::label)
+                        .toList());
     }
 }
--- a/decision/src/test/java/weldhitch/decision/PolicyFilesTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/PolicyFilesTest.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,13 +19,13 @@
 class PolicyFilesTest {
     private static final Set<String> DECIDING = Set.of(
             "RatioBalancer.java",
-            "RatioDraw.java",
-            "Upstream.java",
-            "Upstreams.java",
-            "Failures.java",
-            "ClassUse.java",
-            "AdmissionLimit.java",
-            "RouteUse.java");
+            "WeightedEndpointPicker.java",
+            "Endpoint.java",
+            "EndpointSet.java",
+            "DecayingFailureCount.java",
+            "ClassLatencyModel.java",
+            "AdaptiveConcurrencyLimit.java",
+            "RouteState.java");
 
     private static List<Path> policyFiles() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
--- a/decision/src/test/java/weldhitch/decision/SameDecisionsTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/RecordedDecisionsTest.java
@@ -1,4 +1,4 @@
-package weldhitch.decision;
+package weldhitch.decision.balancing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,33 +13,35 @@
  * Compares all decisions of 1,000 seeded workloads with digests recorded by an earlier build. A change that is
  * not meant to alter decisions must not change them; one that is records them again and says so in its commit.
  */
-class SameDecisionsTest {
+class RecordedDecisionsTest {
     private static final Path DIGESTS = Path.of("decision/src/test/resources/weldhitch/decision/digests.txt");
     private static final int SEEDS = 1000;
 
-    private static String worked(long seed) {
+    private static String digestOf(long seed) {
         Workload workload = new Workload(seed);
-        RatioBalancer module = new RatioBalancer(workload.settings, seed);
+        RatioBalancer balancer = new RatioBalancer(workload.settings, seed);
         long[] digest = {0};
         workload.play(
-                module::handle, 1500, (event, actions) -> digest[0] = Digest.of(digest[0], workload.now(), actions));
+                balancer::handle,
+                1500,
+                (event, actions) -> digest[0] = DecisionDigest.of(digest[0], workload.now(), actions));
         return Long.toHexString(digest[0]);
     }
 
     /** {@code -DargLine=-Dweldhitch.digests=write} records the digests again. */
     @Test
-    void decisionsAreThoseOfTheBuildThatWroteTheDigests() throws Exception {
-        List<String> now = LongStream.range(0, SEEDS)
+    void decisionsMatchRecordedDigests() throws Exception {
+        List<String> actual = LongStream.range(0, SEEDS)
                 .parallel()
-                .mapToObj(seed -> seed + " " + worked(seed))
+                .mapToObj(seed -> seed + " " + digestOf(seed))
                 .toList();
         if ("write".equals(System.getProperty("weldhitch.digests"))) {
-            Files.write(DIGESTS, now, StandardCharsets.UTF_8);
+            Files.write(DIGESTS, actual, StandardCharsets.UTF_8);
         }
-        List<String> before = Files.readAllLines(DIGESTS, StandardCharsets.UTF_8);
-        assertEquals(SEEDS, before.size());
+        List<String> recorded = Files.readAllLines(DIGESTS, StandardCharsets.UTF_8);
+        assertEquals(SEEDS, recorded.size());
         for (int i = 0; i < SEEDS; i++) {
-            assertEquals(before.get(i), now.get(i), "seed, workload");
+            assertEquals(recorded.get(i), actual.get(i), "seed, workload");
         }
     }
 }
--- /dev/null
+++ b/decision/src/test/java/weldhitch/decision/discovery/DiscoveryPollingTest.java
@@ -0,0 +1,302 @@
+package weldhitch.decision.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static weldhitch.decision.balancing.BalancerHarness.MS;
+import static weldhitch.decision.balancing.BalancerHarness.SECOND;
+
+import org.junit.jupiter.api.Test;
+import weldhitch.decision.discovery.DiscoveryPolling.PollFailure;
+
+/**
+ * Tests discovery polling: timeouts, backoff, jitter and load on a shared service, against the delivery
+ * deadlines.
+ */
+class DiscoveryPollingTest {
+    /**
+     * An update counts as delivered 2 s after a poll's wait has ended; draining must be respected 2 s later.
+     */
+    @Test
+    void pollIsRepeatedBeforeTheDrainGracePeriodEnds() {
+        for (PollFailure failure : PollFailure.values()) {
+            DiscoveryPolling polling = new DiscoveryPolling(5, 28);
+            for (int i = 0; i < 100; i++) {
+                long timeout = polling.responseTimeout();
+                long backoff = polling.recordFailure(failure);
+                assertTrue(
+                        backoff >= 0 && timeout + backoff < 4 * SECOND, failure + ": " + timeout + " and " + backoff);
+            }
+        }
+    }
+
+    @Test
+    void responseTimeoutAdaptsToTheServiceLatency() {
+        DiscoveryPolling polling = new DiscoveryPolling(5, 4);
+        assertEquals(500 * MS, polling.responseTimeout());
+        polling.recordFailure(PollFailure.TIMED_OUT);
+        assertEquals(SECOND, polling.responseTimeout());
+        polling.recordSuccess(900 * MS);
+        assertTrue(polling.responseTimeout() >= 1800 * MS, "twice what the last answer took");
+        for (int i = 0; i < 10; i++) {
+            polling.recordSuccess(15 * MS);
+        }
+        assertEquals(500 * MS, polling.responseTimeout());
+    }
+
+    /** All watches end at the same moment. */
+    @Test
+    void pollsAfterASharedFailureAreJittered() {
+        int[] byTenth = new int[10];
+        for (int node = 0; node < 28; node++) {
+            byTenth[
+                    (int) (new DiscoveryPolling(1000 + node, 28).recordFailure(PollFailure.CONNECTION_FAILED)
+                            / (100 * MS))]++;
+        }
+        for (int polling : byTenth) {
+            assertTrue(polling <= 9, polling + " of 28 calls within 100 ms");
+        }
+    }
+
+    @Test
+    void backoffGrowsWithFailuresAndResetsOnSuccess() {
+        double first = 0;
+        double fourth = 0;
+        for (int seed = 0; seed < 200; seed++) {
+            DiscoveryPolling polling = new DiscoveryPolling(seed, 2);
+            first += polling.recordFailure(PollFailure.CONNECTION_FAILED);
+            polling.recordFailure(PollFailure.CONNECTION_FAILED);
+            polling.recordFailure(PollFailure.CONNECTION_FAILED);
+            fourth += polling.recordFailure(PollFailure.CONNECTION_FAILED);
+            polling.recordSuccess(0);
+            assertEquals(0, polling.consecutiveFailures());
+        }
+        assertTrue(fourth > 5 * first, first + " and " + fourth);
+    }
+
+    @Test
+    void fullListIsRequestedAfterRepeatedInvalidAnswers() {
+        DiscoveryPolling polling = new DiscoveryPolling(5, 4);
+        polling.recordFailure(PollFailure.CONNECTION_FAILED);
+        polling.recordFailure(PollFailure.TIMED_OUT);
+        polling.recordFailure(PollFailure.MALFORMED);
+        assertFalse(polling.needsFullList());
+        polling.recordFailure(PollFailure.STALE);
+        assertTrue(polling.needsFullList());
+        polling.recordSuccess(0);
+        assertFalse(polling.needsFullList());
+        polling.onServiceChanged();
+        assertTrue(polling.needsFullList(), "versions of another discovery say nothing");
+    }
+
+    /**
+     * The users' requirement: an update is delivered 6 s after discovery had it and was reachable, whatever
+     * failed: the poll in progress at that moment and one more, each lost, rejected, broken, answered
+     * malformed, or hanging in connect.
+     */
+    @Test
+    void agentChangeArrivesWithinSixSecondsAfterAnyFailure() {
+        java.util.SplittableRandom random = new java.util.SplittableRandom(6);
+        long max = 0;
+        for (int history = 0; history < 20_000; history++) {
+            DiscoveryPolling polling = new DiscoveryPolling(history, 1 + random.nextInt(400));
+            for (int i = random.nextInt(6); i > 0; i--) {
+                polling.recordSuccess(random.nextLong(1250 * MS));
+            }
+            long reachable = random.nextLong(20 * SECOND);
+            int failuresLeft = random.nextInt(2);
+            long now = 0;
+            while (now < reachable || failuresLeft > 0) {
+                failuresLeft -= now < reachable ? 0 : 1;
+                PollFailure failure = PollFailure.values()[random.nextInt(PollFailure.values().length)];
+                now += switch (failure) {
+                    case TIMED_OUT -> polling.requestedWait() + polling.responseTimeout();
+                    case CONNECTION_FAILED ->
+                        random.nextBoolean() ? polling.connectTimeout() : random.nextLong(polling.requestedWait() + 1);
+                    default -> 20 * MS;
+                };
+                now += polling.recordFailure(failure);
+            }
+            max = Math.max(max, now + 50 * MS - reachable);
+        }
+        System.out.println("an agent's change is heard " + max / MS
+                + " ms after it could be reached, at the latest of 20,000 histories");
+        assertTrue(max < 6 * SECOND, max / MS + " ms");
+    }
+
+    /** Regression: an agent whose answers take 2 s or more was never received again after a failed poll. */
+    @Test
+    void slowAgentAnswersInTimeAfterAnyFailure() {
+        for (PollFailure failure : PollFailure.values()) {
+            DiscoveryPolling polling = new DiscoveryPolling(5, 28);
+            polling.recordFailure(failure);
+            int timeouts = 0;
+            while (polling.responseTimeout() < 2400 * MS && timeouts < 10) {
+                polling.recordFailure(PollFailure.TIMED_OUT);
+                timeouts++;
+            }
+            assertTrue(timeouts <= 4, failure + ": still not heard after " + timeouts + " silent calls");
+        }
+    }
+
+    // ---- one service for all nodes ----
+
+    private static DiscoveryPolling ofSharedService(long seed, int nodeCount) {
+        return DiscoveryPolling.ofSharedService(seed, nodeCount, 10 * SECOND);
+    }
+
+    @Test
+    void agentIsPolledImmediatelyWithoutPauses() {
+        DiscoveryPolling polling = new DiscoveryPolling(5, 200);
+        assertEquals(0, polling.pauseBetweenPolls());
+        assertEquals(0, polling.onServiceChanged());
+        assertEquals(2 * SECOND, polling.watchDuration());
+    }
+
+    /**
+     * The users' requirement for a shared service: a node that has a list receives an update 6 s after the
+     * service had it and was reachable, or 2 s after the wait of a lost watch, whatever failed before. It does
+     * not apply to a node that the service rejects because of overload.
+     */
+    @Test
+    void sharedServiceChangeArrivesInTimeAfterAnyFailure() {
+        java.util.SplittableRandom random = new java.util.SplittableRandom(7);
+        long max = 0;
+        for (int history = 0; history < 20_000; history++) {
+            DiscoveryPolling polling = ofSharedService(history, 1 + random.nextInt(1000));
+            for (int i = 1 + random.nextInt(6); i > 0; i--) {
+                polling.recordSuccess(random.nextLong(2500 * MS));
+            }
+            for (int i = random.nextInt(8); i > 0; i--) {
+                polling.recordFailure(
+                        PollFailure.values()[random.nextInt(PollFailure.values().length)],
+                        random.nextInt(4) * 5 * SECOND);
+            }
+            // The poll in progress begins at 0; at some time in it discovery is reachable again and has an
+            // update.
+            PollFailure[] kinds = {
+                PollFailure.TIMED_OUT, PollFailure.CONNECTION_FAILED, PollFailure.MALFORMED, PollFailure.STALE
+            };
+            PollFailure failure = kinds[random.nextInt(kinds.length)];
+            boolean connects = failure == PollFailure.CONNECTION_FAILED && random.nextBoolean();
+            long requestedWait = polling.requestedWait();
+            long endedAt = failure == PollFailure.TIMED_OUT
+                    ? requestedWait + polling.responseTimeout()
+                    : connects ? polling.connectTimeout() : random.nextLong(requestedWait + 1);
+            // A poll that is answered or broken at its end would have delivered the updates until then.
+            long changedAt = failure == PollFailure.TIMED_OUT || connects ? random.nextLong(endedAt) : endedAt;
+            long receivedAt = endedAt + polling.recordFailure(failure) + 200 * MS;
+            // An update that a lost watch missed late counts as delivered even later, which no node can know.
+            long limit = failure == PollFailure.TIMED_OUT && requestedWait > 0
+                    ? requestedWait + 2 * SECOND
+                    : changedAt + 6 * SECOND;
+            max = Math.max(max, receivedAt - changedAt);
+            assertTrue(
+                    receivedAt <= limit,
+                    failure + " after " + requestedWait / MS + " ms: heard at " + receivedAt / MS
+                            + ", counts as told at " + limit / MS);
+        }
+        System.out.println("of a shared service's: heard " + max / MS
+                + " ms after it could be reached, at the latest of 20,000 histories");
+    }
+
+    /**
+     * A new configuration reaches all nodes at once: their polls are spread over a time that grows with them,
+     * up to 2 s.
+     */
+    @Test
+    void firstPollsOfANewServiceAreSpreadByFleetSize() {
+        for (int nodes : new int[] {1, 20, 200, 1000}) {
+            long max = 0;
+            for (int node = 0; node < nodes; node++) {
+                max = Math.max(max, ofSharedService(node, nodes).onServiceChanged());
+            }
+            assertTrue(max <= Math.min(2 * SECOND, nodes * 25 * MS), nodes + " nodes: " + max);
+            assertTrue(nodes < 20 || max > 0.7 * Math.min(2 * SECOND, nodes * 25 * MS), nodes + " nodes: " + max);
+        }
+    }
+
+    @Test
+    void backoffStaysWithinHalfOfTheMaxPollInterval() {
+        for (int seed = 0; seed < 100; seed++) {
+            DiscoveryPolling polling = DiscoveryPolling.ofSharedService(seed, 1000, 3 * SECOND);
+            for (int i = 0; i < 10; i++) {
+                assertTrue(polling.recordFailure(PollFailure.CONNECTION_FAILED) <= 1500 * MS);
+            }
+        }
+    }
+
+    /**
+     * The service works on an abandoned poll all the same: a node without a list does not poll an overloaded
+     * one twice.
+     */
+    @Test
+    void firstResponseOfASharedServiceHasALongerTimeout() {
+        DiscoveryPolling polling = ofSharedService(5, 100);
+        assertEquals(10 * SECOND, polling.responseTimeout());
+        polling.recordSuccess(0);
+        assertEquals(
+                1500 * MS, polling.responseTimeout(), "what a silent watch misses counts as told 2 s after its wait");
+        polling.onServiceChanged();
+        assertEquals(10 * SECOND, polling.responseTimeout());
+    }
+
+    @Test
+    void overloadedServiceIsPolledLessUntilItRecovers() {
+        DiscoveryPolling polling = ofSharedService(5, 200);
+        polling.recordSuccess(0);
+        assertEquals(4 * SECOND, polling.watchDuration());
+        long max = 0;
+        for (int i = 0; i < 200; i++) {
+            max = Math.max(max, polling.recordFailure(PollFailure.REJECTED));
+        }
+        assertTrue(max > 14 * SECOND && max <= 16 * SECOND, "" + max);
+        assertEquals(10 * SECOND, polling.watchDuration());
+        for (int i = 0; i < 16; i++) {
+            polling.recordSuccess(0);
+        }
+        assertEquals(4 * SECOND, polling.watchDuration());
+    }
+
+    @Test
+    void unreachableServiceIsPolledWithinFiveSeconds() {
+        DiscoveryPolling polling = ofSharedService(5, 400);
+        for (int i = 0; i < 200; i++) {
+            assertTrue(polling.recordFailure(PollFailure.CONNECTION_FAILED) <= 5 * SECOND);
+        }
+    }
+
+    @Test
+    void retryAfterIsHonoured() {
+        for (int seed = 0; seed < 50; seed++) {
+            assertTrue(ofSharedService(seed, 4).recordFailure(PollFailure.REJECTED, 3 * SECOND) >= 3 * SECOND);
+            assertTrue(
+                    ofSharedService(seed, 4).recordFailure(PollFailure.REJECTED, 3600 * SECOND) <= 17 * SECOND,
+                    "nobody is kept away for good");
+            assertTrue(
+                    new DiscoveryPolling(seed, 4).recordFailure(PollFailure.REJECTED, 3 * SECOND) <= SECOND,
+                    "an agent is asked as before");
+        }
+    }
+
+    /** Polling never stops, whatever happens, and the time between two polls is bounded. */
+    @Test
+    void everyHistoryLeadsToAnotherPollInTime() {
+        java.util.SplittableRandom random = new java.util.SplittableRandom(11);
+        for (int history = 0; history < 300; history++) {
+            DiscoveryPolling polling = ofSharedService(history, 1 + random.nextInt(2000));
+            for (int i = 0; i < 60; i++) {
+                int step = random.nextInt(7);
+                long wait = step < 5
+                        ? polling.recordFailure(PollFailure.values()[step])
+                        : step == 5 ? polling.onServiceChanged() : polling.pauseBetweenPolls();
+                if (step == 6) {
+                    polling.recordSuccess(random.nextLong(-SECOND, 3 * SECOND));
+                }
+                assertTrue(wait >= 0 && wait <= 16 * SECOND, "" + wait);
+                assertTrue(polling.watchDuration() >= 2 * SECOND && polling.watchDuration() <= 10 * SECOND);
+                assertTrue(polling.responseTimeout() >= 500 * MS && polling.responseTimeout() <= 10 * SECOND);
+            }
+        }
+    }
+}
--- a/fleet/src/main/java/weldhitch/fleet/activation/Standing.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ActiveVersions.java
@@ -1,14 +1,14 @@
 package weldhitch.fleet.activation;
 
 /**
- * The versions that a member serves by until the next update, made by {@link MemberCore#standing}. Immutable;
+ * The versions that a member serves by until the next update, made by {@link ActivationParticipant#activeVersions}. Immutable;
  * a request is judged by the time at which it arrives.
  */
-public final class Standing {
+public final class ActiveVersions {
     private final long current;
     private final Long next;
     private final long switchAt;
-    private final long doubtFrom;
+    private final long inDoubtFrom;
     private final long fencedFrom;
 
     /**
@@ -17,15 +17,15 @@
      * @param current the version in use before {@code switchAt}
      * @param next the version from {@code switchAt} on, or one that may be committed; null if there is none
      * @param switchAt the activation time by this process's clock; {@link Long#MAX_VALUE} while it is unknown
-     * @param doubtFrom from when on the member cannot tell whether {@code next} is active, and rejects
+     * @param inDoubtFrom from when on the member cannot tell whether {@code next} is active, and rejects
      *     requests on which the two differ; {@link Long#MAX_VALUE} for never
      * @param fencedFrom from when on the member cannot tell what is active at all, and rejects all requests
      */
-    public Standing(long current, Long next, long switchAt, long doubtFrom, long fencedFrom) {
+    public ActiveVersions(long current, Long next, long switchAt, long inDoubtFrom, long fencedFrom) {
         this.current = current;
         this.next = next;
         this.switchAt = switchAt;
-        this.doubtFrom = doubtFrom;
+        this.inDoubtFrom = inDoubtFrom;
         this.fencedFrom = fencedFrom;
     }
 
@@ -50,12 +50,12 @@
     }
 
     /** Whether requests on which {@code current} and {@code next} differ are rejected. */
-    public boolean doubtAt(long now) {
-        return now >= doubtFrom && now < switchAt;
+    public boolean isInDoubtAt(long now) {
+        return now >= inDoubtFrom && now < switchAt;
     }
 
     /** Whether all requests are rejected. */
-    public boolean fencedAt(long now) {
+    public boolean isFencedAt(long now) {
         return now >= fencedFrom;
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/activation/ClockEstimate.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ClockEstimate.java
@@ -4,79 +4,79 @@
  * Estimates the offset of a remote clock as an interval, from round trips (Cristian, "Probabilistic clock
  * synchronization", 1989); drift widens the interval as time passes. Each new interval is intersected with
  * the widened old one, so that the best round trip counts for as long as it improves the bound. {@link
- * MemberCore} owns one for the fleet clock. Not thread-safe; times are nanoseconds.
+ * ActivationParticipant} owns one for the fleet clock. Not thread-safe; times are nanoseconds.
  */
 public final class ClockEstimate {
-    private final double drift;
-    private String clock;
+    private final double maxDrift;
+    private String clockId;
     /** Bounds of the remote time less the local time, as of {@code updatedAt}. */
-    private long low;
+    private long offsetLow;
 
-    private long high;
-    private long at;
+    private long offsetHigh;
+    private long updatedAt;
 
     /**
      * Creates an estimate without any reading.
      *
-     * @param drift fraction by which either clock may run fast or slow
+     * @param maxDrift fraction by which either clock may run fast or slow
      */
-    public ClockEstimate(double drift) {
-        this.drift = drift;
+    public ClockEstimate(double maxDrift) {
+        this.maxDrift = maxDrift;
     }
 
     /**
      * Adds one reading of the remote clock. A reading of another clock replaces the estimate.
      *
-     * @param name identifies the remote clock
-     * @param from local time before the reading: when the question was sent
-     * @param to local time after the reading: when the answer was received
-     * @param read what the remote clock showed at some moment between the two
-     * @param error by how much that reading may be wrong, in either direction
+     * @param remoteClockId identifies the remote clock
+     * @param sentAt local time before the reading: when the question was sent
+     * @param receivedAt local time after the reading: when the answer was received
+     * @param reading what the remote clock showed at some moment between the two
+     * @param readingError by how much that reading may be wrong, in either direction
      */
-    public void read(String name, long from, long to, long read, long error) {
-        long newLow = read - error - to;
-        long newHigh = read + error - from;
-        if (!name.equals(clock)) {
-            clock = name;
-            low = newLow;
-            high = newHigh;
-            at = to;
+    public void addReading(String remoteClockId, long sentAt, long receivedAt, long reading, long readingError) {
+        long newLow = reading - readingError - receivedAt;
+        long newHigh = reading + readingError - sentAt;
+        if (!remoteClockId.equals(clockId)) {
+            clockId = remoteClockId;
+            offsetLow = newLow;
+            offsetHigh = newHigh;
+            updatedAt = receivedAt;
             return;
         }
-        long wider = widening(to);
-        long oldLow = low - wider;
-        long oldHigh = high + wider;
-        low = Math.max(oldLow, newLow);
-        high = Math.min(oldHigh, newHigh);
-        if (low > high) {
+        long driftBound = driftSinceUpdate(receivedAt);
+        long oldLow = offsetLow - driftBound;
+        long oldHigh = offsetHigh + driftBound;
+        offsetLow = Math.max(oldLow, newLow);
+        offsetHigh = Math.min(oldHigh, newHigh);
+        if (offsetLow > offsetHigh) {
             // A clock ran faster than the drift bound allows: only the latest reading can be used.
-            low = newLow;
-            high = newHigh;
+            offsetLow = newLow;
+            offsetHigh = newHigh;
         }
-        at = Math.max(at, to);
+        updatedAt = Math.max(updatedAt, receivedAt);
     }
 
-    private long widening(long now) {
-        return (long) (2 * drift * Math.max(0, now - at));
+    private long driftSinceUpdate(long now) {
+        return (long) (2 * maxDrift * Math.max(0, now - updatedAt));
     }
 
     /** The id of the remote clock, or null before the first reading. */
-    public String clock() {
-        return clock;
+    public String clockId() {
+        return clockId;
     }
 
     /** The remote clock's time at the local time {@code now}: the middle of the interval. */
-    public long otherAt(long now) {
-        return now + low + (high - low) / 2;
+    public long remoteTimeAt(long now) {
+        return now + offsetLow + (offsetHigh - offsetLow) / 2;
     }
 
-    /** By how much {@link #otherAt} may be wrong, in either direction. */
-    public long error(long now) {
-        return (high - low + 1) / 2 + widening(now);
+    /** By how much {@link #remoteTimeAt} may be wrong, in either direction. */
+    public long errorBound(long now) {
+        return (offsetHigh - offsetLow + 1) / 2 + driftSinceUpdate(now);
     }
 
     /** The local time at which the remote clock will show {@code remoteTime}. */
-    public long here(long time) {
-        return time - low - (high - low) / 2;
+    public long toLocalTime(long remoteTime) {
+        return remoteTime - offsetLow - (offsetHigh - offsetLow) / 2;
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/activation/Version.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/RouteVersion.java
@@ -6,7 +6,7 @@
  * @param number 0 for a member's own file; the coordinators count the others
  * @param sha256 of its bundle, in hex; empty for number 0
  */
-public record Version(long number, String sha256) {
+public record RouteVersion(long number, String sha256) {
     /** A member's own file. */
-    public static final Version OWN_FILE = new Version(0, "");
+    public static final RouteVersion OWN_FILE = new RouteVersion(0, "");
 }
--- a/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
@@ -11,25 +11,25 @@
     /**
      * The parts of an error, as a log line or the body of an HTTP response shows them.
      *
-     * @param type the name of its kind: coordinators send it, log lines begin with it, and it never changes
-     * @param where the file and line, member, coordinator or address that it is about
-     * @param what what happened, without a full stop
+     * @param kind the name of its kind: coordinators send it, log lines begin with it, and it never changes
+     * @param location the file and line, member, coordinator or address that it is about
+     * @param problem what happened, without a full stop
      * @param remedy what an operator can do, in the imperative
      */
-    record Description(String type, String where, String what, String remedy) {}
+    record Description(String kind, String location, String problem, String remedy) {}
 
     /** The parts of this error. */
     Description describe();
 
     /** One line: kind, location, problem, remedy. */
-    default String text() {
+    default String message() {
         Description description = describe();
-        return description.type() + ": " + description.where() + ": " + description.what() + "; "
+        return description.kind() + ": " + description.location() + ": " + description.problem() + "; "
                 + description.remedy();
     }
 
     /** Members did not vote in time. */
-    record MemberAbsent(long version, List<String> members) implements FleetError {
+    record MissingVotes(long version, List<String> members) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
@@ -68,17 +68,17 @@
     /**
      * Too few coordinators for a quorum respond to the leader, or there is no leader.
      *
-     * @param steward the coordinator that reports it
-     * @param answering how many respond
-     * @param of how many there are
+     * @param coordinator the coordinator that reports it
+     * @param reachable how many respond
+     * @param total how many there are
      */
-    record NoMajority(String steward, int answering, int of) implements FleetError {
+    record NoQuorum(String coordinator, int reachable, int total) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
                     "no-majority",
-                    steward,
-                    answering + " of " + of + " stewards answer: nothing is decided and no lease is given",
+                    coordinator,
+                    reachable + " of " + total + " stewards answer: nothing is decided and no lease is given",
                     "start the other stewards, or restore the way to them");
         }
     }
@@ -86,12 +86,12 @@
     /**
      * None of the coordinators responded to a member.
      *
-     * @param tried what went wrong with each attempt
+     * @param failures what went wrong with each attempt
      */
-    record StewardUnreachable(String member, List<String> tried) implements FleetError {
+    record CoordinatorUnreachable(String member, List<String> failures) implements FleetError {
         /** Copies the list, so that the record stays immutable. */
-        public StewardUnreachable {
-            tried = List.copyOf(tried);
+        public CoordinatorUnreachable {
+            failures = List.copyOf(failures);
         }
 
         @Override
@@ -99,13 +99,13 @@
             return new Description(
                     "steward-unreachable",
                     member,
-                    "no steward answers (tried " + String.join(", ", tried) + "); what is in force stays so",
+                    "no steward answers (tried " + String.join(", ", failures) + "); what is in force stays so",
                     "start them, or restore the way to them");
         }
     }
 
     /** A coordinator's state log is damaged and may have lost a promise. */
-    record LogSuspect(String file) implements FleetError {
+    record StateLogDamaged(String file) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
@@ -118,7 +118,7 @@
     }
 
     /** A coordinator could not write its state log. */
-    record DiskRefused(String file, String reason) implements FleetError {
+    record StateWriteFailed(String file, String reason) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
@@ -130,31 +130,31 @@
     }
 
     /** The time of a switch is not known precisely enough. */
-    record ClockErrorTooLarge(String member, long errorMillis, long mostMillis) implements FleetError {
+    record ClockErrorTooLarge(String member, long errorMillis, long limitMillis) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
                     "clock-error-too-large",
                     member,
-                    "knows the fleet's time to " + errorMillis + " ms only, " + mostMillis + " are allowed",
+                    "knows the fleet's time to " + errorMillis + " ms only, " + limitMillis + " are allowed",
                     "look for what slows the way from it to the stewards");
         }
     }
 
     /** A coordinator was sent a message that is malformed or not meant for it. */
-    record MessageRefused(String from, String reason) implements FleetError {
+    record MessageRejected(String sender, String reason) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
                     "message-refused",
-                    from,
+                    sender,
                     reason,
                     "look at who sends it: name, cluster and version of the program have to agree with the stewards'");
         }
     }
 
     /** A submitted file is not a valid version. */
-    record BundleUnusable(String file, int line, String reason) implements FleetError {
+    record InvalidBundle(String file, int line, String reason) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
@@ -165,22 +165,22 @@
     /**
      * The view of the fleet's zones is too old to be used.
      *
-     * @param mostMillis the age from which on a view is not used
+     * @param maxAgeMillis the age from which on a view is not used
      */
-    record StaleView(String member, long mostMillis) implements FleetError {
+    record StaleFleetView(String member, long maxAgeMillis) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
                     "stale-view",
                     member,
-                    "has had no view of the fleet's zones for " + mostMillis
+                    "has had no view of the fleet's zones for " + maxAgeMillis
                             + " ms: goes by its own calls, and spills the lesser share",
                     "restore the way from it to the stewards, or that of the half of the nodes that they do not hear");
         }
     }
 
     /** No zone that a rule permits has a responding endpoint. */
-    record RuleImpossible(String member, String rule) implements FleetError {
+    record NoPermittedZone(String member, String rule) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
@@ -198,7 +198,7 @@
      * @param found what is wrong with it
      * @param expected what it has to be, which is the remedy
      */
-    record SettingUnusable(String file, int line, String key, String found, String expected) implements FleetError {
+    record InvalidSetting(String file, int line, String key, String found, String expected) implements FleetError {
         @Override
         public Description describe() {
             return new Description("setting-unusable", file + ":" + line, key + ": " + found, expected);
--- a/fleet/src/main/java/weldhitch/fleet/error/FleetException.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/FleetException.java
@@ -8,7 +8,7 @@
 
     /** Creates an exception whose message is the error's line. */
     public FleetException(FleetError error) {
-        super(error.text());
+        super(error.message());
         this.error = error;
     }
 
--- a/fleet/src/main/java/weldhitch/fleet/locality/Rate.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/DecayingRate.java
@@ -4,14 +4,14 @@
  * Events per second, as a count that decays exponentially: an event of one second ago counts 1/e. Not
  * thread-safe.
  */
-final class Rate {
-    private static final double OVER = 1e9;
+final class DecayingRate {
+    private static final double DECAY_NANOS = 1e9;
 
     private double count;
-    private long at;
+    private long updatedAt;
 
     /** Counts one event. */
-    void add(long now) {
+    void increment(long now) {
         decay(now);
         count++;
     }
@@ -23,9 +23,9 @@
     }
 
     private void decay(long now) {
-        if (now > at) {
-            count = count < 1e-9 ? 0 : count * Math.exp((at - now) / OVER);
-            at = now;
+        if (now > updatedAt) {
+            count = count < 1e-9 ? 0 : count * Math.exp((updatedAt - now) / DECAY_NANOS);
+            updatedAt = now;
         }
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
@@ -9,16 +9,21 @@
  *
  * @param name of the rule, for logs
  * @param match the requests that it applies to
- * @param prefer priority levels in order: {@link #OWN_ZONE}, {@link #OWN_REGION}, {@link #ANY}, or the name
+ * @param preferences priority levels in order: {@link #OWN_ZONE}, {@link #OWN_REGION}, {@link #ANY}, or the name
  *     of a region
- * @param never zones and regions that such a request never goes to, even if it has to be rejected instead
- * @param spill when and how much spills over to the next priority level
+ * @param forbidden zones and regions that such a request never goes to, even if it has to be rejected instead
+ * @param spillPolicy when and how much spills over to the next priority level
  * @param panic whether all zones that the rule permits receive the requests if the first priority level has
  *     no responding endpoint and there is no token for another; otherwise these are rejected. If levels are
  *     merely short, the first one receives the requests that get no token
  */
 public record LocalityRule(
-        String name, Match match, List<String> prefer, Set<String> never, Spill spill, boolean panic) {
+        String name,
+        Match match,
+        List<String> preferences,
+        Set<String> forbidden,
+        SpillPolicy spillPolicy,
+        boolean panic) {
     /** The priority level of the node's own zone. */
     public static final String OWN_ZONE = "own-zone";
     /** The priority level of the zones of the node's region. */
@@ -28,9 +33,9 @@
 
     /** Copies the collections, so that the record stays immutable; requires at least one priority level. */
     public LocalityRule {
-        prefer = List.copyOf(prefer);
-        never = Set.copyOf(never);
-        if (prefer.isEmpty()) {
+        preferences = List.copyOf(preferences);
+        forbidden = Set.copyOf(forbidden);
+        if (preferences.isEmpty()) {
             throw new IllegalArgumentException("prefer names no step");
         }
     }
@@ -40,10 +45,10 @@
         /** Matches all requests. */
         public static final Match ALL = new Match(null, null, null);
 
-        boolean holds(String ofClass, String ofTenant, String ofRoute) {
-            return (requestClass == null || requestClass.equals(ofClass))
-                    && (tenant == null || tenant.equals(ofTenant))
-                    && (route == null || route.equals(ofRoute));
+        boolean matches(String candidateClass, String candidateTenant, String candidateRoute) {
+            return (requestClass == null || requestClass.equals(candidateClass))
+                    && (tenant == null || tenant.equals(candidateTenant))
+                    && (route == null || route.equals(candidateRoute));
         }
     }
 
@@ -51,41 +56,54 @@
      * Hysteresis: a threshold from which on a priority level is short, and another past which it no longer
      * is, apart so that the state does not flap. Immutable.
      */
-    public record Band(double begin, double end) {}
+    public record HysteresisBand(double begin, double end) {}
 
     /**
      * When a priority level spills over and how much. Immutable.
      *
-     * @param use utilization, as a fraction of what its healthy endpoints bear, 0 to 1: short from {@code
+     * @param utilization utilization, as a fraction of what its healthy endpoints bear, 0 to 1: short from {@code
      *     begin} on, no longer below {@code end}
-     * @param healthy healthy fraction of its endpoints' weight, 0 to 1: short below {@code begin}, no longer
+     * @param healthyFraction healthy fraction of its endpoints' weight, 0 to 1: short below {@code begin}, no longer
      *     from {@code end} on
-     * @param late fraction of its attempts that were late or rejected, 0 to 1: short from {@code begin} on,
+     * @param lateFraction fraction of its attempts that were late or rejected, 0 to 1: short from {@code begin} on,
      *     no longer below {@code end}
      * @param dwell the minimum time between two changes of whether a level is short, in nanoseconds
-     * @param most largest fraction of the rule's requests that may spill over to the next level, 0 to 1; all
+     * @param maxFraction largest fraction of the rule's requests that may spill over to the next level, 0 to 1; all
      *     of them if no endpoint is left
-     * @param growth by how much that fraction grows or falls per second
-     * @param alone the largest fraction that may spill over without a view from the coordinators; at most
+     * @param growthPerSecond by how much that fraction grows or falls per second
+     * @param uncoordinatedFraction the largest fraction that may spill over without a view from the coordinators; at most
      *     {@code maxFraction}
      */
-    public record Spill(Band use, Band healthy, Band late, long dwell, double most, double growth, double alone) {
+    public record SpillPolicy(
+            HysteresisBand utilization,
+            HysteresisBand healthyFraction,
+            HysteresisBand lateFraction,
+            long dwell,
+            double maxFraction,
+            double growthPerSecond,
+            double uncoordinatedFraction) {
         /** Rejects figures out of their range. */
-        public Spill {
-            require(use.begin > 0 && use.begin <= 1, "use.begin from 0 to 1");
-            require(use.end >= 0 && use.end < use.begin, "use.end under use.begin, or it flaps");
-            require(healthy.begin >= 0 && healthy.begin < 1, "healthy.begin from 0 to 1");
-            require(healthy.end > healthy.begin && healthy.end <= 1, "healthy.end over healthy.begin, or it flaps");
-            require(late.begin > 0 && late.begin <= 1, "late.begin from 0 to 1");
-            require(late.end >= 0 && late.end < late.begin, "late.end under late.begin, or it flaps");
+        public SpillPolicy {
+            require(utilization.begin > 0 && utilization.begin <= 1, "use.begin from 0 to 1");
+            require(
+                    utilization.end >= 0 && utilization.end < utilization.begin,
+                    "use.end under use.begin, or it flaps");
+            require(healthyFraction.begin >= 0 && healthyFraction.begin < 1, "healthy.begin from 0 to 1");
+            require(
+                    healthyFraction.end > healthyFraction.begin && healthyFraction.end <= 1,
+                    "healthy.end over healthy.begin, or it flaps");
+            require(lateFraction.begin > 0 && lateFraction.begin <= 1, "late.begin from 0 to 1");
+            require(
+                    lateFraction.end >= 0 && lateFraction.end < lateFraction.begin,
+                    "late.end under late.begin, or it flaps");
             require(dwell > 0, "dwell over 0");
-            require(most > 0 && most <= 1 && growth > 0, "most from 0 to 1, growth over 0");
-            require(alone >= 0 && alone <= most, "alone from 0 to most");
+            require(maxFraction > 0 && maxFraction <= 1 && growthPerSecond > 0, "most from 0 to 1, growth over 0");
+            require(uncoordinatedFraction >= 0 && uncoordinatedFraction <= maxFraction, "alone from 0 to most");
         }
 
-        private static void require(boolean sound, String wanted) {
-            if (!sound) {
-                throw new IllegalArgumentException("wanted: " + wanted);
+        private static void require(boolean valid, String requirement) {
+            if (!valid) {
+                throw new IllegalArgumentException("wanted: " + requirement);
             }
         }
     }
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
@@ -7,22 +7,22 @@
  * All locality rules of a route configuration or route version. Immutable.
  *
  * @param regions the regions that rules may name
- * @param rate what an endpoint of weight 1 bears, in calls per second
+ * @param capacityPerWeight what an endpoint of weight 1 bears, in calls per second
  * @param rules in the order of the file; the first that matches a request applies
  */
-public record LocalityRules(Regions regions, double rate, List<LocalityRule> rules) {
+public record LocalityRules(Regions regions, double capacityPerWeight, List<LocalityRule> rules) {
     /** Copies the list, so that the record stays immutable; requires a positive and finite capacity. */
     public LocalityRules {
         rules = List.copyOf(rules);
-        if (!(rate > 0) || Double.isInfinite(rate)) {
+        if (!(capacityPerWeight > 0) || Double.isInfinite(capacityPerWeight)) {
             throw new IllegalArgumentException("rate over 0");
         }
     }
 
-    /** The rule for a request, or null. {@code route} may be null if {@link #asksForRoutes} is false. */
-    public LocalityRule of(String requestClass, String tenant, String route) {
+    /** The rule for a request, or null. {@code route} may be null if {@link #needsRoute} is false. */
+    public LocalityRule ruleFor(String requestClass, String tenant, String route) {
         for (LocalityRule rule : rules) {
-            if (rule.match().holds(requestClass, tenant, route)) {
+            if (rule.match().matches(requestClass, tenant, route)) {
                 return rule;
             }
         }
@@ -30,7 +30,7 @@
     }
 
     /** Whether any rule matches by route. */
-    public boolean asksForRoutes() {
+    public boolean needsRoute() {
         return rules.stream().anyMatch(rule -> rule.match().route() != null);
     }
 
@@ -38,17 +38,17 @@
      * The utilization above which traffic from other zones must not push a zone: the lowest at which any rule
      * calls a level short.
      */
-    double target() {
+    double targetUtilization() {
         return rules.stream()
-                .mapToDouble(rule -> rule.spill().use().begin())
+                .mapToDouble(rule -> rule.spillPolicy().utilization().begin())
                 .min()
                 .orElse(1);
     }
 
     /** The fraction of late attempts from which on a zone takes no traffic from other zones. */
-    double mostLate() {
+    double maxLateFraction() {
         return rules.stream()
-                .mapToDouble(rule -> rule.spill().late().begin())
+                .mapToDouble(rule -> rule.spillPolicy().lateFraction().begin())
                 .min()
                 .orElse(1);
     }
@@ -56,13 +56,16 @@
     /**
      * Whether a request is treated differently by two sets of rules.
      *
-     * @param one the first set; null for no rules
-     * @param here the request's rule by the first set, or null
-     * @param other the second set; null for no rules
-     * @param there the request's rule by the second set, or null
+     * @param firstRules the first set; null for no rules
+     * @param firstRule the request's rule by the first set, or null
+     * @param secondRules the second set; null for no rules
+     * @param secondRule the request's rule by the second set, or null
      */
-    public static boolean differ(LocalityRules one, LocalityRule here, LocalityRules other, LocalityRule there) {
-        return !Objects.equals(here, there)
-                || here != null && !(one.regions.equals(other.regions) && one.rate == other.rate);
+    public static boolean differ(
+            LocalityRules firstRules, LocalityRule firstRule, LocalityRules secondRules, LocalityRule secondRule) {
+        return !Objects.equals(firstRule, secondRule)
+                || firstRule != null
+                        && !(firstRules.regions.equals(secondRules.regions)
+                                && firstRules.capacityPerWeight == secondRules.capacityPerWeight);
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/Regions.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Regions.java
@@ -21,22 +21,23 @@
      * @throws IllegalArgumentException if a zone is in two regions; the message names it
      */
     public Regions {
-        Map<String, String> taken = new TreeMap<>();
-        Map<String, Set<String>> copy = new TreeMap<>();
+        Map<String, String> regionByZone = new TreeMap<>();
+        Map<String, Set<String>> zonesByRegion = new TreeMap<>();
         new TreeMap<>(zones).forEach((region, some) -> {
             some.forEach(zone -> {
-                String other = taken.putIfAbsent(zone, region);
-                if (other != null) {
-                    throw new IllegalArgumentException("zone " + zone + " is in region " + other + " and in " + region);
+                String otherRegion = regionByZone.putIfAbsent(zone, region);
+                if (otherRegion != null) {
+                    throw new IllegalArgumentException(
+                            "zone " + zone + " is in region " + otherRegion + " and in " + region);
                 }
             });
-            copy.put(region, Collections.unmodifiableSet(new TreeSet<>(some)));
+            zonesByRegion.put(region, Collections.unmodifiableSet(new TreeSet<>(some)));
         });
-        zones = Collections.unmodifiableMap(copy);
+        zones = Collections.unmodifiableMap(zonesByRegion);
     }
 
     /** The region of a zone, or null. */
-    public String of(String zone) {
+    public String regionOf(String zone) {
         return zones.entrySet().stream()
                 .filter(r -> r.getValue().contains(zone))
                 .map(Map.Entry::getKey)
@@ -49,33 +50,35 @@
      * level that names it. A level without an available zone is left out, except for the first, so that the
      * level after a lost zone does not become the first.
      *
-     * @param there zones that have endpoints
+     * @param availableZones zones that have endpoints
      */
-    public List<Set<String>> steps(LocalityRule rule, String own, Set<String> there) {
-        Set<String> seen = new LinkedHashSet<>();
-        List<Set<String>> steps = new ArrayList<>();
-        for (String word : rule.prefer()) {
-            Set<String> step = new TreeSet<>(
-                    switch (word) {
-                        case LocalityRule.OWN_ZONE -> Set.of(own);
-                        case LocalityRule.OWN_REGION -> of(own) == null ? Set.of(own) : zones.get(of(own));
-                        case LocalityRule.ANY -> there;
-                        default -> zones.getOrDefault(word, Set.of());
+    public List<Set<String>> priorityLevels(LocalityRule rule, String ownZone, Set<String> availableZones) {
+        Set<String> assignedZones = new LinkedHashSet<>();
+        List<Set<String>> levels = new ArrayList<>();
+        for (String preference : rule.preferences()) {
+            Set<String> level = new TreeSet<>(
+                    switch (preference) {
+                        case LocalityRule.OWN_ZONE -> Set.of(ownZone);
+                        case LocalityRule.OWN_REGION ->
+                            regionOf(ownZone) == null ? Set.of(ownZone) : zones.get(regionOf(ownZone));
+                        case LocalityRule.ANY -> availableZones;
+                        default -> zones.getOrDefault(preference, Set.of());
                     });
-            step.removeIf(zone -> seen.contains(zone) || forbidden(rule, zone));
-            if (!steps.isEmpty()) {
-                step.retainAll(there);
+            level.removeIf(zone -> assignedZones.contains(zone) || isForbidden(rule, zone));
+            if (!levels.isEmpty()) {
+                level.retainAll(availableZones);
             }
-            seen.addAll(step);
-            if (steps.isEmpty() || !step.isEmpty()) {
-                steps.add(step);
+            assignedZones.addAll(level);
+            if (levels.isEmpty() || !level.isEmpty()) {
+                levels.add(level);
             }
         }
-        return steps;
+        return levels;
     }
 
-    private boolean forbidden(LocalityRule rule, String zone) {
-        String region = of(zone);
-        return rule.never().contains(zone) || region != null && rule.never().contains(region);
+    private boolean isForbidden(LocalityRule rule, String zone) {
+        String region = regionOf(zone);
+        return rule.forbidden().contains(zone)
+                || region != null && rule.forbidden().contains(region);
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
@@ -9,37 +9,37 @@
 /**
  * One node's state for one rule: it selects the priority level of each request. What goes beyond the first
  * level is bounded by quota grants, a token for each request; without a view from the coordinators, by a
- * smaller fraction that the rule states. Owned by {@link Locality}; not thread-safe.
+ * smaller fraction that the rule states. Owned by {@link ZoneSelector}; not thread-safe.
  */
 final class Spillover {
     /** Factor by which the requested quota exceeds the average demand, as requests come in bursts. */
-    private static final double MARGIN = 1.1;
+    private static final double DEMAND_MARGIN = 1.1;
 
-    private static final double NOTHING = 0.01;
+    private static final double MIN_DEMAND = 0.01;
 
     private final LocalityRule rule;
-    private final Leave leave;
-    private final Rate arriving = new Rate();
-    private List<Set<String>> steps = List.of();
+    private final SpillTokens spillTokens;
+    private final DecayingRate arrivalRate = new DecayingRate();
+    private List<Set<String>> priorityLevels = List.of();
     /** The zones of each level as lists, for requests that may go to all of them. */
-    private List<List<String>> zones = List.of();
+    private List<List<String>> zonesByLevel = List.of();
 
-    private final List<StepState> states = new ArrayList<>();
-    private Map<String, ZoneView> views = Map.of();
+    private final List<PriorityLevelState> levelStates = new ArrayList<>();
+    private Map<String, ZoneView> zoneViews = Map.of();
     /** Whether the coordinators grant quotas now. */
-    private boolean granting;
+    private boolean coordinated;
 
-    private double alone;
+    private double uncoordinatedCredit;
 
     /**
      * Creates the state.
      *
-     * @param steps the rule's priority levels as this node sees them ({@link Regions#steps})
+     * @param priorityLevels the rule's priority levels as this node sees them ({@link Regions#priorityLevels})
      */
-    Spillover(LocalityRule rule, List<Set<String>> steps, Leave leave, long now) {
+    Spillover(LocalityRule rule, List<Set<String>> priorityLevels, SpillTokens spillTokens, long now) {
         this.rule = rule;
-        this.leave = leave;
-        steps(steps, now);
+        this.spillTokens = spillTokens;
+        updatePriorityLevels(priorityLevels, now);
     }
 
     /** The rule. */
@@ -50,31 +50,34 @@
     /**
      * Replaces the priority levels after zones came or went; the state of a level that remains is retained.
      */
-    final void steps(List<Set<String>> next, long now) {
-        if (next.equals(steps)) {
+    final void updatePriorityLevels(List<Set<String>> newLevels, long now) {
+        if (newLevels.equals(priorityLevels)) {
             return;
         }
-        List<StepState> kept = new ArrayList<>();
-        for (Set<String> step : next) {
-            int before = steps.indexOf(step);
-            kept.add(before >= 0 ? states.get(before) : new StepState(rule.spill(), now));
+        List<PriorityLevelState> newStates = new ArrayList<>();
+        for (Set<String> level : newLevels) {
+            int previousIndex = priorityLevels.indexOf(level);
+            newStates.add(
+                    previousIndex >= 0
+                            ? levelStates.get(previousIndex)
+                            : new PriorityLevelState(rule.spillPolicy(), now));
         }
-        steps = List.copyOf(next);
-        zones = next.stream().map(List::copyOf).toList();
-        states.clear();
-        states.addAll(kept);
+        priorityLevels = List.copyOf(newLevels);
+        zonesByLevel = newLevels.stream().map(List::copyOf).toList();
+        levelStates.clear();
+        levelStates.addAll(newStates);
     }
 
     /**
      * Applies the present views of zones.
      *
-     * @param stewards whether the coordinators grant quotas
+     * @param hasCoordinators whether the coordinators grant quotas
      */
-    void seen(Map<String, ZoneView> known, boolean stewards, long now) {
-        views = known;
-        granting = stewards;
-        for (int i = 0; i < steps.size(); i++) {
-            states.get(i).seen(of(steps.get(i)), now);
+    void updateViews(Map<String, ZoneView> newViews, boolean hasCoordinators, long now) {
+        zoneViews = newViews;
+        coordinated = hasCoordinators;
+        for (int i = 0; i < priorityLevels.size(); i++) {
+            levelStates.get(i).update(levelView(priorityLevels.get(i)), now);
         }
     }
 
@@ -82,86 +85,97 @@
      * The view of a priority level: its zones together. A level without any known zone, as no list has named
      * an endpoint of it, counts as unavailable.
      */
-    private ZoneView of(Set<String> step) {
+    private ZoneView levelView(Set<String> level) {
         double capacity = 0;
-        double healthy = 0;
-        double used = 0;
-        double late = 0;
-        for (String zone : step) {
-            ZoneView view = views.get(zone);
+        double healthyCapacity = 0;
+        double usedCapacity = 0;
+        double lateCapacity = 0;
+        for (String zone : level) {
+            ZoneView view = zoneViews.get(zone);
             if (view != null) {
                 capacity += view.capacity();
-                healthy += view.capacity() * view.healthy();
-                used += view.use() * view.capacity() * view.healthy();
-                late += view.late() * view.capacity();
+                healthyCapacity += view.capacity() * view.healthyFraction();
+                usedCapacity += view.utilization() * view.capacity() * view.healthyFraction();
+                lateCapacity += view.lateFraction() * view.capacity();
             }
         }
         if (capacity <= 0) {
             return new ZoneView(0, 0, 0, 0, 0, 0);
         }
-        return new ZoneView(healthy / capacity, healthy <= 0 ? 0 : used / healthy, late / capacity, capacity, 0, 0);
+        return new ZoneView(
+                healthyCapacity / capacity,
+                healthyCapacity <= 0 ? 0 : usedCapacity / healthyCapacity,
+                lateCapacity / capacity,
+                capacity,
+                0,
+                0);
     }
 
-    private boolean answers(String zone) {
-        ZoneView view = views.get(zone);
-        return view != null && view.healthy() >= StepState.LOST;
+    private boolean isAvailable(String zone) {
+        ZoneView view = zoneViews.get(zone);
+        return view != null && view.healthyFraction() >= PriorityLevelState.MIN_HEALTHY_FRACTION;
     }
 
-    private Set<String> answering(int step) {
-        Set<String> some = new TreeSet<>(steps.get(step));
-        some.removeIf(zone -> !answers(zone));
-        return some;
+    private Set<String> availableZones(int level) {
+        Set<String> available = new TreeSet<>(priorityLevels.get(level));
+        available.removeIf(zone -> !isAvailable(zone));
+        return available;
     }
 
     /**
      * Adds the load that this node would send beyond its first priority level, in calls per second by zone.
      */
-    void wants(Map<String, Double> into, long now) {
-        double rest = states.isEmpty()
+    void addDemand(Map<String, Double> demandByZone, long now) {
+        double remainingRate = levelStates.isEmpty()
                 ? 0
-                : MARGIN * arriving.perSecond(now) * states.get(0).share(now);
-        for (int i = 1; i < steps.size() && rest > NOTHING; i++) {
-            Set<String> some = answering(i);
-            boolean answered = true;
-            double granted = 0;
-            for (String zone : some) {
-                into.merge(zone, rest / some.size(), Double::sum);
-                answered &= leave.answered(zone, now);
-                granted += leave.perSecond(zone, now);
+                : DEMAND_MARGIN
+                        * arrivalRate.perSecond(now)
+                        * levelStates.get(0).spillFraction(now);
+        for (int i = 1; i < priorityLevels.size() && remainingRate > MIN_DEMAND; i++) {
+            Set<String> available = availableZones(i);
+            boolean allGrantsKnown = true;
+            double grantedRate = 0;
+            for (String zone : available) {
+                demandByZone.merge(zone, remainingRate / available.size(), Double::sum);
+                allGrantsKnown &= spillTokens.hasCurrentGrant(zone, now);
+                grantedRate += spillTokens.grantedRate(zone, now);
             }
-            if (!answered) {
+            if (!allGrantsKnown) {
                 // The capacity that the nearer level has left is not known yet.
                 return;
             }
-            rest -= granted;
+            remainingRate -= grantedRate;
         }
     }
 
     /**
      * Selects zones for a request that arrives now.
      *
-     * @param chance a uniform random number from 0 to 1
+     * @param uniformDraw a uniform random number from 0 to 1
      */
-    Placed arrived(double chance, long now) {
-        arriving.add(now);
-        alone = Math.min(1, alone + rule.spill().alone());
-        double left = chance;
-        for (int i = 0; i < steps.size(); i++) {
-            StepState state = states.get(i);
-            double on = i == steps.size() - 1 ? 0 : state.share(now);
-            boolean goesOn = left < on;
-            left = goesOn ? left / on : (left - on) / Math.max(1e-12, 1 - on);
-            if (!goesOn && !state.lost()) {
-                Placed placed = i == 0 ? whole(0) : beyond(i, now);
-                if (placed != null) {
-                    return placed;
+    ZoneSelection select(double uniformDraw, long now) {
+        arrivalRate.increment(now);
+        uncoordinatedCredit =
+                Math.min(1, uncoordinatedCredit + rule.spillPolicy().uncoordinatedFraction());
+        double remainingDraw = uniformDraw;
+        for (int i = 0; i < priorityLevels.size(); i++) {
+            PriorityLevelState state = levelStates.get(i);
+            double spillFraction = i == priorityLevels.size() - 1 ? 0 : state.spillFraction(now);
+            boolean spills = remainingDraw < spillFraction;
+            remainingDraw = spills
+                    ? remainingDraw / spillFraction
+                    : (remainingDraw - spillFraction) / Math.max(1e-12, 1 - spillFraction);
+            if (!spills && !state.isUnavailable()) {
+                ZoneSelection selection = i == 0 ? selectLevel(0) : selectSpill(i, now);
+                if (selection != null) {
+                    return selection;
                 }
             }
         }
-        if (!steps.isEmpty() && !states.get(0).lost()) {
-            return whole(0);
+        if (!priorityLevels.isEmpty() && !levelStates.get(0).isUnavailable()) {
+            return selectLevel(0);
         }
-        return rule.panic() ? everywhere() : new Placed(this, -1, List.of(), false);
+        return rule.panic() ? selectAllZones() : new ZoneSelection(this, -1, List.of(), false);
     }
 
     /**
@@ -169,30 +183,30 @@
      * rule permits together. If only the nearest took the load, one zone without the capacity for it would
      * get all of it.
      */
-    private Placed everywhere() {
-        Set<String> all = new TreeSet<>();
-        for (int i = 0; i < steps.size(); i++) {
-            all.addAll(answering(i));
+    private ZoneSelection selectAllZones() {
+        Set<String> available = new TreeSet<>();
+        for (int i = 0; i < priorityLevels.size(); i++) {
+            available.addAll(availableZones(i));
         }
-        return new Placed(this, all.isEmpty() ? -1 : steps.size(), List.copyOf(all), false);
+        return new ZoneSelection(this, available.isEmpty() ? -1 : priorityLevels.size(), List.copyOf(available), false);
     }
 
-    private Placed whole(int step) {
-        return new Placed(this, step, zones.get(step), false);
+    private ZoneSelection selectLevel(int level) {
+        return new ZoneSelection(this, level, zonesByLevel.get(level), false);
     }
 
     /**
      * Selects a zone of that level by a token, or by the uncoordinated fraction; null if there is neither.
      */
-    private Placed beyond(int step, long now) {
-        Set<String> some = answering(step);
-        String zone = leave.spend(some, now);
+    private ZoneSelection selectSpill(int level, long now) {
+        Set<String> available = availableZones(level);
+        String zone = spillTokens.takeToken(available, now);
         if (zone != null) {
-            return new Placed(this, step, List.of(zone), true);
+            return new ZoneSelection(this, level, List.of(zone), true);
         }
-        if (!granting && !some.isEmpty() && alone >= 1) {
-            alone -= 1;
-            return new Placed(this, step, List.copyOf(some), false);
+        if (!coordinated && !available.isEmpty() && uncoordinatedCredit >= 1) {
+            uncoordinatedCredit -= 1;
+            return new ZoneSelection(this, level, List.copyOf(available), false);
         }
         return null;
     }
@@ -201,47 +215,53 @@
      * Selects the next zones for a request that has tried all endpoints of {@code previous}; returns that if
      * there are no others.
      */
-    Placed further(Placed from, long now) {
-        for (int i = from.step() + 1; i < steps.size(); i++) {
-            Placed placed = states.get(i).lost() ? null : beyond(i, now);
-            if (placed != null) {
-                return placed;
+    ZoneSelection selectNext(ZoneSelection previous, long now) {
+        for (int i = previous.priorityLevel() + 1; i < priorityLevels.size(); i++) {
+            ZoneSelection selection = levelStates.get(i).isUnavailable() ? null : selectSpill(i, now);
+            if (selection != null) {
+                return selection;
             }
         }
-        if (from.step() != 0 && !steps.isEmpty() && !states.get(0).lost()) {
-            return whole(0);
+        if (previous.priorityLevel() != 0
+                && !priorityLevels.isEmpty()
+                && !levelStates.get(0).isUnavailable()) {
+            return selectLevel(0);
         }
-        Placed all = rule.panic() && from.step() < steps.size() && states.get(0).lost() ? everywhere() : from;
-        return all.zones().isEmpty() ? from : all;
+        ZoneSelection fallback = rule.panic()
+                        && previous.priorityLevel() < priorityLevels.size()
+                        && levelStates.get(0).isUnavailable()
+                ? selectAllZones()
+                : previous;
+        return fallback.zones().isEmpty() ? previous : fallback;
     }
 
     /** Whether no priority level has a responding endpoint. */
-    boolean nowhere() {
-        return states.stream().allMatch(StepState::lost);
+    boolean hasNoAvailableZone() {
+        return levelStates.stream().allMatch(PriorityLevelState::isUnavailable);
     }
 
     /** How often any priority level has begun or ceased to spill over. */
-    int changes() {
-        return states.stream().mapToInt(StepState::changes).sum();
+    int transitions() {
+        return levelStates.stream().mapToInt(PriorityLevelState::transitions).sum();
     }
 
     /** Describes the state, for a log line. */
-    String told(long now) {
+    String describe(long now) {
         StringBuilder text = new StringBuilder("rule " + rule.name());
-        for (int i = 0; i < steps.size(); i++) {
-            StepState state = states.get(i);
-            ZoneView view = of(steps.get(i));
+        for (int i = 0; i < priorityLevels.size(); i++) {
+            PriorityLevelState state = levelStates.get(i);
+            ZoneView view = levelView(priorityLevels.get(i));
             text.append(String.format(
                     java.util.Locale.ROOT,
                     "; step %d %s %s, use %.2f, healthy %.2f, late %.2f, on %.2f",
                     i,
-                    steps.get(i),
-                    state.lost() ? "has no server" : state.isShort() ? "is short" : "has room",
-                    view.use(),
-                    view.healthy(),
-                    view.late(),
-                    state.share(now)));
+                    priorityLevels.get(i),
+                    state.isUnavailable() ? "has no server" : state.isSpilling() ? "is short" : "has room",
+                    view.utilization(),
+                    view.healthyFraction(),
+                    view.lateFraction(),
+                    state.spillFraction(now)));
         }
-        return text.append(granting ? "; stewards grant" : "; alone").toString();
+        return text.append(coordinated ? "; stewards grant" : "; alone").toString();
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneServer.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneEndpoint.java
@@ -6,6 +6,6 @@
  * @param weight its relative capacity; 1 if the list names none
  * @param startedAt nanoseconds of the node's clock; 0 for long ago
  * @param ready whether new requests may go to it
- * @param gone whether it is removed from the list
+ * @param removed whether it is removed from the list
  */
-public record ZoneServer(String name, String zone, double weight, long startedAt, boolean ready, boolean gone) {}
+public record ZoneEndpoint(String name, String zone, double weight, long startedAt, boolean ready, boolean removed) {}
--- /dev/null
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadAggregator.java
@@ -0,0 +1,203 @@
+package weldhitch.fleet.locality;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.ToDoubleFunction;
+import weldhitch.fleet.locality.FleetView.ZoneLoad;
+
+/**
+ * Merges the nodes' reports on zones and grants quotas; owned by the leading coordinator. In memory only:
+ * reports arrive again within a second, and grants expire by themselves. Not thread-safe; times are
+ * nanoseconds of the coordinator's clock.
+ */
+public final class ZoneLoadAggregator {
+    /** The age from which on a report does not count. */
+    static final long MAX_REPORT_AGE = 2_000_000_000L;
+    /** How long a grant may be used at the latest. */
+    public static final long GRANT_DURATION = 2_000_000_000L;
+    /** How long merged reports are reused, instead of being merged again for each response. */
+    private static final long MERGE_INTERVAL = 20_000_000L;
+
+    /** A node's latest report, and when it arrived. */
+    private record ReceivedReport(NodeLoadReport report, long receivedAt) {}
+
+    /**
+     * A zone by all fresh reports.
+     *
+     * @param nonQuotaCallRate calls per second of all nodes that no quota paid for
+     */
+    private record MergedZone(ZoneLoad load, double nonQuotaCallRate) {}
+
+    private final long grantsAllowedFrom;
+    private final double maxClockDrift;
+    private final QuotaAllocator quotaAllocator = new QuotaAllocator(GRANT_DURATION);
+    private final Map<String, ReceivedReport> reportsByNode = new TreeMap<>();
+    private Map<String, MergedZone> mergedZones = Map.of();
+    private long mergedAt = Long.MIN_VALUE;
+    private int reporterCount;
+    private double targetUtilization = 1;
+    private double maxLateFraction = 1;
+
+    /**
+     * Creates an aggregator without reports.
+     *
+     * @param leadingSince when this coordinator began to lead: grants of the leader before may be used for up to
+     *     {@link #GRANT_DURATION} from then on, so none are issued until then
+     * @param maxClockDrift fraction by which clocks may run fast or slow
+     */
+    public ZoneLoadAggregator(long leadingSince, double maxClockDrift) {
+        grantsAllowedFrom = leadingSince + GRANT_DURATION;
+        this.maxClockDrift = maxClockDrift;
+    }
+
+    /** For tests that show what breaks without counting replaced grants. */
+    void ignoreReplacedGrants() {
+        quotaAllocator.ignoreReplacedGrants();
+    }
+
+    /** Records a node's report; null if it has none any more. */
+    public void onReport(String node, NodeLoadReport report, long now) {
+        if (report == null) {
+            removeNode(node);
+            return;
+        }
+        reportsByNode.put(node, new ReceivedReport(report, now));
+        report.zones()
+                .keySet()
+                .forEach(zone -> quotaAllocator.updateDemand(
+                        node, zone, report.spillDemand().getOrDefault(zone, 0.0)));
+        report.spillDemand().forEach((zone, callsPerSecond) -> quotaAllocator.updateDemand(node, zone, callsPerSecond));
+    }
+
+    private void removeNode(String node) {
+        reportsByNode.remove(node);
+        quotaAllocator.removeNode(node);
+    }
+
+    /**
+     * The view to send to a node now, with its quota grants.
+     *
+     * @param memberCount number of registered nodes: if fewer than half of them have reported, nothing is merged;
+     *     if not all have, the calls of the others are extrapolated
+     */
+    public FleetView viewFor(String node, int memberCount, long now) {
+        merge(memberCount, now);
+        Map<String, ZoneLoad> zones = new TreeMap<>();
+        mergedZones.forEach((zone, m) -> zones.put(zone, m.load));
+        Map<String, Double> grants = new TreeMap<>();
+        ReceivedReport lastReport = reportsByNode.get(node);
+        if (lastReport != null && now >= grantsAllowedFrom && !mergedZones.isEmpty()) {
+            lastReport.report.spillDemand().forEach((zone, callsPerSecond) -> {
+                MergedZone mergedZone = mergedZones.get(zone);
+                if (callsPerSecond > 0 && mergedZone != null) {
+                    grants.put(zone, quotaAllocator.grant(node, zone, headroom(mergedZone), now));
+                }
+            });
+        }
+        return new FleetView(
+                zones, grants, (long) (GRANT_DURATION * (1 - 2 * maxClockDrift)), reporterCount, memberCount);
+    }
+
+    /**
+     * What a zone can take beyond the calls that no quota paid for, up to the target utilization; the less,
+     * the more of its answers are late.
+     */
+    private double headroom(MergedZone mergedZone) {
+        double targetLoad = targetUtilization * mergedZone.load.capacity() * mergedZone.load.healthyFraction();
+        return Math.max(0, targetLoad - mergedZone.nonQuotaCallRate)
+                * Math.max(0, 1 - mergedZone.load.lateFraction() / maxLateFraction);
+    }
+
+    private void merge(int memberCount, long now) {
+        if (mergedAt != Long.MIN_VALUE && now - mergedAt < MERGE_INTERVAL) {
+            return;
+        }
+        mergedAt = now;
+        reportsByNode.entrySet().removeIf(entry -> {
+            boolean expired = now - entry.getValue().receivedAt > MAX_REPORT_AGE;
+            if (expired) {
+                quotaAllocator.removeNode(entry.getKey());
+            }
+            return expired;
+        });
+        reporterCount = reportsByNode.size();
+        if (reporterCount == 0 || 2 * reporterCount < memberCount) {
+            mergedZones = Map.of();
+            return;
+        }
+        targetUtilization = reportsByNode.values().stream()
+                .mapToDouble(h -> h.report.targetUtilization())
+                .min()
+                .orElse(1);
+        maxLateFraction = reportsByNode.values().stream()
+                .mapToDouble(h -> h.report.maxLateFraction())
+                .min()
+                .orElse(1);
+        Map<String, MergedZone> nextZones = new LinkedHashMap<>();
+        reportsByNode.values().stream()
+                .flatMap(h -> h.report.zones().keySet().stream())
+                .distinct()
+                .sorted()
+                .forEach(zone ->
+                        nextZones.put(zone, merge(zone, Math.max(1, (double) memberCount / reporterCount), now)));
+        mergedZones = nextZones;
+    }
+
+    private MergedZone merge(String zone, double scale, long now) {
+        double[] capacities = reportsByNode.values().stream()
+                .map(h -> h.report.zones().get(zone))
+                .mapToDouble(r -> r == null ? 0 : r.capacity())
+                .sorted()
+                .toArray();
+        // The median: one node with a different list must not move the figure.
+        double capacity = capacities[capacities.length / 2];
+        double observedWeight = sumOverReports(zone, ZoneLoadReport::observedWeight);
+        double attemptRate = sumOverReports(zone, ZoneLoadReport::attemptRate);
+        double healthyFraction = capacity <= 0
+                ? 0
+                : observedWeight <= 0 ? 1 : 1 - sumOverReports(zone, ZoneLoadReport::failingWeight) / observedWeight;
+        double nonQuotaCallRate = scale * sumOverReports(zone, ZoneLoadReport::nonQuotaCallRate);
+        double healthyCapacity = capacity * healthyFraction;
+        double utilization = healthyCapacity <= 0 ? 0 : nonQuotaCallRate / healthyCapacity;
+        // A node that does not report has no grant either, so this part is not extrapolated.
+        double totalUtilization = healthyCapacity <= 0
+                ? 0
+                : utilization + sumOverReports(zone, ZoneLoadReport::quotaCallRate) / healthyCapacity;
+        long maxReportAge = reportsByNode.values().stream()
+                .mapToLong(h -> now - h.receivedAt)
+                .max()
+                .orElse(0);
+        return new MergedZone(
+                new ZoneLoad(
+                        healthyFraction,
+                        utilization,
+                        totalUtilization,
+                        LocalZoneHealth.lateFraction(sumOverReports(zone, ZoneLoadReport::lateRate), attemptRate),
+                        capacity,
+                        maxReportAge),
+                nonQuotaCallRate);
+    }
+
+    private double sumOverReports(String zone, ToDoubleFunction<ZoneLoadReport> metric) {
+        return reportsByNode.values().stream()
+                .map(h -> h.report.zones().get(zone))
+                .mapToDouble(r -> r == null ? 0 : metric.applyAsDouble(r))
+                .sum();
+    }
+
+    /** The present load of zones, for display; empty if too few nodes have reported. */
+    public Map<String, ZoneLoad> zoneLoads(int memberCount, long now) {
+        merge(memberCount, now);
+        Map<String, ZoneLoad> zones = new TreeMap<>();
+        mergedZones.forEach((zone, m) -> zones.put(zone, m.load));
+        return zones;
+    }
+
+    /**
+     * What all nodes together may be sending to the zone now by their grants, at most, in calls per second.
+     */
+    public double outstandingGrants(String zone, long now) {
+        return quotaAllocator.outstanding(zone, now);
+    }
+}
--- a/fleet/src/main/java/weldhitch/fleet/locality/Placed.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneSelection.java
@@ -3,30 +3,30 @@
 import java.util.List;
 
 /** The zones that a request may go to by its rule. Belongs to one request; not thread-safe. */
-public final class Placed {
-    private final Spillover by;
-    private final int step;
+public final class ZoneSelection {
+    private final Spillover spillover;
+    private final int priorityLevel;
     private final List<String> zones;
-    private boolean paid;
+    private boolean paidByToken;
 
-    Placed(Spillover by, int step, List<String> zones, boolean paid) {
-        this.by = by;
-        this.step = step;
+    ZoneSelection(Spillover spillover, int priorityLevel, List<String> zones, boolean paidByToken) {
+        this.spillover = spillover;
+        this.priorityLevel = priorityLevel;
         this.zones = zones;
-        this.paid = paid;
+        this.paidByToken = paidByToken;
     }
 
     /** The state of the rule that made this selection. */
-    Spillover by() {
-        return by;
+    Spillover spillover() {
+        return spillover;
     }
 
     /**
      * The priority level, counted from 0; below 0 if the request may go nowhere, past the last level if it
      * may go to any zone of the rule.
      */
-    public int step() {
-        return step;
+    public int priorityLevel() {
+        return priorityLevel;
     }
 
     /** The zones that the request may be sent to; empty for none. */
@@ -35,9 +35,9 @@
     }
 
     /** Whether the attempt sent now is paid for by a token: true once, as the selection took one token. */
-    boolean pays() {
-        boolean pays = paid;
-        paid = false;
-        return pays;
+    boolean claimTokenPayment() {
+        boolean claimed = paidByToken;
+        paidByToken = false;
+        return claimed;
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/member/Bundles.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/BundleDigest.java
@@ -8,8 +8,8 @@
  * Digests of bundles, by which members and coordinators identify the contents of a version. Stateless and
  * thread-safe.
  */
-public final class Bundles {
-    private Bundles() {}
+public final class BundleDigest {
+    private BundleDigest() {}
 
     /** The SHA-256 of a bundle, in hex. */
     public static String sha256(byte[] bundle) {
--- a/fleet/src/main/java/weldhitch/fleet/member/Stewards.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/CoordinatorClient.java
@@ -11,43 +11,44 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 import java.util.List;
-import weldhitch.fleet.activation.MemberCall;
-import weldhitch.fleet.activation.MemberReply;
+import weldhitch.fleet.activation.MemberHeartbeat;
 import weldhitch.fleet.activation.MemberRequest;
-import weldhitch.fleet.locality.NodeReport;
+import weldhitch.fleet.activation.MemberResponse;
+import weldhitch.fleet.locality.NodeLoadReport;
 
 /**
  * Client of the coordinators over HTTP/1.1; {@link FleetMember} owns one. Its calls block, so it must not be
  * used on an event loop. Not thread-safe: it belongs to the member's thread, and after that has ended to
  * whoever closes the member.
  */
-final class Stewards {
-    private static final int MOST_BYTES = 512 << 10;
-    static final ObjectMapper JSON = new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
+final class CoordinatorClient {
+    private static final int MAX_RESPONSE_BYTES = 512 << 10;
+    static final ObjectMapper JSON =
+            MemberJson.register(new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES));
 
-    private final HttpClient client = HttpClient.newBuilder()
+    private final HttpClient httpClient = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofMillis(500))
             .build();
     private final String cluster;
     private final List<InetSocketAddress> addresses;
-    private int at;
+    private int currentIndex;
 
     /** Creates a client that starts with the coordinator at position {@code first}, modulo their number. */
-    Stewards(String cluster, List<InetSocketAddress> addresses, int first) {
+    CoordinatorClient(String cluster, List<InetSocketAddress> addresses, int firstIndex) {
         this.cluster = cluster;
         this.addresses = addresses;
-        at = first % addresses.size();
+        currentIndex = firstIndex % addresses.size();
     }
 
     /** Makes further calls go to the next coordinator. */
-    void another() {
-        at = (at + 1) % addresses.size();
+    void switchToNext() {
+        currentIndex = (currentIndex + 1) % addresses.size();
     }
 
     /** The address of the coordinator that calls go to now, as host:port. */
-    String address() {
-        InetSocketAddress address = addresses.get(at);
+    String currentAddress() {
+        InetSocketAddress address = addresses.get(currentIndex);
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -60,30 +61,31 @@
      * Sends a heartbeat and what goes with it.
      *
      * @param waitMillis how long the coordinator may wait for a change before it responds
-     * @param zones the node's zone loads, or null
-     * @param turnFrom as in {@link MemberRequest}
+     * @param loadReport the node's zone loads, or null
+     * @param ownPollDelayNanos as in {@link MemberRequest}
      * @throws IOException if no readable response came in time; the message says what was received instead
      */
-    MemberReply call(MemberCall call, long waitMillis, NodeReport zones, long turnFrom)
+    MemberResponse sendHeartbeat(
+            MemberHeartbeat heartbeat, long waitMillis, NodeLoadReport loadReport, long ownPollDelayNanos)
             throws IOException, InterruptedException {
-        HttpResponse<InputStream> response = client.send(
-                HttpRequest.newBuilder(URI.create("http://" + address() + "/v1/member"))
+        HttpResponse<InputStream> httpResponse = httpClient.send(
+                HttpRequest.newBuilder(URI.create("http://" + currentAddress() + "/v1/member"))
                         .timeout(Duration.ofMillis(waitMillis + 800))
                         .header("Content-Type", "application/json")
-                        .POST(HttpRequest.BodyPublishers.ofByteArray(
-                                JSON.writeValueAsBytes(new MemberRequest(cluster, waitMillis, call, zones, turnFrom))))
+                        .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(
+                                new MemberRequest(cluster, waitMillis, heartbeat, loadReport, ownPollDelayNanos))))
                         .build(),
                 HttpResponse.BodyHandlers.ofInputStream());
-        byte[] body = read(response);
-        if (response.statusCode() != 200) {
-            throw new IOException(address() + " answered " + response.statusCode() + " "
+        byte[] body = readBody(httpResponse);
+        if (httpResponse.statusCode() != 200) {
+            throw new IOException(currentAddress() + " answered " + httpResponse.statusCode() + " "
                     + new String(body, 0, Math.min(body.length, 300), java.nio.charset.StandardCharsets.UTF_8));
         }
-        MemberReply reply = JSON.readValue(body, MemberReply.class);
-        if (reply.answer() == null) {
-            throw new IOException(address() + " answered without an answer: is it of this version?");
+        MemberResponse memberResponse = JSON.readValue(body, MemberResponse.class);
+        if (memberResponse.heartbeat() == null) {
+            throw new IOException(currentAddress() + " answered without an answer: is it of this version?");
         }
-        return reply;
+        return memberResponse;
     }
 
     /**
@@ -91,25 +93,25 @@
      *
      * @throws IOException if no response came in time, or the coordinator does not have the version
      */
-    byte[] bundle(long number) throws IOException, InterruptedException {
-        HttpResponse<InputStream> response = client.send(
-                HttpRequest.newBuilder(URI.create("http://" + address() + "/v1/bundle/" + number))
+    byte[] fetchBundle(long versionNumber) throws IOException, InterruptedException {
+        HttpResponse<InputStream> response = httpClient.send(
+                HttpRequest.newBuilder(URI.create("http://" + currentAddress() + "/v1/bundle/" + versionNumber))
                         .timeout(Duration.ofMillis(2000))
                         .GET()
                         .build(),
                 HttpResponse.BodyHandlers.ofInputStream());
-        byte[] body = read(response);
+        byte[] body = readBody(response);
         if (response.statusCode() != 200) {
-            throw new IOException(address() + " has no version " + number);
+            throw new IOException(currentAddress() + " has no version " + versionNumber);
         }
         return body;
     }
 
-    private static byte[] read(HttpResponse<InputStream> response) throws IOException {
+    private static byte[] readBody(HttpResponse<InputStream> response) throws IOException {
         try (InputStream in = response.body()) {
-            byte[] body = in.readNBytes(MOST_BYTES + 1);
-            if (body.length > MOST_BYTES) {
-                throw new IOException("an answer of more than " + MOST_BYTES + " bytes");
+            byte[] body = in.readNBytes(MAX_RESPONSE_BYTES + 1);
+            if (body.length > MAX_RESPONSE_BYTES) {
+                throw new IOException("an answer of more than " + MAX_RESPONSE_BYTES + " bytes");
             }
             return body;
         }
