--- a/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
@@ -7,17 +7,17 @@
 import java.util.TreeMap;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
-import weldhitch.fleet.activation.MemberAnswer;
-import weldhitch.fleet.activation.MemberCore;
-import weldhitch.fleet.activation.MemberReply;
-import weldhitch.fleet.activation.Standing;
-import weldhitch.fleet.activation.Timing;
-import weldhitch.fleet.activation.Version;
+import weldhitch.fleet.activation.ActivationParticipant;
+import weldhitch.fleet.activation.ActiveVersions;
+import weldhitch.fleet.activation.LeaseTiming;
+import weldhitch.fleet.activation.MemberHeartbeatResponse;
+import weldhitch.fleet.activation.MemberResponse;
+import weldhitch.fleet.activation.RouteVersion;
 import weldhitch.fleet.error.FleetError;
 import weldhitch.fleet.locality.FleetView;
-import weldhitch.fleet.locality.NodeReport;
-import weldhitch.fleet.table.Tables;
-import weldhitch.fleet.table.Tables.Table;
+import weldhitch.fleet.locality.NodeLoadReport;
+import weldhitch.fleet.table.VersionedTables;
+import weldhitch.fleet.table.VersionedTables.Table;
 
 /**
  * A running fleet member. One thread calls the coordinators, builds the tables of versions and publishes the
@@ -28,7 +28,7 @@
  */
 public final class FleetMember<T> implements AutoCloseable {
     /** Builds the tables of versions; called on the member's thread. */
-    public interface Builder<T> {
+    public interface TableBuilder<T> {
         /**
          * Builds a version's table; may block.
          *
@@ -40,96 +40,97 @@
     }
 
     /** Supplies zone load reports and receives the fleet's view of zones; called on the member's thread. */
-    public interface Zones {
+    public interface ZoneLoadExchange {
         /** The report to send now; null if there are no locality rules. */
-        NodeReport report();
+        NodeLoadReport loadReport();
 
         /**
          * Handles the coordinators' response to a heartbeat sent at {@code sentAt} of {@link
          * System#nanoTime}.
          */
-        void heard(FleetView view, long sentAt);
+        void onFleetView(FleetView view, long sentAt);
     }
 
     /** Polls a discovery service that all nodes share, in assigned slots; called on the member's thread. */
-    public interface ListTurns {
+    public interface ListPoller {
         /** If it waits to poll: how long it would still wait by itself, in nanoseconds; else below 0. */
-        long wantedIn();
+        long ownPollDelayNanos();
 
         /** Assigns the poll slot, by {@link System#nanoTime}. */
-        void turn(long at);
+        void assignPollTime(long at);
     }
 
-    private static final long MILLI = 1_000_000L;
-    private static final long WATCH_MS = 500;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long LONG_POLL_MILLIS = 500;
     /**
      * Shorter than {@code LONG_POLL_MILLIS}: with locality rules, quota grants depend on how often reports
      * and views are exchanged.
      */
-    private static final long ZONES_WATCH_MS = 200;
+    private static final long LOCALITY_LONG_POLL_MILLIS = 200;
 
-    private static final long SHORTEST_ROUND = 40 * MILLI;
-    private static final long PAUSE = 150 * MILLI;
-    private static final long FIRST_WORD = 3000 * MILLI;
+    private static final long MIN_HEARTBEAT_INTERVAL = 40 * NANOS_PER_MILLI;
+    private static final long RETRY_DELAY = 150 * NANOS_PER_MILLI;
+    private static final long INITIAL_UNREACHABLE_LOG_DELAY = 3000 * NANOS_PER_MILLI;
 
-    private final String name;
-    private final Stewards stewards;
-    private final MemberCore core;
-    private final Builder<T> builder;
+    private final String memberName;
+    private final CoordinatorClient coordinators;
+    private final ActivationParticipant participant;
+    private final TableBuilder<T> tableBuilder;
     private final Consumer<String> log;
-    private final Zones zones;
-    private final ListTurns turns;
-    private final Tables<T> tables;
-    private final Map<Long, Table<T>> built = new TreeMap<>();
+    private final ZoneLoadExchange zoneLoadExchange;
+    private final ListPoller listPoller;
+    private final VersionedTables<T> tables;
+    private final Map<Long, Table<T>> builtTables = new TreeMap<>();
     private final Thread thread;
-    private volatile boolean ending;
-    private long heardAt = System.nanoTime();
-    private long nextWord = FIRST_WORD;
-    private boolean saidDoubt;
+    private volatile boolean closing;
+    private long lastLeaderResponseAt = System.nanoTime();
+    private long unreachableLogDelay = INITIAL_UNREACHABLE_LOG_DELAY;
+    private boolean rejectionLogged;
     /**
      * The number of the version that was rejected last: it is not built again for each response that names
      * it.
      */
-    private long refused;
+    private long rejectedVersion;
 
     /**
      * Starts the member's thread, which begins to call the coordinators.
      *
      * @param member the name that identifies this node to the coordinators
      * @param incarnation new with each start of the process
-     * @param first the table of version 0, the node's own file
-     * @param builder builds the tables of the other versions
-     * @param zones exchanges zone loads
-     * @param turns polls the discovery service
+     * @param ownContent the table of version 0, the node's own file
+     * @param tableBuilder builds the tables of the other versions
+     * @param zoneLoadExchange exchanges zone loads
+     * @param listPoller polls the discovery service
      * @param log receives log lines; called on the member's thread
      */
     public FleetMember(
             FleetSettings settings,
             String member,
             String incarnation,
-            T first,
-            Builder<T> builder,
-            Zones zones,
-            ListTurns turns,
+            T ownContent,
+            TableBuilder<T> tableBuilder,
+            ZoneLoadExchange zoneLoadExchange,
+            ListPoller listPoller,
             Consumer<String> log) {
-        this.zones = zones;
-        this.turns = turns;
-        name = member;
-        this.builder = builder;
+        this.zoneLoadExchange = zoneLoadExchange;
+        this.listPoller = listPoller;
+        memberName = member;
+        this.tableBuilder = tableBuilder;
         this.log = log;
-        stewards =
-                new Stewards(settings.cluster(), settings.stewards(), Math.floorMod(incarnation.hashCode(), 1 << 20));
-        core = new MemberCore(member, incarnation, Timing.USUAL.drift(), settings.fenceBeforeJoin());
-        Table<T> own = new Table<>(0, first);
-        built.put(0L, own);
-        tables = new Tables<>(core.standing(System.nanoTime()), own);
+        coordinators = new CoordinatorClient(
+                settings.cluster(), settings.coordinators(), Math.floorMod(incarnation.hashCode(), 1 << 20));
+        participant = new ActivationParticipant(
+                member, incarnation, LeaseTiming.DEFAULT.maxClockDrift(), settings.fenceBeforeJoin());
+        Table<T> ownTable = new Table<>(0, ownContent);
+        builtTables.put(0L, ownTable);
+        tables = new VersionedTables<>(participant.activeVersions(System.nanoTime()), ownTable);
         thread = new Thread(this::run, "fleet");
         thread.setDaemon(true);
         thread.start();
     }
 
     /** The tables that requests enter. */
-    public Tables<T> tables() {
+    public VersionedTables<T> tables() {
         return tables;
     }
 
@@ -137,108 +138,114 @@
      * Replaces the table of version 0; versions that the fleet has committed stay active. Blocks on a lock,
      * so it must not be called on an event loop.
      */
-    public void own(T next) {
+    public void replaceOwnTable(T newContent) {
         synchronized (this) {
-            built.put(0L, new Table<>(0, next));
+            builtTables.put(0L, new Table<>(0, newContent));
             publish();
         }
     }
 
     private void run() {
-        while (!ending) {
-            long began = System.nanoTime();
+        while (!closing) {
+            long startedAt = System.nanoTime();
             try {
-                round();
+                exchangeHeartbeat();
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
                 // A failure here must not affect requests: the active version stays active.
                 log.accept("fleet: " + e);
-                LockSupport.parkNanos(PAUSE);
+                LockSupport.parkNanos(RETRY_DELAY);
             }
-            long left = SHORTEST_ROUND - (System.nanoTime() - began);
-            if (left > 0) {
-                LockSupport.parkNanos(left);
+            long remaining = MIN_HEARTBEAT_INTERVAL - (System.nanoTime() - startedAt);
+            if (remaining > 0) {
+                LockSupport.parkNanos(remaining);
             }
         }
     }
 
-    private void round() throws InterruptedException {
-        weldhitch.fleet.activation.MemberCall call;
+    private void exchangeHeartbeat() throws InterruptedException {
+        weldhitch.fleet.activation.MemberHeartbeat heartbeat;
         long sentAt;
         synchronized (this) {
             sentAt = System.nanoTime();
-            call = core.call(sentAt);
+            heartbeat = participant.heartbeat(sentAt);
             publish();
         }
-        MemberAnswer answer;
+        MemberHeartbeatResponse heartbeatResponse;
         try {
-            NodeReport report = zones.report();
-            long turn = turns.wantedIn();
-            MemberReply reply =
-                    stewards.call(call, turn >= 0 ? 0 : report == null ? WATCH_MS : ZONES_WATCH_MS, report, turn);
-            answer = reply.answer();
-            if (turn >= 0 && reply.turnIn() >= 0) {
-                turns.turn(System.nanoTime() + reply.turnIn());
+            NodeLoadReport loadReport = zoneLoadExchange.loadReport();
+            long ownPollDelayNanos = listPoller.ownPollDelayNanos();
+            MemberResponse response = coordinators.sendHeartbeat(
+                    heartbeat,
+                    ownPollDelayNanos >= 0 ? 0 : loadReport == null ? LONG_POLL_MILLIS : LOCALITY_LONG_POLL_MILLIS,
+                    loadReport,
+                    ownPollDelayNanos);
+            heartbeatResponse = response.heartbeat();
+            if (ownPollDelayNanos >= 0 && response.pollSlotDelayNanos() >= 0) {
+                listPoller.assignPollTime(System.nanoTime() + response.pollSlotDelayNanos());
             }
-            if (reply.zones() != null) {
-                zones.heard(reply.zones(), sentAt);
+            if (response.fleetView() != null) {
+                zoneLoadExchange.onFleetView(response.fleetView(), sentAt);
             }
         } catch (IOException | RuntimeException e) {
-            unheard(e);
+            onNoLeaderResponse(e);
             return;
         }
-        if (!answer.leader()) {
+        if (!heartbeatResponse.fromLeader()) {
             synchronized (this) {
-                todo(core.answered(sentAt, System.nanoTime(), answer));
+                applyEffects(participant.onResponse(sentAt, System.nanoTime(), heartbeatResponse));
             }
-            unheard(null);
+            onNoLeaderResponse(null);
             return;
         }
-        heardAt = System.nanoTime();
-        if (nextWord != FIRST_WORD) {
+        lastLeaderResponseAt = System.nanoTime();
+        if (unreachableLogDelay != INITIAL_UNREACHABLE_LOG_DELAY) {
             log.accept("fleet: stewards answer again");
-            nextWord = FIRST_WORD;
+            unreachableLogDelay = INITIAL_UNREACHABLE_LOG_DELAY;
         }
         synchronized (this) {
-            todo(core.answered(sentAt, System.nanoTime(), answer));
+            applyEffects(participant.onResponse(sentAt, System.nanoTime(), heartbeatResponse));
         }
-        Version wanted = core.wanted();
-        if (wanted != null && wanted.number() != refused && !built.containsKey(wanted.number())) {
-            prepare(wanted);
+        RouteVersion targetVersion = participant.versionToPrepare();
+        if (targetVersion != null
+                && targetVersion.number() != rejectedVersion
+                && !builtTables.containsKey(targetVersion.number())) {
+            prepare(targetVersion);
         }
     }
 
-    private void unheard(Exception why) {
-        stewards.another();
+    private void onNoLeaderResponse(Exception cause) {
+        coordinators.switchToNext();
         long now = System.nanoTime();
-        if (now - heardAt > nextWord) {
-            nextWord = 2 * (now - heardAt);
+        if (now - lastLeaderResponseAt > unreachableLogDelay) {
+            unreachableLogDelay = 2 * (now - lastLeaderResponseAt);
             log.accept("fleet: "
-                    + new FleetError.StewardUnreachable(
-                                    name, List.of(why == null ? "none leads" : String.valueOf(why.getMessage())))
-                            .text());
+                    + new FleetError.CoordinatorUnreachable(
+                                    memberName,
+                                    List.of(cause == null ? "none leads" : String.valueOf(cause.getMessage())))
+                            .message());
         }
         synchronized (this) {
-            Standing standing = core.standing(now);
-            boolean doubt = standing.doubtAt(now) || standing.fencedAt(now);
-            if (doubt && !saidDoubt) {
+            ActiveVersions activeVersions = participant.activeVersions(now);
+            boolean rejecting = activeVersions.isInDoubtAt(now) || activeVersions.isFencedAt(now);
+            if (rejecting && !rejectionLogged) {
                 log.accept("fleet: "
-                        + (standing.fencedAt(now)
-                                        ? new FleetError.NotJoined(name)
-                                        : new FleetError.InDoubt(standing.next(), name))
-                                .text());
+                        + (activeVersions.isFencedAt(now)
+                                        ? new FleetError.NotJoined(memberName)
+                                        : new FleetError.InDoubt(activeVersions.next(), memberName))
+                                .message());
             }
-            saidDoubt = doubt;
+            rejectionLogged = rejecting;
         }
-        LockSupport.parkNanos(PAUSE);
+        LockSupport.parkNanos(RETRY_DELAY);
     }
 
-    private void prepare(Version version) throws InterruptedException {
+    private void prepare(RouteVersion version) throws InterruptedException {
         synchronized (this) {
-            if (!tables.room()) {
-                log.accept("fleet: version " + version.number() + " waits: requests still read " + Tables.MOST
-                        + " tables");
+            if (!tables.canAddTable()) {
+                log.accept("fleet: version " + version.number() + " waits: requests still read "
+                        + VersionedTables.MAX_LIVE_TABLES + " tables");
                 return;
             }
         }
@@ -246,12 +253,12 @@
         List<String> errors = new ArrayList<>();
         T content = null;
         try {
-            byte[] bundle = stewards.bundle(version.number());
-            if (!Bundles.sha256(bundle).equals(version.sha256())) {
-                throw new IOException("what " + stewards.address() + " gave for version " + version.number()
+            byte[] bundle = coordinators.fetchBundle(version.number());
+            if (!BundleDigest.sha256(bundle).equals(version.sha256())) {
+                throw new IOException("what " + coordinators.currentAddress() + " gave for version " + version.number()
                         + " is not what was decided");
             }
-            content = builder.build(file, bundle, errors::add);
+            content = tableBuilder.build(file, bundle, errors::add);
         } catch (IOException e) {
             // Requested again in the next round.
             log.accept("fleet: " + e.getMessage());
@@ -261,31 +268,34 @@
         }
         synchronized (this) {
             if (content != null && errors.isEmpty()) {
-                built.put(version.number(), new Table<>(version.number(), content));
+                builtTables.put(version.number(), new Table<>(version.number(), content));
             } else {
-                refused = version.number();
+                rejectedVersion = version.number();
             }
-            todo(core.prepared(System.nanoTime(), version.number(), errors));
+            applyEffects(participant.onPrepared(System.nanoTime(), version.number(), errors));
         }
     }
 
     /** Carries out the effects. The caller holds this object's lock. */
-    private void todo(List<MemberCore.Todo> todo) {
-        for (MemberCore.Todo each : todo) {
-            if (each instanceof MemberCore.Say say) {
-                log.accept("fleet: generation=" + core.generation() + " " + say.event());
-            } else if (each instanceof MemberCore.Keep keep) {
-                built.keySet().removeIf(number -> number != 0 && !keep.numbers().contains(number));
+    private void applyEffects(List<ActivationParticipant.Effect> effects) {
+        for (ActivationParticipant.Effect effect : effects) {
+            if (effect instanceof ActivationParticipant.LogEvent logEvent) {
+                log.accept("fleet: generation=" + participant.generation() + " " + logEvent.message());
+            } else if (effect instanceof ActivationParticipant.RetainTables retain) {
+                builtTables
+                        .keySet()
+                        .removeIf(versionNumber ->
+                                versionNumber != 0 && !retain.versionNumbers().contains(versionNumber));
             }
         }
         publish();
     }
 
     private void publish() {
-        Standing standing = core.standing(System.nanoTime());
-        Table<T> current = built.get(standing.current());
-        Table<T> next = standing.next() == null ? null : built.get(standing.next());
-        tables.publish(standing, current, next);
+        ActiveVersions activeVersions = participant.activeVersions(System.nanoTime());
+        Table<T> current = builtTables.get(activeVersions.current());
+        Table<T> next = activeVersions.next() == null ? null : builtTables.get(activeVersions.next());
+        tables.publish(activeVersions, current, next);
     }
 
     /**
@@ -294,23 +304,24 @@
      */
     @Override
     public void close() {
-        ending = true;
+        closing = true;
         thread.interrupt();
         try {
             thread.join(1000);
-            core.leave();
-            for (int i = 0; i < stewards.count(); i++) {
+            participant.startLeaving();
+            for (int i = 0; i < coordinators.count(); i++) {
                 try {
-                    if (stewards.call(core.call(System.nanoTime()), 0, null, -1)
-                            .answer()
-                            .leader()) {
+                    if (coordinators
+                            .sendHeartbeat(participant.heartbeat(System.nanoTime()), 0, null, -1)
+                            .heartbeat()
+                            .fromLeader()) {
                         return;
                     }
                 } catch (IOException e) {
                     // Try the next one; if none can be reached, the coordinators will report this member as
                     // absent.
                 }
-                stewards.another();
+                coordinators.switchToNext();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- /dev/null
+++ b/fleet/src/main/java/weldhitch/fleet/member/MemberJson.java
@@ -0,0 +1,179 @@
+package weldhitch.fleet.member;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.util.List;
+import java.util.Map;
+import weldhitch.fleet.activation.ActivationOutcome;
+import weldhitch.fleet.activation.MemberHeartbeat;
+import weldhitch.fleet.activation.MemberHeartbeatResponse;
+import weldhitch.fleet.activation.MemberRequest;
+import weldhitch.fleet.activation.MemberResponse;
+import weldhitch.fleet.activation.RouteVersion;
+import weldhitch.fleet.locality.FleetView;
+import weldhitch.fleet.locality.NodeLoadReport;
+import weldhitch.fleet.locality.ZoneLoadReport;
+
+/**
+ * The JSON names of what members and coordinators send each other. They are data: half of a fleet may run another version, so they
+ * stay as they are where a component in code is called otherwise. Both sides register them; a name that only one side knew would
+ * be read as absent.
+ */
+public final class MemberJson {
+    private MemberJson() {}
+
+    /** Teaches a mapper the names on the wire. */
+    public static ObjectMapper register(ObjectMapper mapper) {
+        mapper.addMixIn(MemberRequest.class, MemberRequestNames.class);
+        mapper.addMixIn(MemberResponse.class, MemberResponseNames.class);
+        mapper.addMixIn(MemberHeartbeat.class, MemberHeartbeatNames.class);
+        mapper.addMixIn(MemberHeartbeatResponse.class, MemberHeartbeatResponseNames.class);
+        mapper.addMixIn(ActivationOutcome.class, ActivationOutcomeNames.class);
+        mapper.addMixIn(NodeLoadReport.class, NodeLoadReportNames.class);
+        mapper.addMixIn(ZoneLoadReport.class, ZoneLoadReportNames.class);
+        mapper.addMixIn(FleetView.class, FleetViewNames.class);
+        mapper.addMixIn(FleetView.ZoneLoad.class, ZoneLoadNames.class);
+        return mapper;
+    }
+
+    private interface MemberRequestNames {
+        @JsonProperty("call")
+        MemberHeartbeat heartbeat();
+
+        @JsonProperty("zones")
+        NodeLoadReport loadReport();
+
+        @JsonProperty("turnFrom")
+        long ownPollDelayNanos();
+    }
+
+    private interface MemberResponseNames {
+        @JsonProperty("answer")
+        MemberHeartbeatResponse heartbeat();
+
+        @JsonProperty("zones")
+        FleetView fleetView();
+
+        @JsonProperty("turnIn")
+        long pollSlotDelayNanos();
+    }
+
+    private interface MemberHeartbeatNames {
+        @JsonProperty("voted")
+        long votedVersion();
+
+        @JsonProperty("yes")
+        boolean prepared();
+
+        @JsonProperty("noes")
+        List<String> rejectionReasons();
+
+        @JsonProperty("leaves")
+        boolean leaving();
+    }
+
+    private interface MemberHeartbeatResponseNames {
+        @JsonProperty("leader")
+        boolean fromLeader();
+
+        @JsonProperty("hint")
+        String leaderHint();
+
+        @JsonProperty("lease")
+        boolean leaseGranted();
+
+        @JsonProperty("leaseSpan")
+        long leaseDuration();
+
+        @JsonProperty("clock")
+        String clockId();
+
+        @JsonProperty("now")
+        long clockReading();
+
+        @JsonProperty("error")
+        long clockError();
+
+        @JsonProperty("inForce")
+        RouteVersion activeVersion();
+
+        @JsonProperty("pending")
+        RouteVersion pendingVersion();
+
+        @JsonProperty("fenced")
+        boolean leaseRequired();
+    }
+
+    private interface ActivationOutcomeNames {
+        @JsonProperty("number")
+        long version();
+
+        @JsonProperty("commit")
+        boolean committed();
+
+        @JsonProperty("clock")
+        String clockId();
+
+        @JsonProperty("moment")
+        long activationTime();
+    }
+
+    private interface NodeLoadReportNames {
+        @JsonProperty("target")
+        double targetUtilization();
+
+        @JsonProperty("mostLate")
+        double maxLateFraction();
+
+        @JsonProperty("wants")
+        Map<String, Double> spillDemand();
+    }
+
+    private interface ZoneLoadReportNames {
+        @JsonProperty("calls")
+        double nonQuotaCallRate();
+
+        @JsonProperty("paid")
+        double quotaCallRate();
+
+        @JsonProperty("tried")
+        double observedWeight();
+
+        @JsonProperty("failing")
+        double failingWeight();
+
+        @JsonProperty("attempts")
+        double attemptRate();
+
+        @JsonProperty("late")
+        double lateRate();
+    }
+
+    private interface FleetViewNames {
+        @JsonProperty("grantSpan")
+        long grantDuration();
+
+        @JsonProperty("reporters")
+        int reporterCount();
+
+        @JsonProperty("members")
+        int memberCount();
+    }
+
+    private interface ZoneLoadNames {
+        @JsonProperty("healthy")
+        double healthyFraction();
+
+        @JsonProperty("use")
+        double utilization();
+
+        @JsonProperty("load")
+        double totalUtilization();
+
+        @JsonProperty("late")
+        double lateFraction();
+
+        @JsonProperty("age")
+        long ageNanos();
+    }
+}
--- a/fleet/src/main/java/weldhitch/fleet/table/Tables.java
+++ b/fleet/src/main/java/weldhitch/fleet/table/VersionedTables.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import weldhitch.fleet.activation.Standing;
+import weldhitch.fleet.activation.ActiveVersions;
 
 /**
  * The route tables that requests are decided by. Any thread enters a table by a load and a count and leaves
@@ -17,12 +17,12 @@
  *
  * @param <T> the contents of a table
  */
-public final class Tables<T> {
+public final class VersionedTables<T> {
     /**
      * The largest number of tables alive at once: the active one, the next one, and one that old requests
      * still read.
      */
-    public static final int MOST = 3;
+    public static final int MAX_LIVE_TABLES = 3;
 
     /** One version's table and the count of its readers. Thread-safe. */
     public static final class Table<T> {
@@ -49,19 +49,19 @@
 
     /** The tables that are valid until the next publication. Immutable. */
     public static final class View<T> {
-        private final Standing standing;
+        private final ActiveVersions activeVersions;
         private final Table<T> current;
         private final Table<T> next;
 
-        View(Standing standing, Table<T> current, Table<T> next) {
-            this.standing = standing;
+        View(ActiveVersions activeVersions, Table<T> current, Table<T> next) {
+            this.activeVersions = activeVersions;
             this.current = current;
             this.next = next;
         }
 
         /** The versions and the times by which one of the tables is chosen. */
-        public Standing standing() {
-            return standing;
+        public ActiveVersions activeVersions() {
+            return activeVersions;
         }
 
         /** The table of the current version. */
@@ -74,11 +74,11 @@
             return next;
         }
 
-        Table<T> at(long now) {
-            return next != null && now >= standing.switchAt() ? next : current;
+        Table<T> tableAt(long now) {
+            return next != null && now >= activeVersions.switchAt() ? next : current;
         }
 
-        boolean holds(Table<T> table) {
+        boolean contains(Table<T> table) {
             return table == current || table == next;
         }
     }
@@ -87,7 +87,7 @@
 
     static {
         try {
-            VIEW = MethodHandles.lookup().findVarHandle(Tables.class, "view", View.class);
+            VIEW = MethodHandles.lookup().findVarHandle(VersionedTables.class, "view", View.class);
         } catch (ReflectiveOperationException e) {
             throw new ExceptionInInitializerError(e);
         }
@@ -95,12 +95,12 @@
 
     private volatile View<T> view;
     /** Belongs to the publishing thread. */
-    private final List<Table<T>> alive = new ArrayList<>();
+    private final List<Table<T>> liveTables = new ArrayList<>();
 
     /** Creates the tables with one that is active. */
-    public Tables(Standing standing, Table<T> first) {
-        view = new View<>(standing, first, null);
-        alive.add(first);
+    public VersionedTables(ActiveVersions activeVersions, Table<T> first) {
+        view = new View<>(activeVersions, first, null);
+        liveTables.add(first);
     }
 
     /** The latest publication. */
@@ -114,43 +114,43 @@
      *
      * @param now nanoseconds of the clock that the published times refer to
      */
-    public Table<T> enter(long now) {
+    public Table<T> acquire(long now) {
         while (true) {
-            View<T> seen = view();
-            Table<T> table = seen.at(now);
-            count(table);
+            View<T> snapshot = view();
+            Table<T> table = snapshot.tableAt(now);
+            retain(table);
             // If the table was retired before it was counted, the publisher may already have seen it without
             // readers.
-            if (view == seen || view.holds(table)) {
+            if (view == snapshot || view.contains(table)) {
                 return table;
             }
             table.readers.decrementAndGet();
         }
     }
 
-    Table<T> count(Table<T> table) {
+    Table<T> retain(Table<T> table) {
         table.readers.incrementAndGet();
         return table;
     }
 
     /** Releases a table, as the request that entered it has ended. */
-    public void leave(Table<T> table) {
+    public void release(Table<T> table) {
         table.readers.decrementAndGet();
     }
 
     /** Makes these tables the valid ones from now on. For the publishing thread only. */
-    public void publish(Standing standing, Table<T> current, Table<T> next) {
-        add(current);
+    public void publish(ActiveVersions activeVersions, Table<T> current, Table<T> next) {
+        trackIfNew(current);
         if (next != null) {
-            add(next);
+            trackIfNew(next);
         }
-        view = new View<>(standing, current, next);
+        view = new View<>(activeVersions, current, next);
         retire();
     }
 
-    private void add(Table<T> table) {
-        if (!alive.contains(table)) {
-            alive.add(table);
+    private void trackIfNew(Table<T> table) {
+        if (!liveTables.contains(table)) {
+            liveTables.add(table);
         }
     }
 
@@ -159,18 +159,18 @@
      * publishing thread only.
      */
     public int retire() {
-        View<T> now = view;
-        alive.removeIf(table -> !now.holds(table) && table.readers.get() == 0);
-        return alive.size();
+        View<T> activeView = view;
+        liveTables.removeIf(table -> !activeView.contains(table) && table.readers.get() == 0);
+        return liveTables.size();
     }
 
     /** The tables that are valid or still read. For the publishing thread only. */
-    List<Table<T>> alive() {
-        return List.copyOf(alive);
+    List<Table<T>> liveTables() {
+        return List.copyOf(liveTables);
     }
 
     /** Whether a further table may be made. For the publishing thread only. */
-    public boolean room() {
-        return retire() < MOST;
+    public boolean canAddTable() {
+        return retire() < MAX_LIVE_TABLES;
     }
 }
--- /dev/null
+++ b/fleet/src/main/java/weldhitch/fleet/turns/PollSlots.java
@@ -0,0 +1,72 @@
+package weldhitch.fleet.turns;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.TreeSet;
+
+/**
+ * Assigns each node a slot in which to poll a discovery service that all nodes share. As long as there are
+ * slots, no two lie within {@link #SLOT_INTERVAL}, so that a start of hundreds of nodes, or the return of a service
+ * that all of them wait for, arrives evenly, as random times never would. The leading coordinator owns it, in
+ * memory only: a new leader does not know the slots assigned before, so while those last up to twice as many
+ * polls may arrive. Free of I/O, clocks and threads; times are nanoseconds. Not thread-safe.
+ */
+public final class PollSlots {
+    /** The distance between two slots: 33 polls a second. */
+    public static final long SLOT_INTERVAL = 30_000_000L;
+    /**
+     * The largest delay of a slot after the time it was requested for: all nodes must have a list within 10 s
+     * of the service's return.
+     */
+    public static final long MAX_DELAY = 8_000_000_000L;
+    /** How long a node that requests again gets the same slot, as the response may have been lost. */
+    private static final long REASSIGN_WINDOW = 500_000_000L;
+
+    /** The slot of one node, and when it was requested. */
+    private record SlotAssignment(long at, long requestedAt) {}
+
+    private final Map<String, SlotAssignment> assignments = new HashMap<>();
+    /** The assigned slots, numbered from time 0. */
+    private final TreeSet<Long> reservedSlots = new TreeSet<>();
+
+    private long overflowCount;
+
+    /**
+     * Assigns a slot to a node.
+     *
+     * @param node name and incarnation
+     * @param now the coordinator's time
+     * @param notBefore how long from now the node would wait by itself, 0 or more
+     * @return how long the node has to wait from now: from {@code notBefore} to {@link #MAX_DELAY} and one slot
+     *     more
+     */
+    public long assign(String node, long now, long notBefore) {
+        assignments.values().removeIf(g -> g.at < now - REASSIGN_WINDOW);
+        reservedSlots.headSet(Math.floorDiv(now, SLOT_INTERVAL)).clear();
+        SlotAssignment previous = assignments.get(node);
+        if (previous != null && now - previous.requestedAt < REASSIGN_WINDOW && previous.at >= now + notBefore) {
+            return previous.at - now;
+        }
+        long firstSlot = Math.floorDiv(now + notBefore + SLOT_INTERVAL - 1, SLOT_INTERVAL);
+        long slot = firstSlot;
+        for (Long reserved : reservedSlots.tailSet(firstSlot)) {
+            if (reserved != slot) {
+                break;
+            }
+            slot++;
+        }
+        if ((slot - firstSlot) * SLOT_INTERVAL > MAX_DELAY) {
+            // More nodes than slots: the first of the surplus goes half way through the period, the next two
+            // at a quarter and three quarters, and so on (bit-reversed counting).
+            slot = firstSlot
+                    + (long) (MAX_DELAY
+                            / SLOT_INTERVAL
+                            * ((Long.reverse(++overflowCount) >>> 1) / (double) Long.MAX_VALUE));
+        } else {
+            reservedSlots.add(slot);
+        }
+        long at = slot * SLOT_INTERVAL;
+        assignments.put(node, new SlotAssignment(at, now));
+        return at - now;
+    }
+}
--- a/fleet/src/test/java/weldhitch/fleet/error/FleetErrorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/error/FleetErrorTest.java
@@ -14,21 +14,21 @@
 /** The names of the kinds are data: other processes' responses, logs and the state on disk contain them. */
 class FleetErrorTest {
     private static final Map<String, FleetError> BY_TYPE = List.<FleetError>of(
-                    new FleetError.MemberAbsent(1, List.of("n1", "n2")),
+                    new FleetError.MissingVotes(1, List.of("n1", "n2")),
                     new FleetError.InDoubt(1, "n1"),
                     new FleetError.NotJoined("n1"),
-                    new FleetError.NoMajority("s1", 1, 3),
-                    new FleetError.StewardUnreachable("n1", List.of("127.0.0.1:1")),
-                    new FleetError.LogSuspect("f"),
-                    new FleetError.DiskRefused("f", "full"),
+                    new FleetError.NoQuorum("s1", 1, 3),
+                    new FleetError.CoordinatorUnreachable("n1", List.of("127.0.0.1:1")),
+                    new FleetError.StateLogDamaged("f"),
+                    new FleetError.StateWriteFailed("f", "full"),
                     new FleetError.ClockErrorTooLarge("n1", 70, 50),
-                    new FleetError.MessageRefused("127.0.0.1:1", "no"),
-                    new FleetError.BundleUnusable("f", 3, "no"),
-                    new FleetError.StaleView("n1", 3000),
-                    new FleetError.RuleImpossible("n1", "all"),
-                    new FleetError.SettingUnusable("f", 3, "key", "found", "expected"))
+                    new FleetError.MessageRejected("127.0.0.1:1", "no"),
+                    new FleetError.InvalidBundle("f", 3, "no"),
+                    new FleetError.StaleFleetView("n1", 3000),
+                    new FleetError.NoPermittedZone("n1", "all"),
+                    new FleetError.InvalidSetting("f", 3, "key", "found", "expected"))
             .stream()
-            .collect(Collectors.toMap(error -> error.describe().type(), Function.identity()));
+            .collect(Collectors.toMap(error -> error.describe().kind(), Function.identity()));
 
     @Test
     void eachKindHasItsRecordedName() {
@@ -48,9 +48,9 @@
                         "rule-impossible",
                         "setting-unusable"),
                 BY_TYPE.keySet());
-        assertTrue(BY_TYPE.get("member-absent") instanceof FleetError.MemberAbsent);
-        assertTrue(BY_TYPE.get("message-refused") instanceof FleetError.MessageRefused);
-        assertTrue(BY_TYPE.get("disk-refused") instanceof FleetError.DiskRefused);
+        assertTrue(BY_TYPE.get("member-absent") instanceof FleetError.MissingVotes);
+        assertTrue(BY_TYPE.get("message-refused") instanceof FleetError.MessageRejected);
+        assertTrue(BY_TYPE.get("disk-refused") instanceof FleetError.StateWriteFailed);
     }
 
     @Test
@@ -65,6 +65,6 @@
         assertEquals(
                 "disk-refused: f: cannot write what was decided: full; nothing was answered and nothing is changed;"
                         + " make room on the disk, or mend it",
-                BY_TYPE.get("disk-refused").text());
+                BY_TYPE.get("disk-refused").message());
     }
 }
--- /dev/null
+++ b/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
@@ -0,0 +1,218 @@
+package weldhitch.fleet.locality;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.function.DoubleUnaryOperator;
+import java.util.function.IntPredicate;
+
+/**
+ * A simulated fleet for tests: nodes in zones with their rules, a leading coordinator and the network between
+ * them, in ticks of 5 ms. Endpoints are simulated as the capacity of their zone. Not thread-safe.
+ */
+final class SimulatedFleet {
+    static final long NANOS_PER_MILLI = 1_000_000L;
+    static final long SECOND = 1000 * NANOS_PER_MILLI;
+    static final double CAPACITY_PER_SERVER = 100;
+    private static final long TIME_STEP = 5 * NANOS_PER_MILLI;
+    private static final long REPORT_INTERVAL = 200 * NANOS_PER_MILLI;
+
+    /**
+     * A zone: its capacity, and the calls per second that clients send to its nodes, as a function of the
+     * seconds since the start.
+     */
+    static final class SimulatedZone {
+        final String name;
+        final int serverCount;
+        final int nodeCount;
+        final DoubleUnaryOperator offeredLoad;
+        boolean down;
+        /** The actual capacity of its endpoints as a fraction of the nominal one. */
+        double speedFactor = 1;
+
+        final int[] callsByStep = new int[200];
+        final int[] servedByStep = new int[200];
+        double peakUtilization;
+
+        SimulatedZone(String name, int serverCount, int nodeCount, DoubleUnaryOperator offeredLoad) {
+            this.name = name;
+            this.serverCount = serverCount;
+            this.nodeCount = nodeCount;
+            this.offeredLoad = offeredLoad;
+        }
+
+        double capacity() {
+            return serverCount * CAPACITY_PER_SERVER;
+        }
+
+        int callsInLastSecond() {
+            int total = 0;
+            for (int calls : callsByStep) {
+                total += calls;
+            }
+            return total;
+        }
+    }
+
+    /** An action scheduled for a time; actions of one time run in the order of their numbers. */
+    private record ScheduledEvent(long at, long sequence, Runnable action) {}
+
+    final Map<String, SimulatedZone> zones = new LinkedHashMap<>();
+    final List<ZoneSelector> nodes = new ArrayList<>();
+    private final List<SimulatedZone> homeZones = new ArrayList<>();
+    private final List<Double> fractionalArrivals = new ArrayList<>();
+    private final SplittableRandom random;
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
+            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+    private long nextSequence;
+    ZoneLoadAggregator leader = new ZoneLoadAggregator(-ZoneLoadAggregator.GRANT_DURATION, 0.002);
+    /** Fraction of the calls to the coordinator, and of its responses, that are lost. */
+    double messageLoss;
+    /** Nodes whose calls never reach the coordinator. */
+    IntPredicate isolatedFromCoordinators = n -> false;
+    /** Peaks are recorded from this time on. */
+    long peaksMeasuredFrom;
+
+    long now;
+    long offeredRequests;
+    long servedRequests;
+    long unroutableRequests;
+
+    SimulatedFleet(long seed, LocalityRules rules, SimulatedZone... simulatedZones) {
+        random = new SplittableRandom(seed);
+        List<ZoneEndpoint> endpoints = new ArrayList<>();
+        for (SimulatedZone zone : simulatedZones) {
+            zones.put(zone.name, zone);
+            for (int s = 0; s < zone.serverCount; s++) {
+                endpoints.add(new ZoneEndpoint(zone.name + s, zone.name, 1, 0, true, false));
+            }
+        }
+        int count = zones.values().stream().mapToInt(z -> z.nodeCount).sum();
+        for (SimulatedZone zone : simulatedZones) {
+            for (int n = 0; n < zone.nodeCount; n++) {
+                ZoneSelector node = new ZoneSelector("n" + nodes.size(), zone.name, count, 0.3, 5 * SECOND, true);
+                node.updateEndpoints(true, endpoints, 0);
+                node.updateRules(rules, 0);
+                nodes.add(node);
+                homeZones.add(zone);
+                fractionalArrivals.add(random.nextDouble());
+            }
+        }
+    }
+
+    void schedule(long time, Runnable action) {
+        events.add(new ScheduledEvent(time, nextSequence++, action));
+    }
+
+    void runUntil(long end) {
+        for (; now < end; now += TIME_STEP) {
+            while (!events.isEmpty() && events.peek().at <= now) {
+                events.poll().action.run();
+            }
+            int bin = (int) (now / TIME_STEP % 200);
+            zones.values().forEach(z -> {
+                z.callsByStep[bin] = 0;
+                z.servedByStep[bin] = 0;
+            });
+            for (int n = 0; n < nodes.size(); n++) {
+                double arrivals = fractionalArrivals.get(n)
+                        + homeZones.get(n).offeredLoad.applyAsDouble((double) now / SECOND)
+                                / homeZones.get(n).nodeCount
+                                * TIME_STEP
+                                / SECOND;
+                for (; arrivals >= 1; arrivals--) {
+                    sendRequest(n, bin);
+                }
+                fractionalArrivals.set(n, arrivals);
+                long tick = now / TIME_STEP + n;
+                if (tick % (REPORT_INTERVAL / TIME_STEP) == 0) {
+                    sendReport(n);
+                }
+                if (tick % 20 == 0) {
+                    nodes.get(n).tick(now);
+                }
+            }
+            for (SimulatedZone z : zones.values()) {
+                if (now >= peaksMeasuredFrom) {
+                    z.peakUtilization = Math.max(z.peakUtilization, z.callsInLastSecond() / z.capacity());
+                }
+            }
+        }
+    }
+
+    private void sendRequest(int nodeIndex, int bin) {
+        offeredRequests++;
+        ZoneSelector node = nodes.get(nodeIndex);
+        ZoneSelection selection = node.select("any", null, null, random.nextDouble(), now);
+        for (int attempt = 0; attempt < 3 && !selection.zones().isEmpty(); attempt++) {
+            SimulatedZone zone = zones.get(
+                    selection.zones().get(random.nextInt(selection.zones().size())));
+            String endpoint = zone.name + random.nextInt(zone.serverCount);
+            node.onAttemptSent(endpoint, selection, now);
+            zone.callsByStep[bin]++;
+            int servedInLastTenth = 0;
+            for (int i = 0; i < 20; i++) {
+                servedInLastTenth += zone.servedByStep[(bin - i + 200) % 200];
+            }
+            boolean hasCapacity = servedInLastTenth < zone.capacity() * zone.speedFactor / 10;
+            node.onAttemptEnded(
+                    endpoint,
+                    zone.down ? CallResult.FAILED : hasCapacity ? CallResult.ANSWERED : CallResult.REJECTED,
+                    false,
+                    now,
+                    now);
+            if (!zone.down && hasCapacity) {
+                zone.servedByStep[bin]++;
+                servedRequests++;
+                return;
+            }
+            ZoneSelection nextSelection = node.selectNext(selection, now);
+            if (nextSelection == selection && !zone.down) {
+                return;
+            }
+            selection = nextSelection;
+        }
+        unroutableRequests += selection.zones().isEmpty() ? 1 : 0;
+    }
+
+    private void sendReport(int nodeIndex) {
+        if (leader == null || isolatedFromCoordinators.test(nodeIndex)) {
+            return;
+        }
+        NodeLoadReport report = nodes.get(nodeIndex).loadReport(now);
+        long sentAt = now;
+        if (random.nextDouble() < messageLoss) {
+            return;
+        }
+        schedule(now + random.nextLong(30 * NANOS_PER_MILLI), () -> {
+            if (leader != null) {
+                leader.onReport("n" + nodeIndex, report, now);
+                FleetView view = leader.viewFor("n" + nodeIndex, nodes.size(), now);
+                if (random.nextDouble() >= messageLoss) {
+                    schedule(
+                            now + random.nextLong(30 * NANOS_PER_MILLI),
+                            () -> nodes.get(nodeIndex).onFleetView(view, sentAt, now));
+                }
+            }
+        });
+    }
+
+    /** The largest number of priority level transitions at any node. */
+    int maxTransitions() {
+        return nodes.stream().mapToInt(ZoneSelector::transitions).max().orElse(0);
+    }
+
+    double servedFraction() {
+        return (double) servedRequests / offeredRequests;
+    }
+
+    Map<String, Double> peakUtilizations() {
+        Map<String, Double> peaks = new TreeMap<>();
+        zones.forEach((name, z) -> peaks.put(name, Math.round(1000 * z.peakUtilization) / 1000.0));
+        return peaks;
+    }
+}
--- a/fleet/src/test/java/weldhitch/fleet/table/TablesTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/table/VersionedTablesTest.java
@@ -12,42 +12,43 @@
 import org.jetbrains.kotlinx.lincheck.strategy.managed.modelchecking.ModelCheckingOptions;
 import org.jetbrains.kotlinx.lincheck.strategy.stress.StressOptions;
 import org.junit.jupiter.api.Test;
-import weldhitch.fleet.activation.Standing;
-import weldhitch.fleet.table.Tables.Table;
+import weldhitch.fleet.activation.ActiveVersions;
+import weldhitch.fleet.table.VersionedTables.Table;
 
 /**
  * Checks with Lincheck that no reader holds a retired table in any interleaving, and that this fails without
- * the second check in {@link Tables#enter}.
+ * the second check in {@link VersionedTables#acquire}.
  */
-class TablesTest {
-    static Standing now(long version) {
-        return new Standing(version, null, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
+class VersionedTablesTest {
+    static ActiveVersions onlyVersion(long version) {
+        return new ActiveVersions(version, null, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
     }
 
     /** The operations for Lincheck; a table's content is whether it was retired. */
-    static class Readers {
-        final Tables<AtomicBoolean> tables = new Tables<>(now(0), new Table<>(0, new AtomicBoolean()));
+    static class ReaderOperations {
+        final VersionedTables<AtomicBoolean> tables =
+                new VersionedTables<>(onlyVersion(0), new Table<>(0, new AtomicBoolean()));
         private long version;
 
-        Table<AtomicBoolean> enter() {
-            return tables.enter(0);
+        Table<AtomicBoolean> acquire() {
+            return tables.acquire(0);
         }
 
         /** Enters, reads, leaves; whether what was read had been retired meanwhile. */
         @Operation
         public boolean readsRetired() {
-            Table<AtomicBoolean> table = enter();
+            Table<AtomicBoolean> table = acquire();
             boolean retired = table.content().get();
-            tables.leave(table);
+            tables.release(table);
             return retired;
         }
 
         @Operation(nonParallelGroup = "publisher")
         public void publish() {
-            var before = tables.alive();
+            var before = tables.liveTables();
             Table<AtomicBoolean> next = new Table<>(++version, new AtomicBoolean());
-            tables.publish(now(version), next, null);
-            var after = tables.alive();
+            tables.publish(onlyVersion(version), next, null);
+            var after = tables.liveTables();
             before.stream()
                     .filter(t -> !after.contains(t))
                     .forEach(t -> t.content().set(true));
@@ -55,19 +56,19 @@
     }
 
     /** Without the second check. */
-    public static final class OneLook extends Readers {
+    public static final class WithoutRecheck extends ReaderOperations {
         @Override
-        Table<AtomicBoolean> enter() {
-            Table<AtomicBoolean> table = tables.view().at(0);
-            return tables.count(table);
+        Table<AtomicBoolean> acquire() {
+            Table<AtomicBoolean> table = tables.view().tableAt(0);
+            return tables.retain(table);
         }
     }
 
     /** With the second check. */
-    public static final class TwoLooks extends Readers {}
+    public static final class WithRecheck extends ReaderOperations {}
 
     /** The sequential specification: no table that is read was retired. */
-    public static final class Never {
+    public static final class NeverRetired {
         public boolean readsRetired() {
             return false;
         }
@@ -77,9 +78,9 @@
         }
     }
 
-    private static ModelCheckingOptions model() {
+    private static ModelCheckingOptions modelCheckingOptions() {
         return new ModelCheckingOptions()
-                .sequentialSpecification(Never.class)
+                .sequentialSpecification(NeverRetired.class)
                 .iterations(12)
                 .invocationsPerIteration(1000)
                 .threads(2)
@@ -91,11 +92,11 @@
 
     @Test
     void noReaderHoldsARetiredTable() {
-        LinChecker.check(TwoLooks.class, model());
+        LinChecker.check(WithRecheck.class, modelCheckingOptions());
         LinChecker.check(
-                TwoLooks.class,
+                WithRecheck.class,
                 new StressOptions()
-                        .sequentialSpecification(Never.class)
+                        .sequentialSpecification(NeverRetired.class)
                         .iterations(6)
                         .invocationsPerIteration(1000)
                         .threads(3)
@@ -103,31 +104,32 @@
     }
 
     @Test
-    void theSecondLookIsMissed() {
-        assertThrows(LincheckAssertionError.class, () -> LinChecker.check(OneLook.class, model()));
+    void missingRecheckIsDetected() {
+        assertThrows(
+                LincheckAssertionError.class, () -> LinChecker.check(WithoutRecheck.class, modelCheckingOptions()));
     }
 
     @Test
-    void theTableIsThatOfTheMomentOfTheRequest() {
+    void tableIsSelectedByTheTimeOfTheRequest() {
         Table<String> old = new Table<>(1, "old");
         Table<String> next = new Table<>(2, "next");
-        Tables<String> tables = new Tables<>(now(1), old);
-        tables.publish(new Standing(1, 2L, 1000, Long.MAX_VALUE, Long.MAX_VALUE), old, next);
-        assertEquals("old", tables.enter(999).content());
-        assertEquals("next", tables.enter(1000).content());
+        VersionedTables<String> tables = new VersionedTables<>(onlyVersion(1), old);
+        tables.publish(new ActiveVersions(1, 2L, 1000, Long.MAX_VALUE, Long.MAX_VALUE), old, next);
+        assertEquals("old", tables.acquire(999).content());
+        assertEquals("next", tables.acquire(1000).content());
     }
 
     @Test
-    void atMostThreeAreAliveAndOldOnesGoWithTheirLastReader() {
-        Tables<String> tables = new Tables<>(now(1), new Table<>(1, "1"));
-        Table<String> first = tables.enter(0);
-        tables.publish(now(2), new Table<>(2, "2"), null);
-        Table<String> second = tables.enter(0);
-        tables.publish(now(3), new Table<>(3, "3"), null);
-        assertFalse(tables.room(), "two old ones are still read");
-        tables.leave(first);
-        assertTrue(tables.room());
-        tables.leave(second);
+    void noMoreThanThreeAreLiveAndOldOnesAreRetiredWithTheirLastReader() {
+        VersionedTables<String> tables = new VersionedTables<>(onlyVersion(1), new Table<>(1, "1"));
+        Table<String> first = tables.acquire(0);
+        tables.publish(onlyVersion(2), new Table<>(2, "2"), null);
+        Table<String> second = tables.acquire(0);
+        tables.publish(onlyVersion(3), new Table<>(3, "3"), null);
+        assertFalse(tables.canAddTable(), "two old ones are still read");
+        tables.release(first);
+        assertTrue(tables.canAddTable());
+        tables.release(second);
         assertEquals(1, tables.retire());
     }
 }
--- a/node/src/main/java/weldhitch/Main.java
+++ b/node/src/main/java/weldhitch/Main.java
@@ -17,7 +17,7 @@
         }
         switch (args.length == 1 ? args[0] : "") {
             case "serve" -> weldhitch.node.NodeService.main(null);
-            case "adapter" -> weldhitch.wire.Main.main(args);
+            case "adapter" -> weldhitch.adapter.AdapterMain.main(args);
             default -> {
                 System.err.println("usage: weldhitch serve [--operator FILE] | adapter");
                 System.exit(64);
--- a/node/src/main/java/weldhitch/wire/Main.java
+++ b/node/src/main/java/weldhitch/adapter/AdapterMain.java
@@ -1,10 +1,10 @@
-package weldhitch.wire;
+package weldhitch.adapter;
 
 import java.io.IOException;
 
 /** Runs the balancer on the simulator's line protocol: events on standard input, actions on standard output. */
-public final class Main {
-    private Main() {}
+public final class AdapterMain {
+    private AdapterMain() {}
 
     /** Processes batches until the input ends; exits with 2 on a malformed line. */
     public static void main(String[] args) throws IOException {
--- a/node/src/main/java/weldhitch/wire/Fields.java
+++ b/node/src/main/java/weldhitch/adapter/LineFields.java
@@ -1,4 +1,4 @@
-package weldhitch.wire;
+package weldhitch.adapter;
 
 import java.util.Map;
 
@@ -6,15 +6,15 @@
  * The fields of one protocol line, parsed from left to right. Used by {@link Adapter}; mutable, not
  * thread-safe.
  */
-final class Fields {
+final class LineFields {
     private final String line;
-    private final long number;
+    private final long lineNumber;
     private final String name;
-    private int at;
+    private int position;
 
-    Fields(String line, long number) {
+    LineFields(String line, long lineNumber) {
         this.line = line;
-        this.number = number;
+        this.lineNumber = lineNumber;
         this.name = text();
     }
 
@@ -22,18 +22,18 @@
         return name;
     }
 
-    boolean more() {
-        return at < line.length();
+    boolean hasMore() {
+        return position < line.length();
     }
 
     String text() {
-        if (at > line.length() || line.isEmpty()) {
+        if (position > line.length() || line.isEmpty()) {
             throw malformed("a field is missing");
         }
-        int end = line.indexOf(' ', at);
+        int end = line.indexOf(' ', position);
         end = end < 0 ? line.length() : end;
-        String field = line.substring(at, end);
-        at = end + 1;
+        String field = line.substring(position, end);
+        position = end + 1;
         if (field.isEmpty()) {
             throw malformed("a field is empty");
         }
@@ -41,7 +41,7 @@
     }
 
     String optionalText() {
-        if (at >= line.length()) {
+        if (position >= line.length()) {
             return null;
         }
         String field = text();
@@ -72,7 +72,7 @@
         } catch (NumberFormatException e) {
             try {
                 return Long.parseUnsignedLong(field);
-            } catch (NumberFormatException still) {
+            } catch (NumberFormatException notUnsigned) {
                 throw malformed("not a whole number: " + field);
             }
         }
@@ -84,11 +84,11 @@
     }
 
     /** A time or duration in seconds, as nanoseconds. */
-    long time() {
+    long nanos() {
         return Math.round(parseNumber(text()) * 1e6) * 1000;
     }
 
-    long optionalTime() {
+    long optionalNanos() {
         String field = optionalText();
         return field == null ? 0 : Math.round(parseNumber(field) * 1e6) * 1000;
     }
@@ -122,16 +122,16 @@
         return values;
     }
 
-    <T> T word(Map<String, T> words) {
+    <T> T enumValue(Map<String, T> valuesByName) {
         String field = text();
-        T value = words.get(field);
+        T value = valuesByName.get(field);
         if (value == null) {
             throw malformed("unknown word: " + field);
         }
         return value;
     }
 
-    MalformedLineException malformed(String wrong) {
-        return new MalformedLineException(number, wrong);
+    MalformedLineException malformed(String detail) {
+        return new MalformedLineException(lineNumber, detail);
     }
 }
--- a/node/src/main/java/weldhitch/wire/MalformedLineException.java
+++ b/node/src/main/java/weldhitch/adapter/MalformedLineException.java
@@ -1,10 +1,10 @@
-package weldhitch.wire;
+package weldhitch.adapter;
 
 /** A line that violates the line protocol; the message gives the line's number and the error. */
 final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedLineException(long line, String wrong) {
-        super("line " + line + ": " + wrong);
+    MalformedLineException(long line, String detail) {
+        super("line " + line + ": " + detail);
     }
 }
--- a/node/src/main/java/weldhitch/node/Attempt.java
+++ b/node/src/main/java/weldhitch/node/Attempt.java
@@ -8,37 +8,37 @@
  */
 final class Attempt {
     /** What carries the attempt: a pending connect or a connection. */
-    interface Carrier {
+    interface Transport {
         /** Aborts the attempt; the caller reports its outcome. */
-        void abandon();
+        void abort();
     }
 
-    final CallerRequest request;
+    final ClientRequest request;
     final int number;
-    final String server;
+    final String endpointId;
     final long sentAt;
-    final long until;
-    Future<?> timer;
-    Carrier carrier;
+    final long deadline;
+    Future<?> timeoutTimer;
+    Transport transport;
     /** The operating system has the request's last byte: from here on the server may execute it. */
-    boolean written;
+    boolean requestWritten;
 
     boolean streaming;
     boolean ended;
     /** Known not to have been executed. */
-    boolean neverRan;
+    boolean notExecuted;
     /**
      * Until when endpoints deduplicate it if an earlier attempt was executed; {@code Long.MAX_VALUE} if none
      * can have been.
      */
-    final long repeatUntil;
+    final long deduplicatedUntil;
 
-    Attempt(CallerRequest request, int number, String server, long sentAt, long until, long repeatUntil) {
+    Attempt(ClientRequest request, int number, String endpointId, long sentAt, long deadline, long deduplicatedUntil) {
         this.request = request;
         this.number = number;
-        this.server = server;
+        this.endpointId = endpointId;
         this.sentAt = sentAt;
-        this.until = until;
-        this.repeatUntil = repeatUntil;
+        this.deadline = deadline;
+        this.deduplicatedUntil = deduplicatedUntil;
     }
 }
--- a/node/src/main/java/weldhitch/node/AttemptListener.java
+++ b/node/src/main/java/weldhitch/node/AttemptListener.java
@@ -1,15 +1,15 @@
 package weldhitch.node;
 
-import weldhitch.decision.Balancing.Outcome;
+import weldhitch.decision.endpoint.AttemptOutcome;
 
 /** Receives the progress of attempts, on the event loop; implemented by {@link Dispatcher}. */
 interface AttemptListener {
     /** An attempt has ended; {@code response} is the completely buffered response of an OK, or null. */
-    void ended(Attempt attempt, Outcome outcome, ServerAnswer answer);
+    void ended(Attempt attempt, AttemptOutcome outcome, ServerResponse response);
 
     /**
      * A response that is streamed has started. Returns where to stream it, or null if the request already has
      * its final answer.
      */
-    StreamSink streamBegins(Attempt attempt);
+    StreamSink openStream(Attempt attempt);
 }
--- /dev/null
+++ b/node/src/main/java/weldhitch/node/CaptureControl.java
@@ -0,0 +1,61 @@
+package weldhitch.node;
+
+import io.netty.channel.EventLoop;
+import java.util.Objects;
+import weldhitch.capture.live.CaptureRecorder;
+import weldhitch.decision.settings.BalancerSettings;
+import weldhitch.routeconfig.CaptureSettings;
+
+/**
+ * Turns a node's capture on and off as the route configuration says, and owns the active one; while off,
+ * nothing of it exists. Thread-safe; not to be called on the event loop.
+ */
+final class CaptureControl {
+    private final String nodeName;
+    private final BalancerSettings settings;
+    private final EventLoop loop;
+    private final Dispatcher dispatcher;
+    private CaptureSettings activeSettings;
+    private CaptureRecorder capture;
+
+    CaptureControl(String nodeName, BalancerSettings settings, EventLoop loop, Dispatcher dispatcher) {
+        this.nodeName = nodeName;
+        this.settings = settings;
+        this.loop = loop;
+        this.dispatcher = dispatcher;
+    }
+
+    /**
+     * Applies these settings, or turns the capture off if null. Waits for the loop and the disk, so must not be
+     * called on the loop.
+     */
+    synchronized void apply(CaptureSettings requested) {
+        if (Objects.equals(requested, activeSettings)) {
+            return;
+        }
+        activeSettings = requested;
+        if (capture != null) {
+            attach(null);
+            capture.close();
+            capture = null;
+            Log.line("capture: off");
+        }
+        if (requested != null && requested.enabled()) {
+            String build = "weldhitch 0.1.0, Java " + Runtime.version();
+            capture = new CaptureRecorder(
+                    requested.directory(),
+                    requested.rules(),
+                    nodeName,
+                    build,
+                    settings,
+                    dispatcher::snapshot,
+                    Log::line);
+            attach(capture);
+            Log.line("capture: on, to " + requested.directory());
+        }
+    }
+
+    private void attach(CaptureRecorder next) {
+        loop.submit(() -> dispatcher.capture(next)).syncUninterruptibly();
+    }
+}
--- a/node/src/main/java/weldhitch/node/Caller.java
+++ b/node/src/main/java/weldhitch/node/ClientCallback.java
@@ -1,13 +1,13 @@
 package weldhitch.node;
 
 /** The client side of a request: receives exactly one final answer, buffered or streamed, on the event loop. */
-interface Caller extends StreamSink {
+interface ClientCallback extends StreamSink {
     /** Answers with a complete response. */
-    void served(ServerAnswer answer);
+    void served(ServerResponse response);
 
     /** Rejects: not executed, a retry does no harm; {@code retryAfter} in nanoseconds, 0 for no advice. */
-    void refused(long retryAfter);
+    void rejected(long retryAfter);
 
     /** Fails without a promise about effects; {@code timedOut}: the request's deadline has passed. */
-    void failed(boolean late);
+    void failed(boolean timedOut);
 }
--- a/node/src/main/java/weldhitch/node/ClientConnection.java
+++ b/node/src/main/java/weldhitch/node/ClientConnection.java
@@ -25,14 +25,14 @@
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayDeque;
 import java.util.List;
-import weldhitch.decision.Balancing.RequestClass;
+import weldhitch.decision.settings.RequestClass;
 
 /**
  * Handles one downstream connection: reads requests, queues pipelined ones, enforces the read and write
- * timeouts, and writes the responses that the {@link Dispatcher} gives it. Created by {@link ClientServer}; not
+ * timeouts, and writes the responses that the {@link Dispatcher} gives it. Created by {@link ClientConnectionManager}; not
  * thread-safe, confined to the event loop.
  */
-final class ClientConnection extends ChannelInboundHandlerAdapter implements Caller {
+final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientCallback {
     /** The listener side that accepted the connection. All of its methods are called on the event loop. */
     interface Owner {
         /** The connection has been accepted. */
@@ -42,10 +42,10 @@
         void closed(ClientConnection connection);
 
         /** The connection has become idle, or has stopped being so. */
-        void idle(ClientConnection connection, boolean isIdle);
+        void idleChanged(ClientConnection connection, boolean isIdle);
 
         /** Whether so many clients have requests in flight that a further request is rejected. */
-        boolean crowded();
+        boolean overloaded();
 
         /** What {@code GET /ready} reports. */
         boolean ready();
@@ -53,7 +53,7 @@
         /**
          * Whether a response written now asks its client to reconnect elsewhere ({@code Connection: close}).
          */
-        boolean saysClose();
+        boolean sendsConnectionClose();
 
         /** The request class of this name, or null. */
         RequestClass requestClass(String name);
@@ -62,39 +62,39 @@
          * Nanoseconds that a completely received request may take; 0 if this node shuts down too soon to serve
          * it.
          */
-        long timeFor(Exchange exchange);
+        long allowedTime(InFlightRequest request);
     }
 
-    private static final long SECOND = 1_000_000_000L;
-    private static final long LARGEST_BODY = 32L << 20;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    private static final long MAX_BODY_BYTES = 32L << 20;
     /**
      * A client that stalls within a request is answered within 3 s; the sweep interval takes its part of them.
      */
-    private static final long LONGEST_HEAD = 2 * SECOND;
+    private static final long HEAD_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
 
-    private static final long BODY_GRACE = 2 * SECOND;
-    private static final long SLOWEST_BODY_PER_SECOND = 32 * 1024;
-    private static final long LONGEST_IDLE = 60 * SECOND;
+    private static final long BODY_GRACE_NANOS = 2 * NANOS_PER_SECOND;
+    private static final long MIN_BODY_BYTES_PER_SECOND = 32 * 1024;
+    private static final long IDLE_TIMEOUT_NANOS = 60 * NANOS_PER_SECOND;
     /**
      * Clients open a connection for a request that waits; one that never sends anything is closed this soon.
      */
-    private static final long LONGEST_SILENCE = 2 * SECOND;
+    private static final long FIRST_REQUEST_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
     /** How long a client may leave a response unread. */
-    private static final long LONGEST_UNREAD = 30 * SECOND;
+    private static final long WRITE_TIMEOUT_NANOS = 30 * NANOS_PER_SECOND;
 
-    private static final long LINGER = 2 * SECOND;
+    private static final long LINGER_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
     /**
      * Memory that the pipelined input of one connection may use. Input is read on even while a request is in
      * flight, as nothing else shows that the client has disconnected; what exceeds this limit is discarded, and
      * the connection closes after the responses to the requests that were queued.
      */
-    private static final int MOST_AHEAD = 512 * 1024;
+    private static final int MAX_PIPELINED_BYTES = 512 * 1024;
     /** Estimated memory of a pipelined head, and of a body chunk in addition to its bytes. */
-    private static final int HEAD_HOLDS = 2 * 1024;
+    private static final int PIPELINED_HEAD_BYTES = 2 * 1024;
 
-    private static final int PIECE_HOLDS = 128;
+    private static final int PIPELINED_CONTENT_OVERHEAD_BYTES = 128;
     /** Upper bound of a request's timeout; a larger {@code X-Expires-In} is reduced to it. */
-    private static final long LONGEST_PATIENCE = 60 * SECOND;
+    private static final long MAX_REQUEST_TIMEOUT_NANOS = 60 * NANOS_PER_SECOND;
 
     /** Progress of the current request. */
     private enum State {
@@ -107,58 +107,58 @@
         /** A response is being streamed. */
         STREAMING,
         /** The response has been written; the rest of the request body is read and discarded. */
-        SKIPPING,
+        DISCARDING_BODY,
         CLOSING
     }
 
     private final Owner owner;
     private final Dispatcher dispatcher;
     private final Clock clock;
-    private final Budget budget;
+    private final ResourceLimits limits;
     private final SocketChannel channel;
-    private final ArrayDeque<Object> ahead = new ArrayDeque<>();
-    private int aheadHolds;
+    private final ArrayDeque<Object> pipelined = new ArrayDeque<>();
+    private int pipelinedBytes;
     /** Pipelined input has been discarded: nothing after it is read any more. */
-    private boolean cutOff;
+    private boolean inputDiscarded;
 
     private State state = State.IDLE;
-    private long since;
+    private long stateSince;
     /** When the first byte of a still incomplete head arrived; 0 if there is none. */
-    private long headSince;
+    private long headStartedAt;
 
-    private long received;
-    private Exchange exchange;
+    private long bytesReceived;
+    private InFlightRequest inFlight;
     private StreamSource source;
     private boolean keepAlive;
     /** Whether a request has ever started on this connection. */
-    private boolean asked;
+    private boolean requestSeen;
 
-    private HttpVersion version = HttpVersion.HTTP_1_1;
-    private long unreadSince;
-    private int unread;
+    private HttpVersion httpVersion = HttpVersion.HTTP_1_1;
+    private long pendingWriteSince;
+    private int pendingWrites;
 
-    ClientConnection(Owner owner, Dispatcher dispatcher, Clock clock, Budget budget, SocketChannel channel) {
+    ClientConnection(Owner owner, Dispatcher dispatcher, Clock clock, ResourceLimits limits, SocketChannel channel) {
         this.owner = owner;
         this.dispatcher = dispatcher;
         this.clock = clock;
-        this.budget = budget;
+        this.limits = limits;
         this.channel = channel;
-        this.since = clock.now();
+        this.stateSince = clock.now();
     }
 
     /** Observes bytes before they are parsed: a head that trickles in shows nowhere else. */
-    ChannelHandler byteWatch() {
+    ChannelHandler byteObserver() {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext context, Object message) {
-                if (cutOff) {
+                if (inputDiscarded) {
                     ReferenceCountUtil.release(message);
                     return;
                 }
-                received += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
-                if (state == State.IDLE && headSince == 0) {
-                    headSince = clock.now();
-                    owner.idle(ClientConnection.this, false);
+                bytesReceived += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
+                if (state == State.IDLE && headStartedAt == 0) {
+                    headStartedAt = clock.now();
+                    owner.idleChanged(ClientConnection.this, false);
                 }
                 context.fireChannelRead(message);
             }
@@ -173,25 +173,25 @@
      * Closes the connection between two requests. Bytes that have arrived unread are read first: closing over
      * them would reset the connection and lose their request.
      */
-    void closeIfResting() {
+    void closeIfIdle() {
         if (channel.isOpen() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe reads) {
             reads.read();
         }
-        if (state == State.IDLE && headSince == 0) {
-            owner.idle(this, false);
+        if (state == State.IDLE && headStartedAt == 0) {
+            owner.idleChanged(this, false);
             close();
         }
     }
 
     long idleFor(long now) {
-        return now - since;
+        return now - stateSince;
     }
 
-    private void enter(State next) {
+    private void transitionTo(State next) {
         state = next;
-        since = clock.now();
-        headSince = 0;
-        owner.idle(this, next == State.IDLE);
+        stateSince = clock.now();
+        headStartedAt = 0;
+        owner.idleChanged(this, next == State.IDLE);
     }
 
     // ---- requests ----
@@ -199,17 +199,17 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         owner.opened(this);
-        owner.idle(this, true);
+        owner.idleChanged(this, true);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        if (cutOff) {
+        if (inputDiscarded) {
             ReferenceCountUtil.release(message);
-        } else if (!ahead.isEmpty() || mustWait()) {
-            keep(message);
+        } else if (!pipelined.isEmpty() || mustQueue()) {
+            enqueuePipelined(message);
         } else {
-            take(message);
+            handleMessage(message);
         }
     }
 
@@ -217,58 +217,58 @@
      * Queues pipelined input. A body chunk is copied out of its read buffer, which even one byte of it would
      * pin.
      */
-    private void keep(Object message) {
-        Object kept = message;
+    private void enqueuePipelined(Object message) {
+        Object queued = message;
         if (message instanceof HttpContent content && content.content().isReadable()) {
-            kept = content.replace(Unpooled.copiedBuffer(content.content()));
+            queued = content.replace(Unpooled.copiedBuffer(content.content()));
             content.release();
         }
-        int holds = holds(kept);
-        if (aheadHolds + holds > MOST_AHEAD || !budget.take(holds, 0)) {
-            ReferenceCountUtil.release(kept);
-            cutOff = true;
+        int cost = memoryCost(queued);
+        if (pipelinedBytes + cost > MAX_PIPELINED_BYTES || !limits.tryReserve(cost, 0)) {
+            ReferenceCountUtil.release(queued);
+            inputDiscarded = true;
             return;
         }
-        aheadHolds += holds;
-        ahead.add(kept);
+        pipelinedBytes += cost;
+        pipelined.add(queued);
     }
 
-    private static int holds(Object message) {
+    private static int memoryCost(Object message) {
         return message instanceof HttpContent content
-                ? PIECE_HOLDS + content.content().readableBytes()
-                : HEAD_HOLDS;
+                ? PIPELINED_CONTENT_OVERHEAD_BYTES + content.content().readableBytes()
+                : PIPELINED_HEAD_BYTES;
     }
 
-    private Object nextAhead() {
-        Object next = ahead.poll();
-        int holds = holds(next);
-        aheadHolds -= holds;
-        budget.giveBack(holds);
+    private Object pollPipelined() {
+        Object next = pipelined.poll();
+        int cost = memoryCost(next);
+        pipelinedBytes -= cost;
+        limits.release(cost);
         return next;
     }
 
-    private void dropAhead() {
-        while (!ahead.isEmpty()) {
-            ReferenceCountUtil.release(nextAhead());
+    private void releasePipelined() {
+        while (!pipelined.isEmpty()) {
+            ReferenceCountUtil.release(pollPipelined());
         }
     }
 
-    private boolean mustWait() {
+    private boolean mustQueue() {
         return state == State.WAITING || state == State.STREAMING || !channel.isWritable();
     }
 
     /** Processes queued input; a client that does not read its responses gets no further ones. */
-    private void goOn() {
-        while (!ahead.isEmpty() && !mustWait()) {
-            take(nextAhead());
+    private void processPipelined() {
+        while (!pipelined.isEmpty() && !mustQueue()) {
+            handleMessage(pollPipelined());
         }
-        if (cutOff && ahead.isEmpty() && !mustWait() && state != State.CLOSING) {
+        if (inputDiscarded && pipelined.isEmpty() && !mustQueue() && state != State.CLOSING) {
             if (state == State.RECEIVING) {
                 // The rest of this request was discarded. None of it was forwarded, so the client may retry.
                 keepAlive = false;
-                answer(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
+                respond(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
             }
-            linger();
+            closeGracefully();
         }
     }
 
@@ -280,22 +280,22 @@
         if (source != null) {
             source.resume();
         }
-        goOn();
+        processPipelined();
     }
 
-    private void take(Object message) {
+    private void handleMessage(Object message) {
         try {
             if (state == State.CLOSING) {
                 return;
             }
             if (message instanceof HttpRequest request) {
-                head(request);
+                handleHead(request);
             }
             if (message instanceof HttpContent content && state != State.CLOSING) {
                 if (content.decoderResult().isFailure()) {
-                    malformed(content.decoderResult().cause());
+                    rejectMalformed(content.decoderResult().cause());
                 } else {
-                    content(content);
+                    handleContent(content);
                 }
             }
         } finally {
@@ -303,69 +303,69 @@
         }
     }
 
-    private void head(HttpRequest request) {
-        asked = true;
-        received = 0;
-        version = request.protocolVersion().majorVersion() == 1 ? request.protocolVersion() : HttpVersion.HTTP_1_1;
+    private void handleHead(HttpRequest request) {
+        requestSeen = true;
+        bytesReceived = 0;
+        httpVersion = request.protocolVersion().majorVersion() == 1 ? request.protocolVersion() : HttpVersion.HTTP_1_1;
         if (request.decoderResult().isFailure()) {
-            malformed(request.decoderResult().cause());
+            rejectMalformed(request.decoderResult().cause());
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(request);
-        enter(State.RECEIVING);
+        transitionTo(State.RECEIVING);
         String path = path(request.uri());
         if (path.equals("/ready") && request.method().equals(HttpMethod.GET)) {
-            answer(owner.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
+            respond(owner.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
             return;
         }
-        HttpResponseStatus wrong = begin(request, path);
-        if (wrong != null) {
-            answer(wrong, 0);
+        HttpResponseStatus errorStatus = startRequest(request, path);
+        if (errorStatus != null) {
+            respond(errorStatus, 0);
         } else if (HttpUtil.is100ContinueExpected(request)) {
             channel.writeAndFlush(
-                    new DefaultFullHttpResponse(version, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+                    new DefaultFullHttpResponse(httpVersion, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
-    private HttpResponseStatus begin(HttpRequest request, String path) {
+    private HttpResponseStatus startRequest(HttpRequest request, String path) {
         if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.POST)) {
             return HttpResponseStatus.METHOD_NOT_ALLOWED;
         }
-        List<String> ids = request.headers().getAll(Headers.ID);
-        if (ids.size() != 1 || !isId(ids.get(0))) {
+        List<String> requestIds = request.headers().getAll(Headers.REQUEST_ID);
+        if (requestIds.size() != 1 || !isRequestId(requestIds.get(0))) {
             return HttpResponseStatus.BAD_REQUEST;
         }
-        List<String> named = request.headers().getAll(Headers.REQUEST_CLASS);
-        String inPath = firstPart(path);
-        RequestClass requestClass = owner.requestClass(named.isEmpty() ? inPath : named.get(0));
+        List<String> classHeaders = request.headers().getAll(Headers.REQUEST_CLASS);
+        String pathClass = firstPathSegment(path);
+        RequestClass requestClass = owner.requestClass(classHeaders.isEmpty() ? pathClass : classHeaders.get(0));
         if (requestClass == null) {
             return HttpResponseStatus.NOT_FOUND;
         }
-        if (named.size() > 1 || !requestClass.name().equals(inPath)) {
+        if (classHeaders.size() > 1 || !requestClass.name().equals(pathClass)) {
             // Endpoints go by the header, the retry rules by the path: the two must agree.
             return HttpResponseStatus.BAD_REQUEST;
         }
-        long patience = patience(request.headers().getAll(Headers.EXPIRES_IN), requestClass);
-        if (patience < 0) {
+        long timeout = parseTimeout(request.headers().getAll(Headers.EXPIRES_IN), requestClass);
+        if (timeout < 0) {
             return HttpResponseStatus.BAD_REQUEST;
         }
-        long length = HttpUtil.isTransferEncodingChunked(request) ? -1 : HttpUtil.getContentLength(request, 0L);
-        if (length > LARGEST_BODY) {
+        long contentLength = HttpUtil.isTransferEncodingChunked(request) ? -1 : HttpUtil.getContentLength(request, 0L);
+        if (contentLength > MAX_BODY_BYTES) {
             return HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE;
         }
-        if (owner.crowded()) {
+        if (owner.overloaded()) {
             keepAlive = false;
             return HttpResponseStatus.SERVICE_UNAVAILABLE;
         }
-        exchange = new Exchange(
-                new CallerRequest(
-                        ids.get(0),
+        inFlight = new InFlightRequest(
+                new ClientRequest(
+                        requestIds.get(0),
                         requestClass,
                         request.method(),
                         request.uri(),
                         request.headers(),
-                        new Body(budget, length)),
-                patience,
+                        new BufferedBody(limits, contentLength)),
+                timeout,
                 this);
         return null;
     }
@@ -373,38 +373,38 @@
     /**
      * The request's timeout in nanoseconds, by default its class's deadline; negative if the header is invalid.
      */
-    private static long patience(List<String> seconds, RequestClass requestClass) {
-        if (seconds.isEmpty()) {
+    private static long parseTimeout(List<String> headerValues, RequestClass requestClass) {
+        if (headerValues.isEmpty()) {
             return requestClass.deadline();
         }
-        String given = seconds.get(0).trim();
+        String value = headerValues.get(0).trim();
         // Java parses more than the protocol allows as a number, Infinity for example.
-        if (seconds.size() > 1 || !isNumber(given)) {
+        if (headerValues.size() > 1 || !isDecimal(value)) {
             return -1;
         }
-        return (long) Math.min(LONGEST_PATIENCE, Double.parseDouble(given) * SECOND);
+        return (long) Math.min(MAX_REQUEST_TIMEOUT_NANOS, Double.parseDouble(value) * NANOS_PER_SECOND);
     }
 
     /**
      * 1 to 64 visible ASCII characters. A loop, as a regular expression costs a fresh node a tenth of its
      * request.
      */
-    static boolean isId(String text) {
-        boolean sound = !text.isEmpty() && text.length() <= 64;
-        for (int i = 0; sound && i < text.length(); i++) {
-            sound = text.charAt(i) >= '!' && text.charAt(i) <= '~';
+    static boolean isRequestId(String text) {
+        boolean valid = !text.isEmpty() && text.length() <= 64;
+        for (int i = 0; valid && i < text.length(); i++) {
+            valid = text.charAt(i) >= '!' && text.charAt(i) <= '~';
         }
-        return sound;
+        return valid;
     }
 
     /** 1 to 18 digits, then optionally a dot and up to 18 more. */
-    static boolean isNumber(String text) {
+    static boolean isDecimal(String text) {
         int dot = text.indexOf('.');
-        int whole = dot < 0 ? text.length() : dot;
-        return whole >= 1
-                && whole <= 18
-                && text.length() - whole <= 19
-                && areDigits(text, 0, whole)
+        int integerDigits = dot < 0 ? text.length() : dot;
+        return integerDigits >= 1
+                && integerDigits <= 18
+                && text.length() - integerDigits <= 19
+                && areDigits(text, 0, integerDigits)
                 && (dot < 0 || areDigits(text, dot + 1, text.length()));
     }
 
@@ -422,46 +422,46 @@
         return query < 0 ? uri : uri.substring(0, query);
     }
 
-    private static String firstPart(String path) {
+    private static String firstPathSegment(String path) {
         int start = path.startsWith("/") ? 1 : 0;
         int end = path.indexOf('/', start);
         return path.substring(start, end < 0 ? path.length() : end);
     }
 
-    private void content(HttpContent content) {
-        boolean last = content instanceof LastHttpContent;
-        if (state == State.RECEIVING && exchange != null) {
-            if (exchange.request.body().size() + content.content().readableBytes() > LARGEST_BODY) {
-                answer(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
-            } else if (!exchange.request.body().add(content.content())) {
+    private void handleContent(HttpContent content) {
+        boolean isLast = content instanceof LastHttpContent;
+        if (state == State.RECEIVING && inFlight != null) {
+            if (inFlight.request.body().size() + content.content().readableBytes() > MAX_BODY_BYTES) {
+                respond(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, 0);
+            } else if (!inFlight.request.body().add(content.content())) {
                 // None of it was forwarded, so the client may retry once memory is free.
-                answer(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
+                respond(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
             }
         }
-        if (!last) {
+        if (!isLast) {
             return;
         }
-        if (state == State.SKIPPING) {
-            answered();
-        } else if (state == State.RECEIVING && dispatcher.holds(exchange.request.id())) {
-            answer(HttpResponseStatus.BAD_REQUEST, 0);
-            answered();
+        if (state == State.DISCARDING_BODY) {
+            requestCompleted();
+        } else if (state == State.RECEIVING && dispatcher.isInFlight(inFlight.request.id())) {
+            respond(HttpResponseStatus.BAD_REQUEST, 0);
+            requestCompleted();
         } else if (state == State.RECEIVING) {
-            long time = owner.timeFor(exchange);
-            if (time == 0) {
+            long timeout = owner.allowedTime(inFlight);
+            if (timeout == 0) {
                 // It has not been executed, and another node has the time for it.
                 keepAlive = false;
-                answer(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
-                answered();
+                respond(HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
+                requestCompleted();
                 return;
             }
-            exchange.patience = time;
-            enter(State.WAITING);
-            dispatcher.arrived(exchange);
+            inFlight.timeout = timeout;
+            transitionTo(State.WAITING);
+            dispatcher.dispatch(inFlight);
         }
     }
 
-    private void malformed(Throwable cause) {
+    private void rejectMalformed(Throwable cause) {
         keepAlive = false;
         HttpResponseStatus status = HttpResponseStatus.BAD_REQUEST;
         if (cause instanceof TooLongHttpLineException) {
@@ -469,103 +469,104 @@
         } else if (cause instanceof TooLongHttpHeaderException) {
             status = HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
         }
-        boolean answered = state == State.SKIPPING;
-        if (!answered) {
+        boolean alreadyAnswered = state == State.DISCARDING_BODY;
+        if (!alreadyAnswered) {
             state = State.RECEIVING;
-            answer(status, 0);
+            respond(status, 0);
         }
         // Where the next request would begin is unknown: nothing more is read from this client.
-        linger();
+        closeGracefully();
     }
 
     // ---- answers ----
 
     @Override
-    public void served(ServerAnswer answer) {
-        ByteBuf body = answer.body().size() > 0 ? answer.body().whole() : Unpooled.EMPTY_BUFFER;
-        DefaultFullHttpResponse response = new DefaultFullHttpResponse(version, HttpResponseStatus.OK, body);
-        if (answer.contentType() != null) {
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
+    public void served(ServerResponse serverResponse) {
+        ByteBuf body =
+                serverResponse.body().size() > 0 ? serverResponse.body().asSingleBuffer() : Unpooled.EMPTY_BUFFER;
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(httpVersion, HttpResponseStatus.OK, body);
+        if (serverResponse.contentType() != null) {
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, serverResponse.contentType());
         }
-        finish(response);
+        sendResponse(response);
     }
 
     @Override
-    public void refused(long retryAfter) {
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfter);
+    public void rejected(long retryAfter) {
+        respond(HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfter);
     }
 
     @Override
-    public void failed(boolean late) {
-        answer(late ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY, 0);
+    public void failed(boolean timedOut) {
+        respond(timedOut ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY, 0);
     }
 
-    private void answer(HttpResponseStatus status, long retryAfter) {
-        DefaultFullHttpResponse response = new DefaultFullHttpResponse(version, status, Unpooled.EMPTY_BUFFER);
+    private void respond(HttpResponseStatus status, long retryAfter) {
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(httpVersion, status, Unpooled.EMPTY_BUFFER);
         if (retryAfter > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, Headers.seconds(retryAfter));
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, Headers.formatSeconds(retryAfter));
         }
-        finish(response);
+        sendResponse(response);
     }
 
-    private void finish(DefaultFullHttpResponse response) {
+    private void sendResponse(DefaultFullHttpResponse response) {
         response.headers()
                 .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-        tellVersion(response);
-        HttpUtil.setKeepAlive(response, keepsAlive());
-        sent(channel.writeAndFlush(response));
+        addRouteVersion(response);
+        HttpUtil.setKeepAlive(response, updateKeepAlive());
+        trackWrite(channel.writeAndFlush(response));
         if (state == State.RECEIVING) {
-            if (exchange != null) {
-                exchange.request.body().release();
-                exchange = null;
+            if (inFlight != null) {
+                inFlight.request.body().release();
+                inFlight = null;
             }
-            enter(State.SKIPPING);
+            transitionTo(State.DISCARDING_BODY);
         } else {
-            answered();
+            requestCompleted();
         }
     }
 
-    private void tellVersion(HttpResponse response) {
-        if (exchange != null && exchange.table != null && dispatcher.tellsVersion()) {
-            response.headers().set(Headers.ROUTE_VERSION, exchange.table.version());
+    private void addRouteVersion(HttpResponse response) {
+        if (inFlight != null && inFlight.routeTable != null && dispatcher.reportsVersion()) {
+            response.headers().set(Headers.ROUTE_VERSION, inFlight.routeTable.version());
         }
     }
 
-    private boolean keepsAlive() {
-        keepAlive &= !owner.saysClose() && !(cutOff && ahead.isEmpty());
+    private boolean updateKeepAlive() {
+        keepAlive &= !owner.sendsConnectionClose() && !(inputDiscarded && pipelined.isEmpty());
         return keepAlive;
     }
 
-    private void sent(ChannelFuture write) {
-        unread++;
-        unreadSince = clock.now();
-        write.addListener(f -> unread--);
+    private void trackWrite(ChannelFuture write) {
+        pendingWrites++;
+        pendingWriteSince = clock.now();
+        write.addListener(f -> pendingWrites--);
     }
 
     /** The request is done: it has been answered and its last byte read. */
-    private void answered() {
-        exchange = null;
+    private void requestCompleted() {
+        inFlight = null;
         if (keepAlive) {
-            enter(State.IDLE);
-            if (!ahead.isEmpty()) {
-                channel.eventLoop().execute(this::goOn);
+            transitionTo(State.IDLE);
+            if (!pipelined.isEmpty()) {
+                channel.eventLoop().execute(this::processPipelined);
             }
         } else {
-            linger();
+            closeGracefully();
         }
     }
 
-    private void linger() {
-        enter(State.CLOSING);
-        dropAhead();
+    private void closeGracefully() {
+        transitionTo(State.CLOSING);
+        releasePipelined();
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> channel.shutdownOutput());
     }
 
     /**
      * Closes the connection if all responses have been written and only the client's own close is outstanding.
      */
-    void lingerNoLonger() {
-        if (state == State.CLOSING && unread == 0) {
+    void closeIfLingering() {
+        if (state == State.CLOSING && pendingWrites == 0) {
             close();
         }
     }
@@ -573,42 +574,42 @@
     // ---- answers that are passed on as they come ----
 
     @Override
-    public void streamBegins(StreamSource from, ServerAnswer answer) {
-        enter(State.STREAMING);
+    public void streamStarted(StreamSource from, ServerResponse serverResponse) {
+        transitionTo(State.STREAMING);
         source = from;
-        HttpResponse response = new DefaultHttpResponse(version, HttpResponseStatus.OK);
-        if (answer.contentType() != null) {
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
+        HttpResponse response = new DefaultHttpResponse(httpVersion, HttpResponseStatus.OK);
+        if (serverResponse.contentType() != null) {
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, serverResponse.contentType());
         }
-        if (answer.length() >= 0) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.length());
-        } else if (version.isKeepAliveDefault()) {
+        if (serverResponse.length() >= 0) {
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, serverResponse.length());
+        } else if (httpVersion.isKeepAliveDefault()) {
             HttpUtil.setTransferEncodingChunked(response, true);
         } else {
             keepAlive = false;
         }
-        tellVersion(response);
-        HttpUtil.setKeepAlive(response, keepsAlive());
+        addRouteVersion(response);
+        HttpUtil.setKeepAlive(response, updateKeepAlive());
         channel.write(response);
     }
 
     @Override
-    public void streamed(ByteBuf bytes) {
-        unreadSince = clock.now();
+    public void streamData(ByteBuf bytes) {
+        pendingWriteSince = clock.now();
         channel.writeAndFlush(new DefaultHttpContent(bytes));
     }
 
     @Override
-    public boolean takesMore() {
+    public boolean isWritable() {
         return channel.isWritable();
     }
 
     @Override
-    public void streamEnds(boolean whole) {
+    public void streamEnded(boolean complete) {
         source = null;
-        if (whole) {
-            sent(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
-            answered();
+        if (complete) {
+            trackWrite(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+            requestCompleted();
         } else {
             // A reset, so that the client can tell that the response is incomplete, whatever its framing.
             channel.config().setSoLinger(0);
@@ -618,56 +619,57 @@
 
     // ---- ends ----
 
-    void checkProgress(long now) {
-        long spent = now - since;
+    void checkTimeouts(long now) {
+        long elapsed = now - stateSince;
         switch (state) {
             case IDLE -> {
-                if (headSince > 0 && now - headSince > LONGEST_HEAD) {
+                if (headStartedAt > 0 && now - headStartedAt > HEAD_TIMEOUT_NANOS) {
                     keepAlive = false;
                     state = State.RECEIVING;
-                    answer(HttpResponseStatus.REQUEST_TIMEOUT, 0);
-                    linger();
-                } else if (headSince == 0 && spent > (asked ? LONGEST_IDLE : LONGEST_SILENCE)) {
-                    closeIfResting();
+                    respond(HttpResponseStatus.REQUEST_TIMEOUT, 0);
+                    closeGracefully();
+                } else if (headStartedAt == 0
+                        && elapsed > (requestSeen ? IDLE_TIMEOUT_NANOS : FIRST_REQUEST_TIMEOUT_NANOS)) {
+                    closeIfIdle();
                 }
             }
-            case RECEIVING, SKIPPING -> {
-                if (spent > BODY_GRACE + received * SECOND / SLOWEST_BODY_PER_SECOND) {
+            case RECEIVING, DISCARDING_BODY -> {
+                if (elapsed > BODY_GRACE_NANOS + bytesReceived * NANOS_PER_SECOND / MIN_BODY_BYTES_PER_SECOND) {
                     keepAlive = false;
                     if (state == State.RECEIVING) {
-                        answer(HttpResponseStatus.REQUEST_TIMEOUT, 0);
+                        respond(HttpResponseStatus.REQUEST_TIMEOUT, 0);
                     }
-                    linger();
+                    closeGracefully();
                 }
             }
             case CLOSING -> {
-                if (spent > LINGER && unread == 0) {
+                if (elapsed > LINGER_TIMEOUT_NANOS && pendingWrites == 0) {
                     close();
                 }
             }
             case WAITING, STREAMING -> {}
         }
-        if ((unread > 0 || !channel.isWritable()) && now - unreadSince > LONGEST_UNREAD) {
+        if ((pendingWrites > 0 || !channel.isWritable()) && now - pendingWriteSince > WRITE_TIMEOUT_NANOS) {
             close();
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        State before = state;
+        State previousState = state;
         state = State.CLOSING;
         owner.closed(this);
-        dropAhead();
+        releasePipelined();
         if (source != null) {
             StreamSource from = source;
             source = null;
-            from.sinkGone();
-        } else if (before == State.WAITING) {
-            dispatcher.clientGone(exchange);
-        } else if (exchange != null) {
-            exchange.request.body().release();
+            from.sinkClosed();
+        } else if (previousState == State.WAITING) {
+            dispatcher.clientDisconnected(inFlight);
+        } else if (inFlight != null) {
+            inFlight.request.body().release();
         }
-        exchange = null;
+        inFlight = null;
     }
 
     @Override
--- /dev/null
+++ b/node/src/main/java/weldhitch/node/ClientConnectionManager.java
@@ -0,0 +1,277 @@
+package weldhitch.node;
+
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.buffer.ByteBufAllocator;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.FixedRecvByteBufAllocator;
+import io.netty.channel.MaxMessagesRecvByteBufAllocator;
+import io.netty.channel.WriteBufferWaterMark;
+import io.netty.channel.nio.AbstractNioChannel;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.channel.socket.nio.NioServerSocketChannel;
+import io.netty.handler.codec.http.HttpDecoderConfig;
+import io.netty.handler.codec.http.HttpServerCodec;
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.function.ToLongFunction;
+import weldhitch.decision.lifecycle.GracefulShutdown;
+import weldhitch.decision.settings.BalancerSettings;
+import weldhitch.decision.settings.RequestClass;
+
+/**
+ * Accepts and tracks client connections: limits their number by evicting idle ones, sweeps them for timeouts,
+ * and runs the graceful shutdown that {@link GracefulShutdown} schedules. Not thread-safe, confined to the event loop.
+ */
+final class ClientConnectionManager implements ClientConnection.Owner {
+    private static final int BACKLOG = 4096;
+    private static final int MAX_REQUEST_LINE_BYTES = 8 * 1024;
+    /**
+     * Requests that the HTTP codec may have read on one connection without having seen their response; with
+     * more the codec fails, and the connection with it. Above what the pipelining limit admits plus what one
+     * read can add (18 bytes each).
+     */
+    private static final int MAX_UNANSWERED_REQUESTS = 2048;
+
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
+    private static final long SWEEP_INTERVAL_MS = 250;
+    private static final long DRAIN_INTERVAL_MS = 20;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long EVICTABLE_AFTER_NANOS = 30 * NANOS_PER_MILLI;
+
+    private final Clock clock;
+    private final ResourceLimits limits;
+    private final Dispatcher dispatcher;
+    private final EventLoop loop;
+    private final ByteBufAllocator allocator;
+    private final BooleanSupplier ready;
+    private final Map<String, RequestClass> classesByName = new HashMap<>();
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>();
+    private Channel listener;
+    private final GracefulShutdown shutdown;
+    /** Idle connections when clients are first asked to close; negative until then. */
+    private int idleAtCloseStart = -1;
+
+    private long lastAcceptedAt;
+
+    ClientConnectionManager(
+            EventLoop loop,
+            ByteBufAllocator allocator,
+            Clock clock,
+            ResourceLimits limits,
+            Dispatcher dispatcher,
+            BalancerSettings settings,
+            BooleanSupplier ready) {
+        this.loop = loop;
+        this.allocator = allocator;
+        this.clock = clock;
+        this.limits = limits;
+        this.dispatcher = dispatcher;
+        this.ready = ready;
+        settings.classes().forEach(c -> classesByName.put(c.name(), c));
+        shutdown = new GracefulShutdown(
+                maxSpan(settings, RequestClass::deadline), maxSpan(settings, RequestClass::latencyObjective));
+    }
+
+    ChannelFuture listen(InetSocketAddress address) {
+        loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        ChannelFuture bindFuture = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.ALLOCATOR, allocator)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Sockets.READ_BUFFER_BYTES))
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(16 * 1024, 32 * 1024))
+                .childHandler(new ChannelInitializer<SocketChannel>() {
+                    @Override
+                    protected void initChannel(SocketChannel channel) {
+                        ClientConnection connection =
+                                new ClientConnection(ClientConnectionManager.this, dispatcher, clock, limits, channel);
+                        channel.pipeline()
+                                .addLast(
+                                        connection.byteObserver(),
+                                        new HttpServerCodec(
+                                                new HttpDecoderConfig()
+                                                        .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                                                        .setMaxHeaderSize(MAX_HEADER_BYTES)
+                                                        .setMaxChunkSize(Sockets.READ_BUFFER_BYTES),
+                                                MAX_UNANSWERED_REQUESTS),
+                                        connection);
+                    }
+                })
+                .bind(address);
+        listener = bindFuture.channel();
+        return bindFuture;
+    }
+
+    @Override
+    public boolean ready() {
+        return !shutdown.started() && ready.getAsBoolean();
+    }
+
+    /** Whether a response written now asks its client to reconnect elsewhere. */
+    @Override
+    public boolean sendsConnectionClose() {
+        return shutdown.sendsConnectionClose(clock.now());
+    }
+
+    /**
+     * Nanoseconds that a completely received request may take; 0 if this node shuts down too soon to serve it.
+     */
+    @Override
+    public long allowedTime(InFlightRequest inFlight) {
+        return shutdown.allowedTime(
+                clock.now(), inFlight.timeout, inFlight.request.requestClass().latencyObjective());
+    }
+
+    private static long maxSpan(BalancerSettings settings, ToLongFunction<RequestClass> span) {
+        return settings.classes().stream().mapToLong(span).max().orElse(0);
+    }
+
+    @Override
+    public RequestClass requestClass(String name) {
+        return classesByName.get(name);
+    }
+
+    // ---- how many are open ----
+
+    @Override
+    public void opened(ClientConnection connection) {
+        lastAcceptedAt = clock.now();
+        connections.add(connection);
+        evictIdleConnections(lastAcceptedAt);
+        if (connections.size() >= limits.maxClientConnections
+                && listener.config().isAutoRead()) {
+            listener.config().setAutoRead(false);
+            loop.schedule(this::evictUntilAccepting, EVICTABLE_AFTER_NANOS, TimeUnit.NANOSECONDS);
+        }
+    }
+
+    private void evictIdleConnections(long now) {
+        int excess = connections.size() - limits.maxActiveClients;
+        int evictable = 0;
+        for (Iterator<ClientConnection> oldest = idle.iterator(); evictable < excess && oldest.hasNext(); evictable++) {
+            if (oldest.next().idleFor(now) <= EVICTABLE_AFTER_NANOS) {
+                break;
+            }
+        }
+        closeOldestIdle(evictable);
+    }
+
+    /**
+     * Closes this many of the connections that have been idle longest, less those that turn out not to be idle.
+     */
+    private void closeOldestIdle(int count) {
+        // A last read may find a request that is answered at once, which makes its connection idle again.
+        List<ClientConnection> candidates = new ArrayList<>(Math.max(0, count));
+        for (Iterator<ClientConnection> oldest = idle.iterator(); candidates.size() < count && oldest.hasNext(); ) {
+            candidates.add(oldest.next());
+        }
+        candidates.forEach(ClientConnection::closeIfIdle);
+    }
+
+    private void evictUntilAccepting() {
+        evictIdleConnections(clock.now());
+        if (!listener.config().isAutoRead()) {
+            loop.schedule(this::evictUntilAccepting, EVICTABLE_AFTER_NANOS, TimeUnit.NANOSECONDS);
+        }
+    }
+
+    @Override
+    public void closed(ClientConnection connection) {
+        connections.remove(connection);
+        idle.remove(connection);
+        if (connections.size() < limits.maxClientConnections && listener.isOpen()) {
+            listener.config().setAutoRead(true);
+        }
+    }
+
+    /** Whether so many clients have requests in flight that a further request is rejected. */
+    @Override
+    public boolean overloaded() {
+        return connections.size() - idle.size() > limits.maxActiveClients;
+    }
+
+    @Override
+    public void idleChanged(ClientConnection connection, boolean isIdle) {
+        if (isIdle) {
+            idle.add(connection);
+        } else {
+            idle.remove(connection);
+        }
+    }
+
+    int openConnections() {
+        return connections.size();
+    }
+
+    private void sweep() {
+        long now = clock.now();
+        evictIdleConnections(now);
+        for (ClientConnection connection : connections.toArray(new ClientConnection[0])) {
+            connection.checkTimeouts(now);
+        }
+    }
+
+    // ---- the planned end ----
+
+    void drain(Runnable onDrained) {
+        if (!shutdown.started()) {
+            shutdown.start(clock.now());
+            loop.scheduleWithFixedDelay(
+                    () -> drainStep(onDrained), DRAIN_INTERVAL_MS, DRAIN_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    /**
+     * Accepts what the system's backlog holds: closing the listener would reset those connections, requests and
+     * all. Reads as many as the backlog holds, where a usual iteration of the loop accepts a few. Does nothing
+     * while the connection limit is reached.
+     */
+    private void acceptBacklog() {
+        if (listener.config().isAutoRead()
+                && listener.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe
+                && listener.config().getRecvByteBufAllocator()
+                        instanceof MaxMessagesRecvByteBufAllocator receiveAllocator) {
+            receiveAllocator.maxMessagesPerRead(BACKLOG);
+            unsafe.read();
+        }
+    }
+
+    private void drainStep(Runnable onDrained) {
+        long now = clock.now();
+        if (listener.isOpen() && !shutdown.acceptsConnections(now, lastAcceptedAt, connections.size())) {
+            acceptBacklog();
+            Log.line("draining: no new connections from now on, " + connections.size() + " open");
+            listener.close();
+        }
+        if (shutdown.sendsConnectionClose(now)) {
+            idleAtCloseStart = idleAtCloseStart < 0 ? idle.size() : idleAtCloseStart;
+            closeOldestIdle(idle.size() - shutdown.idleConnectionsToKeep(now, idleAtCloseStart));
+        }
+        if (shutdown.isComplete(now)) {
+            dispatcher.answerAll();
+            for (ClientConnection connection : connections.toArray(new ClientConnection[0])) {
+                connection.closeIfLingering();
+            }
+        }
+        if (!listener.isOpen() && connections.isEmpty() && dispatcher.unanswered() == 0) {
+            onDrained.run();
+        }
+    }
+}
--- a/node/src/main/java/weldhitch/node/CallerRequest.java
+++ b/node/src/main/java/weldhitch/node/ClientRequest.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
-import weldhitch.decision.Balancing.RequestClass;
+import weldhitch.decision.settings.RequestClass;
 
 /**
  * A client's request as it is forwarded to endpoints; the body is mutable, and released by {@link Dispatcher}
@@ -11,5 +11,5 @@
  * @param id the value of {@code X-Trace-Id}
  * @param headers all headers of the client's request, hop-by-hop ones included
  */
-record CallerRequest(
-        String id, RequestClass requestClass, HttpMethod method, String uri, HttpHeaders headers, Body body) {}
+record ClientRequest(
+        String id, RequestClass requestClass, HttpMethod method, String uri, HttpHeaders headers, BufferedBody body) {}
--- a/node/src/main/java/weldhitch/node/Discovery.java
+++ b/node/src/main/java/weldhitch/node/Discovery.java
@@ -25,84 +25,87 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import weldhitch.decision.ListAge;
-import weldhitch.decision.ListCalls;
-import weldhitch.decision.ListCalls.Failure;
+import weldhitch.decision.discovery.DiscoveryPolling;
+import weldhitch.decision.discovery.DiscoveryPolling.PollFailure;
+import weldhitch.decision.discovery.EndpointListStaleness;
 import weldhitch.fleet.member.FleetMember;
 
 /**
- * Polls the discovery service by HTTP long polls and hands each endpoint list to the node; {@link ListCalls}
+ * Polls the discovery service by HTTP long polls and hands each endpoint list to the node; {@link DiscoveryPolling}
  * decides on the pauses, backoff and timeouts. Confined to the event loop, except the
- * {@link FleetMember.ListTurns} methods, which the fleet's thread calls.
+ * {@link FleetMember.ListPoller} methods, which the fleet's thread calls.
  */
-final class Discovery implements FleetMember.ListTurns {
-    private static final int LARGEST_ANSWER = 2 << 20;
+final class Discovery implements FleetMember.ListPoller {
+    private static final int MAX_RESPONSE_BYTES = 2 << 20;
     /**
      * Pause between polls that return immediately without an update; within the 200 ms that a watch goes on.
      */
-    private static final long PAUSE = 100_000_000L;
+    private static final long EMPTY_POLL_PAUSE_NANOS = 100_000_000L;
     /** How long a first poll waits for its poll slot: a few of a node's heartbeats to the coordinators. */
-    private static final long FOR_A_TURN = 1_000_000_000L;
+    private static final long POLL_SLOT_WAIT_NANOS = 1_000_000_000L;
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
     private InetSocketAddress address;
-    private final boolean asked;
-    private final Consumer<Roster> onList;
-    private final ListCalls calls;
-    private final ListAge age = new ListAge(System.nanoTime());
+    private final boolean onDemand;
+    private final Consumer<EndpointList> onUpdate;
+    private final DiscoveryPolling polling;
+    private final EndpointListStaleness staleness = new EndpointListStaleness(System.nanoTime());
     private Channel channel;
     private Future<?> timeout;
-    private boolean calling;
+    private boolean pollActive;
     /** The next poll while it waits for its time; null otherwise. */
-    private Future<?> planned;
+    private Future<?> scheduledPoll;
 
-    private long calledAt;
+    private long pollStartedAt;
     /** When the response to the current poll is due: at the end of the wait that it requests. */
-    private long dueAt;
+    private long responseExpectedAt;
 
     private long seq;
-    private boolean heard;
+    private boolean listReceived;
     /** Whether coordinators assign poll slots, and whether one is awaited. */
-    private boolean awaits;
+    private boolean usesPollSlots;
 
-    private volatile boolean wantsTurn;
-    private volatile long turnFrom;
+    private volatile boolean awaitingPollSlot;
+    private volatile long ownPollAt;
     /** When the next poll goes out at the latest, with or without a slot, once a list has been received. */
-    private long askBy;
+    private long latestPollAt;
 
     Discovery(
             EventLoop loop,
             ByteBufAllocator allocator,
             InetSocketAddress address,
-            boolean asked,
+            boolean onDemand,
             long seq,
-            ListCalls calls,
-            Consumer<Roster> onList) {
+            DiscoveryPolling polling,
+            Consumer<EndpointList> onUpdate) {
         this.loop = loop;
-        this.asked = asked;
+        this.onDemand = onDemand;
         this.seq = seq;
-        this.onList = onList;
-        this.calls = calls;
+        this.onUpdate = onUpdate;
+        this.polling = polling;
         this.address = address;
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, allocator)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) TimeUnit.NANOSECONDS.toMillis(calls.dial()))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
+                        TimeUnit.NANOSECONDS.toMillis(polling.connectTimeout()))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
                         ch.pipeline()
                                 .addLast(
-                                        new HttpClientCodec(), new HttpObjectAggregator(LARGEST_ANSWER), new Answers());
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        new ResponseHandler());
                     }
                 });
     }
 
-    boolean heard() {
-        return heard;
+    boolean listReceived() {
+        return listReceived;
     }
 
     InetSocketAddress address() {
@@ -110,18 +113,18 @@
     }
 
     void start() {
-        if (!asked) {
-            call();
+        if (!onDemand) {
+            poll();
         }
     }
 
     /** The balancer subscribes to updates from now on. */
     void subscribe() {
-        if (!calling && awaits) {
+        if (!pollActive && usesPollSlots) {
             // A slot may be on its way; without one the poll goes out when the balancer would have it.
-            later(FOR_A_TURN);
-        } else if (!calling) {
-            call();
+            schedulePoll(POLL_SLOT_WAIT_NANOS);
+        } else if (!pollActive) {
+            poll();
         }
     }
 
@@ -129,28 +132,28 @@
      * From now on coordinators assign poll slots: the first poll, and one after a failure, waits for its slot
      * instead of a random delay. If no slot arrives, it polls as it would without any.
      */
-    void awaitTurns() {
-        awaits = asked;
-        wantsTurn = awaits && !heard;
-        turnFrom = System.nanoTime();
+    void enablePollSlots() {
+        usesPollSlots = onDemand;
+        awaitingPollSlot = usesPollSlots && !listReceived;
+        ownPollAt = System.nanoTime();
     }
 
     @Override
-    public long wantedIn() {
-        return wantsTurn ? Math.max(0, turnFrom - System.nanoTime()) : -1;
+    public long ownPollDelayNanos() {
+        return awaitingPollSlot ? Math.max(0, ownPollAt - System.nanoTime()) : -1;
     }
 
     @Override
-    public void turn(long at) {
-        wantsTurn = false;
+    public void assignPollTime(long pollAt) {
+        awaitingPollSlot = false;
         loop.execute(() -> {
-            boolean waits = planned != null || !calling;
+            boolean waiting = scheduledPoll != null || !pollActive;
             // An overloaded service is polled less often than the slots allow.
-            if (waits && (!heard || calls.failures() > 0) && !calls.overloaded()) {
-                if (planned != null) {
-                    planned.cancel(false);
+            if (waiting && (!listReceived || polling.consecutiveFailures() > 0) && !polling.overloaded()) {
+                if (scheduledPoll != null) {
+                    scheduledPoll.cancel(false);
                 }
-                later(Math.max(0, (heard ? Math.min(at, askBy) : at) - System.nanoTime()));
+                schedulePoll(Math.max(0, (listReceived ? Math.min(pollAt, latestPollAt) : pollAt) - System.nanoTime()));
             }
         });
     }
@@ -160,159 +163,167 @@
      * for long without an update; the new one is asked for the complete list, as its sequence numbers need not
      * continue those of the old one. Until it responds, the current list stays active.
      */
-    void moveTo(InetSocketAddress next) {
-        if (next.equals(address)) {
+    void moveTo(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        Log.line("discovery: moves to " + next);
-        address = next;
-        long wait = calls.moved();
-        stopTimeout();
-        if (planned != null) {
-            planned.cancel(false);
-            planned = null;
+        Log.line("discovery: moves to " + newAddress);
+        address = newAddress;
+        long delayNanos = polling.onServiceChanged();
+        cancelTimeout();
+        if (scheduledPoll != null) {
+            scheduledPoll.cancel(false);
+            scheduledPoll = null;
         }
-        Channel old = channel;
+        Channel oldChannel = channel;
         channel = null;
-        if (old != null) {
-            old.close();
+        if (oldChannel != null) {
+            oldChannel.close();
         }
-        if (calling && wait == 0) {
-            call();
-        } else if (calling) {
-            later(wait);
+        if (pollActive && delayNanos == 0) {
+            poll();
+        } else if (pollActive) {
+            schedulePoll(delayNanos);
         }
     }
 
-    private void call() {
-        calling = true;
-        planned = null;
-        calledAt = System.nanoTime();
+    private void poll() {
+        pollActive = true;
+        scheduledPoll = null;
+        pollStartedAt = System.nanoTime();
         if (channel != null && channel.isActive()) {
-            write();
+            sendRequest();
             return;
         }
-        ChannelFuture dial = bootstrap.connect(address);
-        channel = dial.channel();
-        dial.addListener(f -> {
+        ChannelFuture connectFuture = bootstrap.connect(address);
+        channel = connectFuture.channel();
+        connectFuture.addListener(f -> {
             if (!f.isSuccess()) {
-                dial.channel().close();
-                failed(dial.channel(), Failure.BROKEN, "cannot connect");
-            } else if (channel == dial.channel()) {
-                write();
+                connectFuture.channel().close();
+                pollFailed(connectFuture.channel(), PollFailure.CONNECTION_FAILED, "cannot connect");
+            } else if (channel == connectFuture.channel()) {
+                sendRequest();
             }
         });
     }
 
-    private void write() {
+    private void sendRequest() {
         // An agent answers a first poll without a wait at once, so that the node is ready sooner.
-        long waits = calls.wantsWhole() || !heard && !asked ? 0 : calls.asks();
+        long waitNanos = polling.needsFullList() || !listReceived && !onDemand ? 0 : polling.requestedWait();
         String uri = "/v1/endpoints"
-                + (calls.wantsWhole() ? "" : "?after=" + seq + "&wait_ms=" + TimeUnit.NANOSECONDS.toMillis(waits));
+                + (polling.needsFullList()
+                        ? ""
+                        : "?after=" + seq + "&wait_ms=" + TimeUnit.NANOSECONDS.toMillis(waitNanos));
         DefaultFullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri, Unpooled.EMPTY_BUFFER);
         request.headers().set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
-        Channel on = channel;
-        dueAt = System.nanoTime() + waits;
+        Channel pollChannel = channel;
+        responseExpectedAt = System.nanoTime() + waitNanos;
         timeout = loop.schedule(
-                () -> failed(on, Failure.SILENT, "no answer"), waits + calls.patience(), TimeUnit.NANOSECONDS);
-        on.writeAndFlush(request);
+                () -> pollFailed(pollChannel, PollFailure.TIMED_OUT, "no answer"),
+                waitNanos + polling.responseTimeout(),
+                TimeUnit.NANOSECONDS);
+        pollChannel.writeAndFlush(request);
     }
 
     /** Ends a poll that brought no list; the current list stays valid and polling continues. */
-    private void failed(Channel on, Failure why, String seen) {
-        failed(on, why, seen, 0);
+    private void pollFailed(Channel pollChannel, PollFailure failure, String description) {
+        pollFailed(pollChannel, failure, description, 0);
     }
 
-    private void failed(Channel on, Failure why, String seen, long askedToWait) {
-        if (!calling || on != channel) {
+    private void pollFailed(Channel pollChannel, PollFailure failure, String description, long retryAfter) {
+        if (!pollActive || pollChannel != channel) {
             return;
         }
-        stopTimeout();
+        cancelTimeout();
         channel = null;
-        on.close();
-        long wait = calls.failed(why, askedToWait);
-        if (calls.failures() == 1) {
-            Log.line("discovery: " + seen);
+        pollChannel.close();
+        long delayNanos = polling.recordFailure(failure, retryAfter);
+        if (polling.consecutiveFailures() == 1) {
+            Log.line("discovery: " + description);
         }
-        String word = age.word(System.nanoTime());
-        if (word != null) {
-            Log.line(word);
+        String staleWarning = staleness.warning(System.nanoTime());
+        if (staleWarning != null) {
+            Log.line(staleWarning);
         }
-        later(wait);
-        askBy = System.nanoTime() + calls.longestWait();
-        turnFrom = System.nanoTime() + wait;
-        wantsTurn = awaits;
+        schedulePoll(delayNanos);
+        latestPollAt = System.nanoTime() + polling.maxBackoff();
+        ownPollAt = System.nanoTime() + delayNanos;
+        awaitingPollSlot = usesPollSlots;
     }
 
-    private void later(long nanos) {
-        calling = true;
-        planned = loop.schedule(this::call, nanos, TimeUnit.NANOSECONDS);
+    private void schedulePoll(long delayNanos) {
+        pollActive = true;
+        scheduledPoll = loop.schedule(this::poll, delayNanos, TimeUnit.NANOSECONDS);
     }
 
-    private void stopTimeout() {
+    private void cancelTimeout() {
         if (timeout != null) {
             timeout.cancel(false);
             timeout = null;
         }
     }
 
-    private void answered(Channel on, FullHttpResponse response) {
-        if (!calling || on != channel || timeout == null) {
-            on.close();
+    private void responseReceived(Channel pollChannel, FullHttpResponse response) {
+        if (!pollActive || pollChannel != channel || timeout == null) {
+            pollChannel.close();
             return;
         }
         if (response.status().code() != 200) {
-            failed(on, Failure.REFUSED, "answered " + response.status().code(), Headers.retryAfter(response.headers()));
+            pollFailed(
+                    pollChannel,
+                    PollFailure.REJECTED,
+                    "answered " + response.status().code(),
+                    Headers.parseRetryAfter(response.headers()));
             return;
         }
         if (response.decoderResult().isFailure()) {
-            failed(on, Failure.BROKEN, "broke off its answer");
+            pollFailed(pollChannel, PollFailure.CONNECTION_FAILED, "broke off its answer");
             return;
         }
-        Roster roster;
+        EndpointList endpoints;
         try {
-            roster = Roster.parse(ByteBufUtil.getBytes(response.content()));
+            endpoints = EndpointList.parse(ByteBufUtil.getBytes(response.content()));
         } catch (IOException e) {
-            failed(on, Failure.UNREADABLE, "not a list");
+            pollFailed(pollChannel, PollFailure.MALFORMED, "not a list");
             return;
         }
-        if (calls.wantsWhole() ? !roster.whole() : roster.seq() < seq) {
+        if (polling.needsFullList() ? !endpoints.full() : endpoints.seq() < seq) {
             // A list older than the current one, or changes relative to another, carries no information; only a
             // complete list that was requested does.
-            failed(on, Failure.NOT_HELD, "a list older than the one held, or changes to another one");
+            pollFailed(pollChannel, PollFailure.STALE, "a list older than the one held, or changes to another one");
             return;
         }
-        stopTimeout();
-        if (calls.failures() > 0) {
-            Log.line("discovery: answers again after " + calls.failures() + " failed calls");
+        cancelTimeout();
+        if (polling.consecutiveFailures() > 0) {
+            Log.line("discovery: answers again after " + polling.consecutiveFailures() + " failed calls");
         }
         long now = System.nanoTime();
-        calls.answered(now - dueAt);
-        heard = true;
-        wantsTurn = false;
-        age.sure(now);
-        seq = roster.seq();
+        polling.recordSuccess(now - responseExpectedAt);
+        listReceived = true;
+        awaitingPollSlot = false;
+        staleness.confirm(now);
+        seq = endpoints.seq();
         if (!HttpUtil.isKeepAlive(response)) {
             channel = null;
-            on.close();
+            pollChannel.close();
         }
-        onList.accept(roster);
-        boolean idle = roster.hosts().isEmpty() && now - calledAt < PAUSE;
-        later(idle ? PAUSE : calls.pause());
+        onUpdate.accept(endpoints);
+        boolean emptyPoll = endpoints.endpoints().isEmpty() && now - pollStartedAt < EMPTY_POLL_PAUSE_NANOS;
+        schedulePoll(emptyPoll ? EMPTY_POLL_PAUSE_NANOS : polling.pauseBetweenPolls());
     }
 
     /** Receives the responses of one discovery connection; on the event loop. */
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            answered(context.channel(), response);
+            responseReceived(context.channel(), response);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (timeout != null) {
-                failed(context.channel(), Failure.BROKEN, "connection broke");
+                pollFailed(context.channel(), PollFailure.CONNECTION_FAILED, "connection broke");
             }
         }
 
--- a/node/src/main/java/weldhitch/node/Dispatcher.java
+++ b/node/src/main/java/weldhitch/node/Dispatcher.java
@@ -7,14 +7,37 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import weldhitch.capture.live.Capture;
-import weldhitch.decision.Balancing.*;
-import weldhitch.decision.RatioBalancer;
-import weldhitch.decision.RouteUses;
-import weldhitch.decision.Routes;
-import weldhitch.decision.SnapshotInParts;
+import weldhitch.capture.live.CaptureRecorder;
+import weldhitch.decision.action.BalancerAction;
+import weldhitch.decision.action.CancelAttempt;
+import weldhitch.decision.action.FailRequest;
+import weldhitch.decision.action.LogMessage;
+import weldhitch.decision.action.RejectRequest;
+import weldhitch.decision.action.RequestZones;
+import weldhitch.decision.action.ScheduleTimer;
+import weldhitch.decision.action.SendAttempt;
+import weldhitch.decision.action.SubscribeToEndpoints;
+import weldhitch.decision.balancing.IncrementalSnapshot;
+import weldhitch.decision.balancing.RatioBalancer;
+import weldhitch.decision.balancing.RouteStates;
+import weldhitch.decision.endpoint.AttemptOutcome;
+import weldhitch.decision.endpoint.EndpointEntry;
+import weldhitch.decision.event.AttemptEnded;
+import weldhitch.decision.event.BalancerEvent;
+import weldhitch.decision.event.ClientDisconnected;
+import weldhitch.decision.event.EndpointUpdateKind;
+import weldhitch.decision.event.EndpointsChanged;
+import weldhitch.decision.event.RequestArrived;
+import weldhitch.decision.event.ResponseStarted;
+import weldhitch.decision.event.RoutesChanged;
+import weldhitch.decision.event.TimerFired;
+import weldhitch.decision.event.ZonesAssigned;
+import weldhitch.decision.routing.RouteTable;
+import weldhitch.decision.settings.Idempotency;
+import weldhitch.decision.settings.PlatformLimits;
+import weldhitch.decision.settings.RequestClass;
 import weldhitch.fleet.locality.LocalityRules;
-import weldhitch.fleet.table.Tables.Table;
+import weldhitch.fleet.table.VersionedTables.Table;
 
 /**
  * Connects the balancer to the sockets: turns requests, attempt outcomes, endpoint updates and timers into
@@ -22,55 +45,55 @@
  * thread-safe, confined to the event loop.
  */
 final class Dispatcher implements AttemptListener {
-    private static final long GUARD = 8_000_000L;
+    private static final long WATCHDOG_SLACK_NANOS = 8_000_000L;
     /**
      * Retry-After of a request rejected because a version is in doubt: a few of its node's heartbeats to the
      * coordinators.
      */
-    private static final long REFUSED_FOR = 1_000_000_000L;
+    private static final long REJECTION_RETRY_AFTER_NANOS = 1_000_000_000L;
 
     private final Clock clock;
     private final EventLoop loop;
-    private final RatioBalancer module;
-    private final Limits limits;
-    private final Map<String, Exchange> exchanges = new HashMap<>();
-    private final ArrayDeque<Event> events = new ArrayDeque<>();
-    private ServerConnections servers;
+    private final RatioBalancer balancer;
+    private final PlatformLimits limits;
+    private final Map<String, InFlightRequest> inFlightById = new HashMap<>();
+    private final ArrayDeque<BalancerEvent> eventQueue = new ArrayDeque<>();
+    private ServerConnectionPool connectionPool;
     private Runnable onSubscribe = () -> {};
     /** Records all events that the balancer handles; null if nothing is captured. */
-    private Capture capture;
+    private CaptureRecorder capture;
 
     private boolean delivering;
     private int unanswered;
     /** Decides which routes are active at each moment; null if the node's own route configuration does. */
-    private FleetGate gate;
+    private RouteVersionGate versionGate;
 
-    private Table<Rules> inForce;
+    private Table<RoutingRules> activeRoutes;
     /** Selects the zones that requests may go to; null if the node has no route configuration. */
-    private Placing placing;
+    private ZoneRouter zoneRouter;
 
-    Dispatcher(Clock clock, EventLoop loop, RatioBalancer module, Limits limits) {
+    Dispatcher(Clock clock, EventLoop loop, RatioBalancer balancer, PlatformLimits limits) {
         this.clock = clock;
         this.loop = loop;
-        this.module = module;
+        this.balancer = balancer;
         this.limits = limits;
     }
 
-    void connect(ServerConnections serverConnections, Runnable subscribe) {
-        servers = serverConnections;
+    void connect(ServerConnectionPool pool, Runnable subscribe) {
+        connectionPool = pool;
         onSubscribe = subscribe;
     }
 
     /** Records every event from the next one on; null stops recording. */
-    void capture(Capture next) {
+    void capture(CaptureRecorder next) {
         if (capture != null) {
-            capture.settle();
+            capture.completeSnapshot();
         }
         capture = next;
     }
 
-    SnapshotInParts snapshot() {
-        return module.beginSnapshot();
+    IncrementalSnapshot snapshot() {
+        return balancer.beginSnapshot();
     }
 
     /** Number of requests that still wait for their final answer. */
@@ -78,79 +101,84 @@
         return unanswered;
     }
 
-    boolean holds(String id) {
-        return exchanges.containsKey(id);
+    boolean isInFlight(String id) {
+        return inFlightById.containsKey(id);
     }
 
     // ---- what happens ----
 
     /** A request has been received completely; its timeout counts from here. */
-    void arrived(Exchange x) {
+    void dispatch(InFlightRequest inFlight) {
         long now = clock.now();
-        x.deadline = now + x.patience;
-        exchanges.put(x.request.id(), x);
+        inFlight.deadline = now + inFlight.timeout;
+        inFlightById.put(inFlight.request.id(), inFlight);
         unanswered++;
         // Covers a request that the balancer has lost, or that a fault in the balancer left unanswered.
-        x.guard = loop.schedule(() -> overdue(x), x.patience + GUARD, TimeUnit.NANOSECONDS);
-        CallerRequest r = x.request;
-        if (gate != null && !enter(x)) {
+        inFlight.watchdog = loop.schedule(
+                () -> watchdogExpired(inFlight), inFlight.timeout + WATCHDOG_SLACK_NANOS, TimeUnit.NANOSECONDS);
+        ClientRequest clientRequest = inFlight.request;
+        if (versionGate != null && !acquireRoutes(inFlight)) {
             return;
         }
-        x.placed = placing == null ? null : placing.arrived(r, module.routes().routes());
-        tell(new Arrival(
-                r.id(),
-                r.requestClass().name(),
-                x.deadline,
-                Headers.tenant(r),
-                hintedCost(r),
-                "1".equals(r.headers().get("X-Second-Try")),
-                r.method().name(),
-                r.uri(),
-                x.placed == null ? null : x.placed.zones()));
+        inFlight.zoneSelection = zoneRouter == null
+                ? null
+                : zoneRouter.selectZones(clientRequest, balancer.routes().routes());
+        submit(new RequestArrived(
+                clientRequest.id(),
+                clientRequest.requestClass().name(),
+                inFlight.deadline,
+                Headers.tenant(clientRequest),
+                hintedCost(clientRequest),
+                "1".equals(clientRequest.headers().get("X-Second-Try")),
+                clientRequest.method().name(),
+                clientRequest.uri(),
+                inFlight.zoneSelection == null ? null : inFlight.zoneSelection.zones()));
     }
 
     /** Activates the table that applies to a request arriving now; false if the request is rejected instead. */
-    private boolean enter(Exchange x) {
-        x.table = gate.enter(x.request);
-        if (x.table == null) {
-            finish(x);
-            x.caller.refused(limits.retryAfter() ? Math.min(REFUSED_FOR, limits.maxRetryAfter()) : 0);
-            forget(x);
+    private boolean acquireRoutes(InFlightRequest inFlight) {
+        inFlight.routeTable = versionGate.acquire(inFlight.request);
+        if (inFlight.routeTable == null) {
+            markFinished(inFlight);
+            inFlight.client.rejected(
+                    limits.retryAfterAllowed() ? Math.min(REJECTION_RETRY_AFTER_NANOS, limits.maxRetryAfter()) : 0);
+            removeIfComplete(inFlight);
             return false;
         }
-        if (x.table != inForce) {
-            inForce = x.table;
-            tell(new NewRoutes(
-                    inForce.content().routes().routes(), inForce.content().routes()));
-            placing.rules(inForce.content().locality());
+        if (inFlight.routeTable != activeRoutes) {
+            activeRoutes = inFlight.routeTable;
+            submit(new RoutesChanged(
+                    activeRoutes.content().routes().routes(),
+                    activeRoutes.content().routes()));
+            zoneRouter.applyRules(activeRoutes.content().locality());
         }
         return true;
     }
 
     /** From now on this gate decides which routes are active. */
-    void gate(FleetGate next) {
-        gate = next;
+    void versionGate(RouteVersionGate next) {
+        versionGate = next;
     }
 
     /** The active routes, from which their successors are built. */
-    RouteUses inForce() {
-        return module.routes();
+    RouteStates activeRoutes() {
+        return balancer.routes();
     }
 
     /** Requests that arrive from now on use these routes and locality rules; null for none. */
-    void rules(Routes routes, LocalityRules locality) {
-        tell(new NewRoutes(routes));
-        placing.rules(locality);
+    void applyRules(RouteTable routes, LocalityRules locality) {
+        submit(new RoutesChanged(routes));
+        zoneRouter.applyRules(locality);
     }
 
     /** From now on this router may select the zones that requests go to. */
-    void placing(Placing next) {
-        placing = next;
+    void zoneRouter(ZoneRouter next) {
+        zoneRouter = next;
     }
 
     /** The client's cost hint, sent in microseconds, as seconds; 0 if it is missing or invalid. */
-    private static double hintedCost(CallerRequest x) {
-        String hint = x.headers().get("X-Size-Hint");
+    private static double hintedCost(ClientRequest request) {
+        String hint = request.headers().get("X-Size-Hint");
         try {
             double cost = hint == null ? 0 : Double.parseDouble(hint) / 1e6;
             return cost > 0 && cost < 1e6 ? cost : 0;
@@ -160,76 +188,83 @@
     }
 
     /** Whether responses report the route version that decided their request. */
-    boolean tellsVersion() {
-        return gate != null && gate.tells();
+    boolean reportsVersion() {
+        return versionGate != null && versionGate.reportsVersion();
     }
 
-    void clientGone(Exchange x) {
-        if (finish(x)) {
-            leave(x);
+    void clientDisconnected(InFlightRequest inFlight) {
+        if (markFinished(inFlight)) {
+            abandonRequest(inFlight);
         }
     }
 
     /** The request is answered or no longer wanted: the balancer stops work on it. */
-    private void leave(Exchange x) {
-        tell(new ClientGone(x.request.id()));
-        forget(x);
+    private void abandonRequest(InFlightRequest inFlight) {
+        submit(new ClientDisconnected(inFlight.request.id()));
+        removeIfComplete(inFlight);
     }
 
     /** From here on the client has its final answer. */
     @Override
-    public StreamSink streamBegins(Attempt attempt) {
-        Exchange x = exchanges.get(attempt.request.id());
-        if (!finish(x)) {
+    public StreamSink openStream(Attempt attempt) {
+        InFlightRequest inFlight = inFlightById.get(attempt.request.id());
+        if (!markFinished(inFlight)) {
             return null;
         }
         attempt.streaming = true;
         stopTimer(attempt);
-        tell(new FirstByte(x.request.id(), attempt.number, attempt.server, clock.now() - attempt.sentAt));
-        forget(x);
-        return x.caller;
+        submit(new ResponseStarted(
+                inFlight.request.id(), attempt.number, attempt.endpointId, clock.now() - attempt.sentAt));
+        removeIfComplete(inFlight);
+        return inFlight.client;
     }
 
     @Override
-    public void ended(Attempt attempt, Outcome outcome, ServerAnswer answer) {
+    public void ended(Attempt attempt, AttemptOutcome outcome, ServerResponse response) {
         if (attempt.ended) {
             return;
         }
         attempt.ended = true;
-        attempt.neverRan = outcome.neverRan;
-        attempt.carrier = null;
+        attempt.notExecuted = outcome.notExecuted;
+        attempt.transport = null;
         stopTimer(attempt);
-        Exchange x = exchanges.get(attempt.request.id());
-        x.out--;
-        if (placing != null) {
-            placing.ended(
-                    attempt.server,
+        InFlightRequest inFlight = inFlightById.get(attempt.request.id());
+        inFlight.attemptsInFlight--;
+        if (zoneRouter != null) {
+            zoneRouter.attemptEnded(
+                    attempt.endpointId,
                     outcome,
                     attempt.sentAt,
-                    attempt.request.requestClass().aim());
+                    attempt.request.requestClass().latencyObjective());
         }
-        if (outcome == Outcome.OK && answer != null && finish(x)) {
-            x.caller.served(answer);
+        if (outcome == AttemptOutcome.OK && response != null && markFinished(inFlight)) {
+            inFlight.client.served(response);
         }
         // Load reports are not forwarded: the balancer does not use them.
-        tell(new AttemptEnded(
-                x.request.id(), attempt.number, attempt.server, outcome, clock.now() - attempt.sentAt, x.over, null));
-        forget(x);
-    }
-
-    void membership(ListKind kind, List<ServerEntry> entries) {
-        Membership news = new Membership(kind, entries);
-        if (placing != null) {
-            placing.membership(news);
+        submit(new AttemptEnded(
+                inFlight.request.id(),
+                attempt.number,
+                attempt.endpointId,
+                outcome,
+                clock.now() - attempt.sentAt,
+                inFlight.finished,
+                null));
+        removeIfComplete(inFlight);
+    }
+
+    void endpointsChanged(EndpointUpdateKind kind, List<EndpointEntry> entries) {
+        EndpointsChanged event = new EndpointsChanged(kind, entries);
+        if (zoneRouter != null) {
+            zoneRouter.endpointsChanged(event);
         }
-        tell(news);
+        submit(event);
     }
 
-    private void overdue(Exchange x) {
-        if (finish(x)) {
-            Log.line("request " + x.request.id() + " was left unanswered until its deadline");
-            x.caller.failed(true);
-            leave(x);
+    private void watchdogExpired(InFlightRequest inFlight) {
+        if (markFinished(inFlight)) {
+            Log.line("request " + inFlight.request.id() + " was left unanswered until its deadline");
+            inFlight.client.failed(true);
+            abandonRequest(inFlight);
         }
     }
 
@@ -238,42 +273,42 @@
      * nothing was sent, failed otherwise.
      */
     void answerAll() {
-        List<Exchange> answered = new ArrayList<>();
-        for (Exchange x : exchanges.values()) {
-            if (finish(x)) {
-                answered.add(x);
-                if (x.attempts.isEmpty()) {
-                    x.caller.refused(0);
+        List<InFlightRequest> answered = new ArrayList<>();
+        for (InFlightRequest inFlight : inFlightById.values()) {
+            if (markFinished(inFlight)) {
+                answered.add(inFlight);
+                if (inFlight.attempts.isEmpty()) {
+                    inFlight.client.rejected(0);
                 } else {
-                    x.caller.failed(true);
+                    inFlight.client.failed(true);
                 }
             }
         }
         // Only now, as each removal frees capacity for a waiting request: one that has been answered must not
         // be sent any more.
-        answered.forEach(this::leave);
+        answered.forEach(this::abandonRequest);
     }
 
-    private void expire(Attempt attempt) {
+    private void attemptTimedOut(Attempt attempt) {
         if (!attempt.ended) {
             // An attempt whose last byte has not been written has not started anywhere, and may be rejected
             // instead of failed.
-            boolean written = attempt.written;
-            servers.giveUp(attempt);
-            ended(attempt, written ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, null);
+            boolean written = attempt.requestWritten;
+            connectionPool.abort(attempt);
+            ended(attempt, written ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_FAILED, null);
         }
     }
 
     // ---- the module ----
 
-    private void tell(Event event) {
-        events.add(event);
+    private void submit(BalancerEvent event) {
+        eventQueue.add(event);
         if (delivering) {
             return;
         }
         delivering = true;
         try {
-            for (Event next = events.poll(); next != null; next = events.poll()) {
+            for (BalancerEvent next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
                 deliver(next);
             }
         } finally {
@@ -281,11 +316,11 @@
         }
     }
 
-    private void deliver(Event event) {
+    private void deliver(BalancerEvent event) {
         try {
             long now = clock.now();
-            for (Action action : capture == null ? module.handle(now, event) : captured(now, event)) {
-                carryOut(action);
+            for (BalancerAction action : capture == null ? balancer.handle(now, event) : handleCaptured(now, event)) {
+                execute(action);
             }
         } catch (RuntimeException e) {
             // A fault in the balancer costs the request at hand, which its watchdog ends, and never the
@@ -294,110 +329,118 @@
         }
     }
 
-    private List<Action> captured(long now, Event event) {
-        capture.before(now);
-        List<Action> actions = null;
+    private List<BalancerAction> handleCaptured(long now, BalancerEvent event) {
+        capture.beforeEvent(now);
+        List<BalancerAction> actions = null;
         try {
-            actions = module.handle(now, event);
-            capture.told(now, event, actions);
+            actions = balancer.handle(now, event);
+            capture.afterEvent(now, event, actions);
             return actions;
         } finally {
             if (actions == null) {
-                capture.failed(now);
+                capture.onEventFailed(now);
             }
         }
     }
 
-    private void carryOut(Action action) {
-        if (action instanceof Send send) {
+    private void execute(BalancerAction action) {
+        if (action instanceof SendAttempt send) {
             send(send);
-        } else if (action instanceof SetTimer timer) {
-            loop.schedule(() -> tell(new Timer(timer.token())), timer.after(), TimeUnit.NANOSECONDS);
-        } else if (action instanceof Cancel cancel) {
+        } else if (action instanceof ScheduleTimer timer) {
+            loop.schedule(() -> submit(new TimerFired(timer.token())), timer.delay(), TimeUnit.NANOSECONDS);
+        } else if (action instanceof CancelAttempt cancel) {
             cancel(cancel);
-        } else if (action instanceof Refuse refuse) {
-            Exchange x = exchanges.get(refuse.request());
-            if (x != null && finish(x)) {
-                x.caller.refused(refuse.retryAfter());
-                forget(x);
+        } else if (action instanceof RejectRequest reject) {
+            InFlightRequest inFlight = inFlightById.get(reject.requestId());
+            if (inFlight != null && markFinished(inFlight)) {
+                inFlight.client.rejected(reject.retryAfter());
+                removeIfComplete(inFlight);
             }
-        } else if (action instanceof Fail fail) {
-            Exchange x = exchanges.get(fail.request());
-            if (x != null && finish(x)) {
-                x.caller.failed(fail.late() || clock.now() >= x.deadline);
-                forget(x);
+        } else if (action instanceof FailRequest fail) {
+            InFlightRequest inFlight = inFlightById.get(fail.requestId());
+            if (inFlight != null && markFinished(inFlight)) {
+                inFlight.client.failed(fail.routeDeadlineExceeded() || clock.now() >= inFlight.deadline);
+                removeIfComplete(inFlight);
             }
-        } else if (action instanceof AskZones ask) {
-            Exchange x = exchanges.get(ask.request());
-            if (x != null && !x.over) {
-                x.placed = placing.further(x.placed);
-                tell(new Zoned(ask.request(), x.placed.zones()));
+        } else if (action instanceof RequestZones zoneRequest) {
+            InFlightRequest inFlight = inFlightById.get(zoneRequest.requestId());
+            if (inFlight != null && !inFlight.finished) {
+                inFlight.zoneSelection = zoneRouter.selectNextZones(inFlight.zoneSelection);
+                submit(new ZonesAssigned(zoneRequest.requestId(), inFlight.zoneSelection.zones()));
             }
-        } else if (action instanceof Subscribe) {
+        } else if (action instanceof SubscribeToEndpoints) {
             onSubscribe.run();
-        } else if (action instanceof Report report) {
+        } else if (action instanceof LogMessage report) {
             Log.line(report.text());
         }
     }
 
-    private void send(Send send) {
-        Exchange x = exchanges.get(send.request());
-        if (x == null) {
+    private void send(SendAttempt send) {
+        InFlightRequest inFlight = inFlightById.get(send.requestId());
+        if (inFlight == null) {
             return;
         }
         long now = clock.now();
-        long until = send.timeout() > 0 ? Math.min(x.deadline, now + send.timeout()) : x.deadline;
-        Attempt attempt = new Attempt(x.request, x.attempts.size(), send.server(), now, until, repeatUntil(x));
-        x.attempts.add(attempt);
-        x.out++;
-        if (x.over || now >= until || attempt.number >= limits.maxAttempts()) {
-            ended(attempt, Outcome.NOT_SENT, null);
+        long attemptDeadline =
+                send.timeout() > 0 ? Math.min(inFlight.deadline, now + send.timeout()) : inFlight.deadline;
+        Attempt attempt = new Attempt(
+                inFlight.request,
+                inFlight.attempts.size(),
+                send.endpointId(),
+                now,
+                attemptDeadline,
+                deduplicatedUntil(inFlight));
+        inFlight.attempts.add(attempt);
+        inFlight.attemptsInFlight++;
+        if (inFlight.finished || now >= attemptDeadline || attempt.number >= limits.maxAttempts()) {
+            ended(attempt, AttemptOutcome.NOT_SENT, null);
             return;
         }
-        attempt.timer = loop.schedule(() -> expire(attempt), until - now, TimeUnit.NANOSECONDS);
-        if (placing != null) {
-            placing.sent(send.server(), x.placed);
+        attempt.timeoutTimer =
+                loop.schedule(() -> attemptTimedOut(attempt), attemptDeadline - now, TimeUnit.NANOSECONDS);
+        if (zoneRouter != null) {
+            zoneRouter.attemptSent(send.endpointId(), inFlight.zoneSelection);
         }
-        servers.send(attempt);
+        connectionPool.send(attempt);
     }
 
     /**
      * Until when endpoints deduplicate a repeat of an attempt that may have run. Counted from the decision to
      * send that attempt, which precedes the first byte from which the endpoints remember it.
      */
-    private static long repeatUntil(Exchange x) {
-        RequestClass requestClass = x.request.requestClass();
-        if (requestClass.effect() == Effect.KEYED) {
-            for (Attempt attempt : x.attempts) {
-                if (!attempt.neverRan) {
-                    return attempt.sentAt + requestClass.memory();
+    private static long deduplicatedUntil(InFlightRequest inFlight) {
+        RequestClass requestClass = inFlight.request.requestClass();
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+            for (Attempt attempt : inFlight.attempts) {
+                if (!attempt.notExecuted) {
+                    return attempt.sentAt + requestClass.deduplicationWindow();
                 }
             }
         }
         return Long.MAX_VALUE;
     }
 
-    private void cancel(Cancel cancel) {
-        Exchange x = exchanges.get(cancel.request());
-        if (x == null || cancel.attempt() < 0 || cancel.attempt() >= x.attempts.size()) {
+    private void cancel(CancelAttempt cancel) {
+        InFlightRequest inFlight = inFlightById.get(cancel.requestId());
+        if (inFlight == null || cancel.attempt() < 0 || cancel.attempt() >= inFlight.attempts.size()) {
             return;
         }
-        Attempt attempt = x.attempts.get(cancel.attempt());
+        Attempt attempt = inFlight.attempts.get(cancel.attempt());
         if (!attempt.ended && !attempt.streaming) {
-            servers.giveUp(attempt);
-            ended(attempt, Outcome.CANCELLED, null);
+            connectionPool.abort(attempt);
+            ended(attempt, AttemptOutcome.CANCELLED, null);
         }
     }
 
     // ---- ends ----
 
     /** Marks the request as answered; false if it already was. */
-    private boolean finish(Exchange x) {
-        if (x.over) {
+    private boolean markFinished(InFlightRequest inFlight) {
+        if (inFlight.finished) {
             return false;
         }
-        x.over = true;
-        x.guard.cancel(false);
+        inFlight.finished = true;
+        inFlight.watchdog.cancel(false);
         unanswered--;
         return true;
     }
@@ -407,32 +450,34 @@
      * an attempt whose last byte has not been written does not exist yet for its endpoint, and must not come
      * to.
      */
-    private void callOffUnwritten(Exchange x) {
-        for (int i = 0; i < x.attempts.size() && x.out > 0; i++) {
-            Attempt attempt = x.attempts.get(i);
-            if (!attempt.ended && !attempt.written && !attempt.streaming) {
-                servers.giveUp(attempt);
-                ended(attempt, Outcome.NOT_SENT, null);
+    private void cancelUnwrittenAttempts(InFlightRequest inFlight) {
+        for (int i = 0; i < inFlight.attempts.size() && inFlight.attemptsInFlight > 0; i++) {
+            Attempt attempt = inFlight.attempts.get(i);
+            if (!attempt.ended && !attempt.requestWritten && !attempt.streaming) {
+                connectionPool.abort(attempt);
+                ended(attempt, AttemptOutcome.NOT_SENT, null);
             }
         }
     }
 
-    private void forget(Exchange x) {
-        if (x.over && !limits.cancel()) {
-            callOffUnwritten(x);
+    private void removeIfComplete(InFlightRequest inFlight) {
+        if (inFlight.finished && !limits.cancellationAllowed()) {
+            cancelUnwrittenAttempts(inFlight);
         }
-        if (x.over && x.out == 0 && exchanges.remove(x.request.id(), x)) {
-            x.request.body().release();
-            if (x.table != null) {
-                gate.leave(x.table);
+        if (inFlight.finished
+                && inFlight.attemptsInFlight == 0
+                && inFlightById.remove(inFlight.request.id(), inFlight)) {
+            inFlight.request.body().release();
+            if (inFlight.routeTable != null) {
+                versionGate.release(inFlight.routeTable);
             }
         }
     }
 
     private static void stopTimer(Attempt attempt) {
-        if (attempt.timer != null) {
-            attempt.timer.cancel(false);
-            attempt.timer = null;
+        if (attempt.timeoutTimer != null) {
+            attempt.timeoutTimer.cancel(false);
+            attempt.timeoutTimer = null;
         }
     }
 }
--- a/node/src/main/java/weldhitch/node/Log.java
+++ b/node/src/main/java/weldhitch/node/Log.java
@@ -9,12 +9,12 @@
  */
 final class Log {
     private static final int LINES_PER_SECOND = 30;
-    private static final int LONGEST = 400;
-    private static final ArrayBlockingQueue<String> LINES = new ArrayBlockingQueue<>(256);
+    private static final int MAX_LINE_LENGTH = 400;
+    private static final ArrayBlockingQueue<String> QUEUE = new ArrayBlockingQueue<>(256);
 
-    private static long second;
-    private static int lines;
-    private static int leftOut;
+    private static long currentSecond;
+    private static int linesThisSecond;
+    private static int droppedLines;
 
     static {
         Thread writer = new Thread(Log::write, "log");
@@ -26,29 +26,29 @@
 
     static synchronized void line(String text) {
         long now = System.nanoTime() / 1_000_000_000L;
-        if (now != second) {
-            second = now;
-            lines = 0;
-            if (leftOut > 0) {
-                LINES.offer(leftOut + " lines left out");
-                leftOut = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            linesThisSecond = 0;
+            if (droppedLines > 0) {
+                QUEUE.offer(droppedLines + " lines left out");
+                droppedLines = 0;
             }
         }
-        String clean = text.length() > LONGEST ? text.substring(0, LONGEST) : text;
-        if (++lines > LINES_PER_SECOND || !LINES.offer(clean.replaceAll("\\p{Cntrl}", "?"))) {
-            leftOut++;
+        String truncated = text.length() > MAX_LINE_LENGTH ? text.substring(0, MAX_LINE_LENGTH) : text;
+        if (++linesThisSecond > LINES_PER_SECOND || !QUEUE.offer(truncated.replaceAll("\\p{Cntrl}", "?"))) {
+            droppedLines++;
         }
     }
 
-    static void failure(String doing, Throwable cause) {
-        StackTraceElement[] trace = cause.getStackTrace();
-        line(doing + ": " + cause + (trace.length > 0 ? " at " + trace[0] : ""));
+    static void failure(String operation, Throwable cause) {
+        StackTraceElement[] stackTrace = cause.getStackTrace();
+        line(operation + ": " + cause + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
     }
 
     private static void write() {
         try {
             while (true) {
-                System.err.println(LINES.take());
+                System.err.println(QUEUE.take());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/node/src/main/java/weldhitch/node/Node.java
+++ b/node/src/main/java/weldhitch/node/Node.java
@@ -12,11 +12,11 @@
 import java.util.UUID;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import weldhitch.decision.Balancing.ListKind;
-import weldhitch.decision.Balancing.Settings;
-import weldhitch.decision.ListCalls;
-import weldhitch.decision.RatioBalancer;
-import weldhitch.decision.RouteUses;
+import weldhitch.decision.balancing.RatioBalancer;
+import weldhitch.decision.balancing.RouteStates;
+import weldhitch.decision.discovery.DiscoveryPolling;
+import weldhitch.decision.event.EndpointUpdateKind;
+import weldhitch.decision.settings.BalancerSettings;
 import weldhitch.fleet.member.FleetMember;
 import weldhitch.fleet.member.FleetSettings;
 
@@ -29,39 +29,39 @@
      * How long a node without any response from discovery waits before it serves by the endpoint list it was
      * started with.
      */
-    private static final long WAIT_FOR_LIST = 1_000_000_000L;
+    private static final long INITIAL_LIST_TIMEOUT_NANOS = 1_000_000_000L;
 
-    private static final long LONGEST_DRAIN_S = 10;
+    private static final long MAX_DRAIN_SECONDS = 10;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Clock clock = new Clock();
     private final long startedAt = clock.now();
     private final CountDownLatch drained = new CountDownLatch(1);
     /** Reads the route configuration; null if none was given. */
-    private final OperatorRules operator;
+    private final RouteConfigLoader routeConfig;
 
     private Dispatcher dispatcher;
-    private ServerConnections servers;
+    private ServerConnectionPool serverConnections;
     private Discovery discovery;
-    private ClientServer clients;
-    private Budget budget;
+    private ClientConnectionManager clientConnections;
+    private ResourceLimits limits;
     /** Turns captures on and off; null if no route configuration was given. */
-    private Recording recording;
+    private CaptureControl captureControl;
     /** This node's membership in the fleet, with the active routes; null if it is not part of one. */
-    private FleetMember<Rules> fleet;
+    private FleetMember<RoutingRules> fleetMember;
 
-    private volatile FleetGate gate;
+    private volatile RouteVersionGate versionGate;
     /** Selects the zones that requests may go to; null if no route configuration was given. */
-    private Placing placing;
+    private ZoneRouter zoneRouter;
 
-    private int siblings = 1;
-    private boolean anyServer;
-    private InetSocketAddress bound;
+    private int nodeCount = 1;
+    private boolean endpointsKnown;
+    private InetSocketAddress boundAddress;
     private final String name;
 
-    private Node(String name, OperatorRules operator) {
+    private Node(String name, RouteConfigLoader operator) {
         this.name = name;
-        this.operator = operator;
+        this.routeConfig = operator;
     }
 
     /**
@@ -71,7 +71,7 @@
      * @return its settings
      * @throws IllegalArgumentException with a one-line message that names the invalid setting
      */
-    public static Settings platform(Path config) {
+    public static BalancerSettings platformSettings(Path config) {
         try {
             return NodeConfig.load(Map.of("GW_CONFIG", config.toString())).settings();
         } catch (NodeConfig.InvalidConfigException e) {
@@ -83,26 +83,28 @@
         return start(config, null);
     }
 
-    static Node start(NodeConfig config, Path operator) throws Exception {
-        Node node = prepare(config, operator);
-        node.listen(node.opening(config));
+    static Node start(NodeConfig config, Path operatorFile) throws Exception {
+        Node node = prepare(config, operatorFile);
+        node.awaitBound(node.bind(config));
         return node;
     }
 
     /** Creates a node that knows its endpoints and polls discovery, and does not listen yet. */
-    static Node prepare(NodeConfig config, Path operator) throws Exception {
-        Node node = new Node(config.name(), operator == null ? null : new OperatorRules(operator, config.settings()));
-        OperatorRules.Made made = node.operator == null ? null : node.operator.first();
+    static Node prepare(NodeConfig config, Path operatorFile) throws Exception {
+        Node node = new Node(
+                config.name(), operatorFile == null ? null : new RouteConfigLoader(operatorFile, config.settings()));
+        RouteConfigLoader.LoadedRules loadedRules = node.routeConfig == null ? null : node.routeConfig.load();
         try {
-            node.group.next().submit(() -> node.build(config)).sync();
-            if (made != null) {
+            node.group.next().submit(() -> node.buildComponents(config)).sync();
+            if (loadedRules != null) {
                 node.group
                         .next()
-                        .submit(() -> node.dispatcher.rules(made.routes(), made.locality()))
+                        .submit(() -> node.dispatcher.applyRules(loadedRules.routes(), loadedRules.locality()))
                         .sync();
-                node.recording = new Recording(config.name(), config.settings(), node.group.next(), node.dispatcher);
-                node.recording.put(node.operator.capture());
-                node.joinFleet(config, made);
+                node.captureControl =
+                        new CaptureControl(config.name(), config.settings(), node.group.next(), node.dispatcher);
+                node.captureControl.apply(node.routeConfig.capture());
+                node.joinFleet(config, loadedRules);
             }
         } catch (Exception e) {
             node.group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -114,33 +116,34 @@
     /**
      * Schedules the opening of the listener on the loop, ahead of everything submitted to the loop after this.
      */
-    Future<ChannelFuture> opening(NodeConfig config) {
-        return group.next().submit(() -> clients.listen(config.listen()));
+    Future<ChannelFuture> bind(NodeConfig config) {
+        return group.next().submit(() -> clientConnections.listen(config.listen()));
     }
 
     /** Waits until the listener is open. */
-    void listen(Future<ChannelFuture> opening) throws Exception {
+    void awaitBound(Future<ChannelFuture> bindFuture) throws Exception {
         try {
-            bound = (InetSocketAddress) opening.sync().getNow().sync().channel().localAddress();
+            boundAddress = (InetSocketAddress)
+                    bindFuture.sync().getNow().sync().channel().localAddress();
         } catch (Exception e) {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             throw e;
         }
-        Log.line("node " + name + " listens on " + bound);
+        Log.line("node " + name + " listens on " + boundAddress);
     }
 
-    private void build(NodeConfig config) {
+    private void buildComponents(NodeConfig config) {
         EventLoop loop = group.next();
-        siblings = config.settings().siblings();
+        nodeCount = config.settings().nodeCount();
         ByteBufAllocator allocator = Sockets.allocator();
-        budget = new Budget(config.sockets(), Runtime.getRuntime().maxMemory());
-        RatioBalancer module = new RatioBalancer(config.settings(), config.seed());
-        dispatcher = new Dispatcher(clock, loop, module, config.settings().limits());
-        servers = new ServerConnections(
+        limits = new ResourceLimits(config.sockets(), Runtime.getRuntime().maxMemory());
+        RatioBalancer balancer = new RatioBalancer(config.settings(), config.seed());
+        dispatcher = new Dispatcher(clock, loop, balancer, config.settings().limits());
+        serverConnections = new ServerConnectionPool(
                 loop,
                 allocator,
                 clock,
-                budget,
+                limits,
                 dispatcher,
                 config.keepalive(),
                 config.settings().limits().connectTimeout());
@@ -148,78 +151,83 @@
                 loop,
                 allocator,
                 config.discovery(),
-                config.settings().mustAskMembership(),
-                config.known().seq(),
-                listCalls(config),
-                roster -> apply(roster, roster.whole() ? ListKind.ALL : ListKind.CHANGES));
-        dispatcher.connect(servers, discovery::subscribe);
-        if (operator != null) {
-            placing =
-                    new Placing(config.name(), config.settings(), config.seed(), operator.fleet() != null, clock, loop);
-            dispatcher.placing(placing);
+                config.settings().pollsEndpoints(),
+                config.knownEndpoints().seq(),
+                discoveryPolling(config),
+                endpoints -> applyEndpoints(
+                        endpoints, endpoints.full() ? EndpointUpdateKind.FULL : EndpointUpdateKind.DELTA));
+        dispatcher.connect(serverConnections, discovery::subscribe);
+        if (routeConfig != null) {
+            zoneRouter = new ZoneRouter(
+                    config.name(), config.settings(), config.seed(), routeConfig.fleet() != null, clock, loop);
+            dispatcher.zoneRouter(zoneRouter);
         }
-        clients = new ClientServer(loop, allocator, clock, budget, dispatcher, config.settings(), this::ready);
-        apply(config.known(), ListKind.REMEMBERED);
+        clientConnections =
+                new ClientConnectionManager(loop, allocator, clock, limits, dispatcher, config.settings(), this::ready);
+        applyEndpoints(config.knownEndpoints(), EndpointUpdateKind.CACHED);
         discovery.start();
     }
 
-    private static ListCalls listCalls(NodeConfig config) {
-        Settings settings = config.settings();
-        return settings.mustAskMembership()
-                ? ListCalls.ofSharedService(
-                        config.seed(), settings.siblings(), settings.rules().askEvery())
-                : new ListCalls(config.seed(), settings.siblings());
+    private static DiscoveryPolling discoveryPolling(NodeConfig config) {
+        BalancerSettings settings = config.settings();
+        return settings.pollsEndpoints()
+                ? DiscoveryPolling.ofSharedService(
+                        config.seed(), settings.nodeCount(), settings.rules().maxPollInterval())
+                : new DiscoveryPolling(config.seed(), settings.nodeCount());
     }
 
-    private void apply(Roster roster, ListKind kind) {
-        anyServer |= !roster.hosts().isEmpty();
-        servers.apply(roster);
-        dispatcher.membership(kind, roster.entries());
+    private void applyEndpoints(EndpointList endpoints, EndpointUpdateKind kind) {
+        endpointsKnown |= !endpoints.endpoints().isEmpty();
+        serverConnections.apply(endpoints);
+        dispatcher.endpointsChanged(kind, endpoints.entries());
     }
 
     /** Joins the fleet if the route configuration says so. Blocks on the loop, so must not be called on it. */
-    private void joinFleet(NodeConfig config, OperatorRules.Made own) {
-        FleetSettings settings = operator.fleet();
+    private void joinFleet(NodeConfig config, RouteConfigLoader.LoadedRules ownRules) {
+        FleetSettings settings = routeConfig.fleet();
         if (settings == null) {
             return;
         }
-        group.next().submit(discovery::awaitTurns).syncUninterruptibly();
+        group.next().submit(discovery::enablePollSlots).syncUninterruptibly();
         String incarnation = UUID.randomUUID().toString();
-        fleet = new FleetMember<>(
+        fleetMember = new FleetMember<>(
                 settings,
                 config.name(),
                 incarnation,
-                new Rules(inForce(), own.locality()),
+                new RoutingRules(activeRoutes(), ownRules.locality()),
                 (file, bundle, errors) -> {
-                    OperatorRules.Made made = operator.version(file, bundle, errors);
-                    return made == null
+                    RouteConfigLoader.LoadedRules loadedRules = routeConfig.parseVersion(file, bundle, errors);
+                    return loadedRules == null
                             ? null
-                            : new Rules(
-                                    inForce()
-                                            .then(
-                                                    made.routes(),
-                                                    config.settings().siblings()),
-                                    made.locality());
+                            : new RoutingRules(
+                                    activeRoutes()
+                                            .prepareNext(
+                                                    loadedRules.routes(),
+                                                    config.settings().nodeCount()),
+                                    loadedRules.locality());
                 },
-                placing,
+                zoneRouter,
                 discovery,
                 Log::line);
-        gate = new FleetGate(fleet, settings.tellVersion());
-        group.next().submit(() -> dispatcher.gate(gate)).syncUninterruptibly();
+        versionGate = new RouteVersionGate(fleetMember, settings.exposeVersion());
+        group.next().submit(() -> dispatcher.versionGate(versionGate)).syncUninterruptibly();
     }
 
-    private RouteUses inForce() {
-        return group.next().submit(dispatcher::inForce).syncUninterruptibly().getNow();
+    private RouteStates activeRoutes() {
+        return group.next()
+                .submit(dispatcher::activeRoutes)
+                .syncUninterruptibly()
+                .getNow();
     }
 
     private boolean ready() {
-        return (gate == null || !gate.fenced())
-                && anyServer
-                && (discovery.heard() || clock.now() - startedAt > WAIT_FOR_LIST);
+        return (versionGate == null || !versionGate.fenced())
+                && endpointsKnown
+                && (discovery.listReceived() || clock.now() - startedAt > INITIAL_LIST_TIMEOUT_NANOS);
     }
 
     InetSocketAddress address() {
-        return bound;
+        return boundAddress;
     }
 
     /** The one loop that does all work. For tests, like the three methods below. */
@@ -230,21 +238,21 @@
     /** Number of open client connections. */
     int openConnections() {
         return group.next()
-                .submit(clients::openConnections)
+                .submit(clientConnections::openConnections)
                 .syncUninterruptibly()
                 .getNow();
     }
 
     /** Bytes reserved for bodies and pipelined input. */
-    long heldBytes() {
-        return group.next().submit(budget::held).syncUninterruptibly().getNow();
+    long reservedBytes() {
+        return group.next().submit(limits::reservedBytes).syncUninterruptibly().getNow();
     }
 
     /** Host and port of the discovery service that is polled. */
     String discoveryAddress() {
-        InetSocketAddress at =
+        InetSocketAddress address =
                 group.next().submit(discovery::address).syncUninterruptibly().getNow();
-        return at.getAddress().getHostAddress() + ":" + at.getPort();
+        return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /**
@@ -253,16 +261,17 @@
      * routes are active, so must not be called on the loop.
      */
     void reload(Map<String, String> environment) {
-        OperatorRules.Made made = operator == null ? null : operator.again();
-        if (made != null && fleet != null) {
+        RouteConfigLoader.LoadedRules loadedRules = routeConfig == null ? null : routeConfig.reload();
+        if (loadedRules != null && fleetMember != null) {
             // The fleet's route version takes precedence as long as there is one.
-            fleet.own(new Rules(inForce().then(made.routes(), siblings), made.locality()));
-            recording.put(operator.capture());
-        } else if (made != null) {
+            fleetMember.replaceOwnTable(new RoutingRules(
+                    activeRoutes().prepareNext(loadedRules.routes(), nodeCount), loadedRules.locality()));
+            captureControl.apply(routeConfig.capture());
+        } else if (loadedRules != null) {
             group.next()
-                    .submit(() -> dispatcher.rules(made.routes(), made.locality()))
+                    .submit(() -> dispatcher.applyRules(loadedRules.routes(), loadedRules.locality()))
                     .syncUninterruptibly();
-            recording.put(operator.capture());
+            captureControl.apply(routeConfig.capture());
         }
         try {
             NodeConfig config = NodeConfig.reload(environment);
@@ -275,29 +284,29 @@
     /** Shuts down gracefully: returns once all received requests are answered, or after 10 s. */
     void drain() {
         Log.line("draining");
-        group.next().execute(() -> clients.drain(drained::countDown));
+        group.next().execute(() -> clientConnections.drain(drained::countDown));
         try {
-            drained.await(LONGEST_DRAIN_S, TimeUnit.SECONDS);
+            drained.await(MAX_DRAIN_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        leaveFleet();
-        if (recording != null) {
-            recording.put(null);
+        closeFleetMember();
+        if (captureControl != null) {
+            captureControl.apply(null);
         }
     }
 
-    private void leaveFleet() {
-        if (fleet != null) {
-            fleet.close();
+    private void closeFleetMember() {
+        if (fleetMember != null) {
+            fleetMember.close();
         }
     }
 
     /** Shuts down immediately. */
     void stop() {
-        leaveFleet();
-        if (recording != null) {
-            recording.put(null);
+        closeFleetMember();
+        if (captureControl != null) {
+            captureControl.apply(null);
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
--- a/node/src/main/java/weldhitch/node/NodeConfig.java
+++ b/node/src/main/java/weldhitch/node/NodeConfig.java
@@ -9,8 +9,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import weldhitch.decision.Balancing.Settings;
-import weldhitch.decision.FlatSettings;
+import weldhitch.decision.settings.BalancerSettings;
+import weldhitch.decision.settings.FlatSettingsParser;
 
 /**
  * The node's configuration: the environment and the file that {@code GW_CONFIG} names. Immutable.
@@ -18,7 +18,7 @@
  * @param listen where clients connect
  * @param discovery the address of the discovery service
  * @param sockets the limit of open descriptors, at least 100
- * @param known the cached endpoint list from the previous process
+ * @param knownEndpoints the cached endpoint list from the previous process
  * @param keepalive nanoseconds that servers keep an idle connection open
  */
 record NodeConfig(
@@ -27,10 +27,10 @@
         InetSocketAddress discovery,
         long seed,
         int sockets,
-        Roster known,
-        Settings settings,
+        EndpointList knownEndpoints,
+        BalancerSettings settings,
         long keepalive) {
-    private static final long USUAL_KEEPALIVE = 5_000_000_000L;
+    private static final long DEFAULT_KEEP_ALIVE_NANOS = 5_000_000_000L;
 
     /** A setting that is missing or invalid; the message is one line and names it. */
     static final class InvalidConfigException extends Exception {
@@ -65,26 +65,26 @@
      * the start, so here the file's address takes precedence.
      */
     static NodeConfig reload(Map<String, String> environment) throws InvalidConfigException {
-        Map<String, String> without = new HashMap<>(environment);
-        without.remove("GW_DISCOVERY");
-        return load(without);
+        Map<String, String> withoutDiscovery = new HashMap<>(environment);
+        withoutDiscovery.remove("GW_DISCOVERY");
+        return load(withoutDiscovery);
     }
 
     /** The name and addresses in the environment take precedence over those of the file, which are the same. */
     static NodeConfig parse(byte[] json, Map<String, String> environment) throws InvalidConfigException {
         Map<String, String> flat = new HashMap<>();
-        Roster known = new Roster(0, true, List.of());
-        try (JsonParser p = Roster.JSON.createParser(json)) {
-            if (p.nextToken() != JsonToken.START_OBJECT) {
+        EndpointList knownEndpoints = new EndpointList(0, true, List.of());
+        try (JsonParser parser = EndpointList.JSON_FACTORY.createParser(json)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidConfigException("GW_CONFIG: not a JSON object");
             }
-            while (p.nextToken() != JsonToken.END_OBJECT) {
-                String name = p.currentName();
-                p.nextToken();
-                if (name.equals("known") && p.currentToken() == JsonToken.START_OBJECT) {
-                    known = Roster.read(p);
+            while (parser.nextToken() != JsonToken.END_OBJECT) {
+                String name = parser.currentName();
+                parser.nextToken();
+                if (name.equals("known") && parser.currentToken() == JsonToken.START_OBJECT) {
+                    knownEndpoints = EndpointList.read(parser);
                 } else {
-                    flatten(p, name, flat);
+                    flatten(parser, name, flat);
                 }
             }
         } catch (IOException e) {
@@ -95,33 +95,33 @@
                 flat.put(variable.substring(3).toLowerCase(java.util.Locale.ROOT), value);
             }
         });
-        Map<String, String> pairs = new HashMap<>();
+        Map<String, String> settingPairs = new HashMap<>();
         flat.forEach((path, value) -> {
             if (path.startsWith("settings.")) {
-                pairs.put(path.substring("settings.".length()), value);
+                settingPairs.put(path.substring("settings.".length()), value);
             }
         });
-        if (pairs.isEmpty()) {
+        if (settingPairs.isEmpty()) {
             throw new InvalidConfigException(
                     "settings: found none, expected the object that the platform's page describes");
         }
         try {
-            FlatSettings flatSettings = new FlatSettings(pairs);
-            Settings settings = flatSettings.settings();
+            FlatSettingsParser flatSettings = new FlatSettingsParser(settingPairs);
+            BalancerSettings settings = flatSettings.settings();
             if (settings.classes().stream().anyMatch(c -> c.name().isEmpty())) {
                 // Requests name their class, so no request could ever use this one.
                 throw new InvalidConfigException("settings: classes.name: found none, expected the name of a class");
             }
-            long keepalive = flatSettings.span("limits.keepaliveS");
+            long keepalive = flatSettings.durationNanos("limits.keepaliveS");
             return new NodeConfig(
                     flat.getOrDefault("name", ""),
                     address(flat, "listen"),
                     address(flat, "discovery"),
                     seed(flat),
                     sockets(flat),
-                    known,
+                    knownEndpoints,
                     settings,
-                    keepalive > 0 ? keepalive : USUAL_KEEPALIVE);
+                    keepalive > 0 ? keepalive : DEFAULT_KEEP_ALIVE_NANOS);
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigException("settings: " + e.getMessage());
         }
@@ -130,7 +130,7 @@
     private static InetSocketAddress address(Map<String, String> flat, String name) throws InvalidConfigException {
         String text = flat.getOrDefault(name, "");
         try {
-            return Roster.address(text);
+            return EndpointList.address(text);
         } catch (IOException e) {
             throw new InvalidConfigException(name + ": found " + (text.isEmpty() ? "none" : text)
                     + ", expected an address in digits and a port");
@@ -160,36 +160,37 @@
                 "limits.sockets: found " + (text.isEmpty() ? "none" : text) + ", expected a number of 100 or more");
     }
 
-    private static void flatten(JsonParser p, String path, Map<String, String> flat) throws IOException {
-        switch (p.currentToken()) {
+    private static void flatten(JsonParser parser, String path, Map<String, String> flat) throws IOException {
+        switch (parser.currentToken()) {
             case START_OBJECT -> {
-                while (p.nextToken() != JsonToken.END_OBJECT) {
-                    String name = p.currentName();
-                    p.nextToken();
-                    flatten(p, path + "." + name, flat);
+                while (parser.nextToken() != JsonToken.END_OBJECT) {
+                    String name = parser.currentName();
+                    parser.nextToken();
+                    flatten(parser, path + "." + name, flat);
                 }
             }
             case START_ARRAY -> {
-                StringBuilder plain = new StringBuilder();
+                StringBuilder joined = new StringBuilder();
                 int count = 0;
-                boolean objects = false;
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    if (p.currentToken().isScalarValue()) {
-                        plain.append(count == 0 ? "" : ",").append(p.getText().replace(',', '_'));
+                boolean containsObjects = false;
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    if (parser.currentToken().isScalarValue()) {
+                        joined.append(count == 0 ? "" : ",")
+                                .append(parser.getText().replace(',', '_'));
                     } else {
-                        objects = true;
-                        flatten(p, path + "." + count, flat);
+                        containsObjects = true;
+                        flatten(parser, path + "." + count, flat);
                     }
                     count++;
                 }
-                if (objects) {
+                if (containsObjects) {
                     flat.put(path + ".count", Integer.toString(count));
                 } else {
-                    flat.put(path, plain.toString());
+                    flat.put(path, joined.toString());
                 }
             }
             case VALUE_NULL -> {}
-            default -> flat.put(path, p.getText());
+            default -> flat.put(path, parser.getText());
         }
     }
 }
--- a/node/src/main/java/weldhitch/node/NodeService.java
+++ b/node/src/main/java/weldhitch/node/NodeService.java
@@ -5,11 +5,11 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.function.Function;
-import weldhitch.decision.LifeCycle;
-import weldhitch.decision.LifeCycle.Step;
+import weldhitch.decision.lifecycle.ProcessLifecycle;
+import weldhitch.decision.lifecycle.ProcessLifecycle.LifecycleAction;
 
 /**
- * A node as a process: executes what {@link LifeCycle} decides for each signal. Installs its signal handlers
+ * A node as a process: executes what {@link ProcessLifecycle} decides for each signal. Installs its signal handlers
  * before anybody can connect, as without them the runtime ends the process on a signal and the requests
  * received by then are lost. Thread-safe: signals arrive on threads of their own.
  */
@@ -18,24 +18,24 @@
 
     private final Map<String, String> environment;
     /** Guarded by itself: signals arrive on threads of their own. */
-    private final LifeCycle life = new LifeCycle();
+    private final ProcessLifecycle lifecycle = new ProcessLifecycle();
 
     private volatile Node node;
 
     NodeService(Map<String, String> environment, Signals signals) {
         this.environment = environment;
-        signals.onHangUp(() -> reload(LifeCycle::hangUp));
-        signals.onTerminate(this::end);
+        signals.onHangUp(() -> reload(ProcessLifecycle::onHangUp));
+        signals.onTerminate(this::terminate);
     }
 
     /**
      * Runs a node as the environment configures it, until the process is terminated.
      *
-     * @param operator the route configuration file, or null for none
+     * @param operatorFile the route configuration file, or null for none
      */
-    public static void main(Path operator) {
+    public static void main(Path operatorFile) {
         try {
-            new NodeService(System.getenv(), Signals.ofProcess()).start(operator);
+            new NodeService(System.getenv(), Signals.ofProcess()).start(operatorFile);
         } catch (NodeConfig.InvalidConfigException e) {
             System.err.println("weldhitch: " + e.getMessage());
             System.exit(EXIT_CONFIG);
@@ -46,26 +46,28 @@
     }
 
     /** Starts the node and returns once it listens, or without listening if termination came first. */
-    Node start(Path operator) throws Exception {
+    Node start(Path operatorFile) throws Exception {
         NodeConfig config = NodeConfig.load(environment);
-        Node made = Node.prepare(config, operator);
-        node = made;
-        Future<ChannelFuture> opening;
-        synchronized (life) {
-            if (!life.mayListen()) {
-                made.stop();
-                return made;
+        Node prepared = Node.prepare(config, operatorFile);
+        node = prepared;
+        Future<ChannelFuture> bindFuture;
+        synchronized (lifecycle) {
+            if (!lifecycle.tryOpenListener()) {
+                prepared.stop();
+                return prepared;
             }
-            opening = made.opening(config);
+            bindFuture = prepared.bind(config);
         }
-        made.listen(opening);
-        reload(LifeCycle::listening);
-        return made;
+        prepared.awaitBound(bindFuture);
+        reload(ProcessLifecycle::onListening);
+        return prepared;
     }
 
     /** Reloads the configuration as often as the transition requires. */
-    private void reload(Function<LifeCycle, Step> happened) {
-        for (Step step = told(happened); step == Step.RELOAD; step = told(LifeCycle::reloaded)) {
+    private void reload(Function<ProcessLifecycle, LifecycleAction> transition) {
+        for (LifecycleAction step = apply(transition);
+                step == LifecycleAction.RELOAD;
+                step = apply(ProcessLifecycle::onReloaded)) {
             try {
                 node.reload(environment);
             } catch (RuntimeException e) {
@@ -74,18 +76,18 @@
         }
     }
 
-    private void end() {
-        if (told(LifeCycle::terminate) == Step.DRAIN) {
+    private void terminate() {
+        if (apply(ProcessLifecycle::onTerminate) == LifecycleAction.DRAIN) {
             node.drain();
-            synchronized (life) {
-                life.drained();
+            synchronized (lifecycle) {
+                lifecycle.onDrained();
             }
         }
     }
 
-    private Step told(Function<LifeCycle, Step> happened) {
-        synchronized (life) {
-            return happened.apply(life);
+    private LifecycleAction apply(Function<ProcessLifecycle, LifecycleAction> transition) {
+        synchronized (lifecycle) {
+            return transition.apply(lifecycle);
         }
     }
 }
--- /dev/null
+++ b/node/src/main/java/weldhitch/node/RouteConfigLoader.java
@@ -0,0 +1,99 @@
+package weldhitch.node;
+
+import java.nio.file.Path;
+import java.util.function.Consumer;
+import weldhitch.decision.routing.RouteTable;
+import weldhitch.decision.settings.BalancerSettings;
+import weldhitch.fleet.locality.LocalityRules;
+import weldhitch.fleet.member.FleetSettings;
+import weldhitch.routeconfig.CaptureSettings;
+import weldhitch.routeconfig.ConfigProblem;
+import weldhitch.routeconfig.RouteConfig;
+
+/**
+ * Loads the route configuration at start and on reload; a file with errors is never applied. Owned by
+ * {@link Node}; not synchronized.
+ */
+final class RouteConfigLoader {
+    private final Path file;
+    private final BalancerSettings platformSettings;
+    private CaptureSettings capture;
+    private FleetSettings fleet;
+
+    RouteConfigLoader(Path file, BalancerSettings platformSettings) {
+        this.file = file;
+        this.platformSettings = platformSettings;
+    }
+
+    /** The fleet settings of the file as it was at start; null if the node is not part of a fleet. */
+    FleetSettings fleet() {
+        return fleet;
+    }
+
+    /** The rules of a valid file. Immutable. */
+    record LoadedRules(RouteTable routes, LocalityRules locality) {
+        static LoadedRules of(RouteConfig file) {
+            return new LoadedRules(file.routeTable(), file.locality());
+        }
+    }
+
+    /**
+     * Parses a route version of the fleet with the checks of this node's own file; null if it has errors, which
+     * are passed to {@code errors}.
+     */
+    LoadedRules parseVersion(String name, byte[] bundle, Consumer<String> errors) {
+        RouteConfig parsed = RouteConfig.parse(name, bundle, platformSettings);
+        parsed.errors().forEach(problem -> errors.accept(problem.toString()));
+        if (parsed.isUsable() && (parsed.fleet() != null || parsed.capture() != null)) {
+            errors.accept(name + ":1: error: a version holds rules alone, no [fleet] and no [capture]; take them out");
+        }
+        return parsed.isUsable() ? LoadedRules.of(parsed) : null;
+    }
+
+    /** The capture settings of the last valid file; null if it has none. */
+    CaptureSettings capture() {
+        return capture;
+    }
+
+    /**
+     * Reads the file at start.
+     *
+     * @throws NodeConfig.InvalidConfigException if the file has errors; all of them are logged
+     */
+    LoadedRules load() throws NodeConfig.InvalidConfigException {
+        RouteConfig parsed = RouteConfig.read(file, platformSettings);
+        parsed.problems().forEach(problem -> Log.line(problem.toString()));
+        if (!parsed.isUsable()) {
+            throw new NodeConfig.InvalidConfigException(summary(parsed));
+        }
+        capture = parsed.capture();
+        fleet = parsed.fleet();
+        return LoadedRules.of(parsed);
+    }
+
+    /** Reads the file again; null if it has errors, in which case the previous rules stay active. */
+    LoadedRules reload() {
+        RouteConfig parsed = RouteConfig.read(file, platformSettings);
+        if (!parsed.isUsable()) {
+            Log.line("the operator file is not taken up, the last good one stays in force: " + summary(parsed));
+            return null;
+        }
+        capture = parsed.capture();
+        if (!java.util.Objects.equals(fleet, parsed.fleet())) {
+            Log.line("operator file: [fleet] is that of the start until the node is started anew");
+        }
+        parsed.problems().forEach(problem -> Log.line(problem.toString()));
+        Log.line("operator file " + file + " is in force: "
+                + parsed.routeTable().routes().size() + " routes"
+                + (parsed.locality() == null
+                        ? ""
+                        : ", " + parsed.locality().rules().size() + " locality rules"));
+        return LoadedRules.of(parsed);
+    }
+
+    private static String summary(RouteConfig parsed) {
+        ConfigProblem firstError = parsed.errors().get(0);
+        return firstError
+                + (parsed.errors().size() > 1 ? " (and " + (parsed.errors().size() - 1) + " more)" : "");
+    }
+}
