--- /dev/null
+++ b/node/src/test/java/weldhitch/node/StartupBenchmark.java
@@ -0,0 +1,50 @@
+package weldhitch.node;
+
+import java.net.InetAddress;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import weldhitch.testkit.TestConnection;
+
+/**
+ * Measures, by hand, the processor time of a packaged node: until it listens, for its first 300 requests and
+ * for the next 2,000. The arguments are the options of the virtual machine to try. The command stands in
+ * docs/restarts.md.
+ */
+final class StartupBenchmark {
+    private StartupBenchmark() {}
+
+    /** Runs the measurement with the options given and prints its figures. */
+    public static void main(String[] args) throws Exception {
+        String options = String.join(" ", args);
+        List<List<Long>> samples = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+        for (int i = 0; i < 7; i++) {
+            try (NodeProcess node = new NodeProcess(run -> run.replaceFirst("-jar", options + " -jar"));
+                    TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), node.port))) {
+                long start = cpuMillis(node);
+                sendRequests(wire, 300, "a");
+                long first = cpuMillis(node);
+                sendRequests(wire, 2000, "b");
+                samples.get(0).add(start);
+                samples.get(1).add(first - start);
+                samples.get(2).add(cpuMillis(node) - first);
+            }
+        }
+        samples.forEach(Collections::sort);
+        System.out.println("processor ms, median of 7: until it listens "
+                + samples.get(0).get(3) + ", first 300 requests "
+                + samples.get(1).get(3) + ", next 2000 " + samples.get(2).get(3) + "  " + options);
+    }
+
+    private static void sendRequests(TestConnection wire, int count, String idPrefix) throws Exception {
+        for (int i = 0; i < count; i++) {
+            wire.write(i % 2 == 0 ? NodeHarness.get(idPrefix + i) : NodeHarness.post(idPrefix + i, "body"));
+            wire.readMessage();
+        }
+    }
+
+    private static long cpuMillis(NodeProcess node) {
+        return node.process.info().totalCpuDuration().orElseThrow().toMillis();
+    }
+}
--- /dev/null
+++ b/replay/src/main/java/weldhitch/replay/CaptureSlicer.java
@@ -0,0 +1,146 @@
+package weldhitch.replay;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import weldhitch.capture.format.CaptureEntry;
+import weldhitch.capture.format.CaptureFiles;
+import weldhitch.capture.format.SegmentWriter;
+import weldhitch.decision.balancing.RatioBalancer;
+import weldhitch.decision.endpoint.RingPosition;
+import weldhitch.decision.snapshot.BalancerSnapshot;
+
+/**
+ * Extracts a capture slice: a number of consecutive events with a snapshot of the state before the first one,
+ * in which requests, endpoints, tenants and paths are renamed consistently. Decisions do not change, so a slice
+ * replays like its original. Not thread-safe.
+ */
+public final class CaptureSlicer {
+    private final long firstEvent;
+    private final long maxEvents;
+    private final List<CaptureEntry> entries = new ArrayList<>();
+
+    /**
+     * Creates a slicer for a range of events.
+     *
+     * @param firstEvent the first event, counted from 1
+     * @param maxEvents maximum number of events
+     */
+    public CaptureSlicer(long firstEvent, long maxEvents) {
+        this.firstEvent = firstEvent;
+        this.maxEvents = maxEvents;
+    }
+
+    /** Returns the number of events in the slice. */
+    public long eventCount() {
+        return entries.stream()
+                .filter(CaptureEntry.EventRecord.class::isInstance)
+                .count();
+    }
+
+    /**
+     * Reads a capture and collects the requested events.
+     *
+     * @throws IOException if it cannot be read, or this build's decisions diverge from it before the slice
+     */
+    public CaptureSlicer read(Collection<Path> paths) throws IOException {
+        Replayer replayer = new Replayer(null, false).endingAt(firstEvent - 1, Long.MAX_VALUE);
+        CaptureEntry.SnapshotRecord[] latestSnapshot = {null};
+        long[] eventNumber = {0};
+        Consumer<CaptureEntry> collector = entry -> {
+            if (entry instanceof CaptureEntry.SnapshotRecord snapshotRecord) {
+                latestSnapshot[0] = snapshotRecord;
+            } else if (entry instanceof CaptureEntry.EventRecord eventRecord) {
+                eventNumber[0]++;
+                if (eventNumber[0] >= firstEvent && eventNumber[0] < firstEvent + maxEvents) {
+                    entries.add(eventRecord);
+                }
+            } else if (entry instanceof CaptureEntry.Corruption
+                    && !entries.isEmpty()
+                    && eventNumber[0] < firstEvent + maxEvents) {
+                throw new IllegalStateException("the capture is damaged within the events to be cut: " + entry);
+            }
+        };
+        CaptureEntry.SnapshotRecord[] sliceStart = {null};
+        CaptureFiles.read(paths, entry -> {
+            if (entry instanceof CaptureEntry.EventRecord
+                    && eventNumber[0] == firstEvent - 1
+                    && sliceStart[0] == null
+                    && latestSnapshot[0] != null) {
+                BalancerSnapshot snapshot = firstEvent == 1 || replayer.snapshot() == null
+                        ? latestSnapshot[0].snapshot()
+                        : replayer.snapshot();
+                sliceStart[0] = new CaptureEntry.SnapshotRecord(
+                        ((CaptureEntry.EventRecord) entry).timestamp(),
+                        "node",
+                        "excerpt",
+                        latestSnapshot[0].build(),
+                        latestSnapshot[0].settings(),
+                        snapshot,
+                        null);
+            }
+            replayer.accept(entry);
+            collector.accept(entry);
+        });
+        if (sliceStart[0] == null || entries.isEmpty()) {
+            throw new IOException("no event " + firstEvent + " behind a snapshot in this capture");
+        }
+        if (!replayer.divergences().isEmpty()) {
+            throw new IOException("this build decides otherwise than the capture before event " + firstEvent
+                    + ": cut it by the build that wrote it");
+        }
+        entries.add(0, sliceStart[0]);
+        return this;
+    }
+
+    /** Anonymizes the collected entries and writes them to a file, which must not exist. */
+    public void write(Path file) throws IOException {
+        CaptureAnonymizer anonymizer = new CaptureAnonymizer(entries);
+        List<CaptureEntry> anonymized =
+                entries.stream().map(anonymizer::anonymize).toList();
+        // A slice that replays differently under its new names would not represent the original.
+        Replayer replayer = new Replayer(null, false);
+        anonymized.forEach(replayer);
+        if (!replayer.divergences().isEmpty()) {
+            throw new IOException("its decisions hang on its names: "
+                    + replayer.divergences().get(0).description());
+        }
+        try (SegmentWriter writer = new SegmentWriter(file)) {
+            for (CaptureEntry entry : anonymized) {
+                if (!writer.add(entry)) {
+                    throw new IOException("does not fit: " + entry);
+                }
+                if (writer.isBlockFull()) {
+                    writer.flush();
+                }
+            }
+            writer.flush();
+        }
+    }
+
+    /**
+     * Returns new names for endpoints. {@link RatioBalancer} orders endpoints by their ring positions, so the
+     * new names must sort as the old ones did.
+     */
+    static Map<String, String> orderPreservingNames(Set<String> names) {
+        List<String> sorted = new ArrayList<>(names);
+        sorted.sort(java.util.Comparator.comparingInt(RingPosition::of).thenComparing(n -> n));
+        Map<String, String> newNames = new LinkedHashMap<>();
+        int candidateNumber = 0;
+        long rangeSize = (1L << 31) / (sorted.size() + 1);
+        for (int i = 0; i < sorted.size(); i++) {
+            String candidate;
+            do {
+                candidate = "server-" + Integer.toString(candidateNumber++, 36);
+            } while (RingPosition.of(candidate) < i * rangeSize || RingPosition.of(candidate) >= (i + 1) * rangeSize);
+            newNames.put(sorted.get(i), candidate);
+        }
+        return newNames;
+    }
+}
--- a/replay/src/test/java/weldhitch/replay/RecordedCaptureReplayTest.java
+++ b/replay/src/test/java/weldhitch/replay/RecordedCaptureReplayTest.java
@@ -10,11 +10,11 @@
 
     @Test
     void fromTheStartOfANodeThisBuildDecidesAsTheOneThatRecorded() throws IOException {
-        Excerpt.play(RECORDED.resolve("capture")).decidesAlike();
+        CaptureSlice.replay(RECORDED.resolve("capture")).assertSameDecisions();
     }
 
     @Test
     void fromASnapshotMidwayThisBuildDecidesAsTheOneThatRecorded() throws IOException {
-        Excerpt.play(RECORDED.resolve("midway.cap")).decidesAlike();
+        CaptureSlice.replay(RECORDED.resolve("midway.cap")).assertSameDecisions();
     }
 }
--- a/operator/src/main/java/weldhitch/operator/Addresses.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/AddressParser.java
@@ -1,4 +1,4 @@
-package weldhitch.operator;
+package weldhitch.routeconfig;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -10,19 +10,19 @@
  * Parses addresses in configuration files. They have to be numeric, as no names are resolved here. Stateless
  * and thread-safe.
  */
-public final class Addresses {
-    private static final Pattern ADDRESS = Pattern.compile("([0-9]{1,3}(?:\\.[0-9]{1,3}){3}):([0-9]{1,5})");
+public final class AddressParser {
+    private static final Pattern ADDRESS_PATTERN = Pattern.compile("([0-9]{1,3}(?:\\.[0-9]{1,3}){3}):([0-9]{1,5})");
 
-    private Addresses() {}
+    private AddressParser() {}
 
     /** Parses {@code HOST:PORT} with an IPv4 address and a port from 0 to 65535; null for anything else. */
-    public static InetSocketAddress read(String text) {
-        Matcher m = ADDRESS.matcher(text);
-        if (!m.matches() || Integer.parseInt(m.group(2)) > 65535) {
+    public static InetSocketAddress parse(String text) {
+        Matcher matcher = ADDRESS_PATTERN.matcher(text);
+        if (!matcher.matches() || Integer.parseInt(matcher.group(2)) > 65535) {
             return null;
         }
         try {
-            return new InetSocketAddress(InetAddress.getByName(m.group(1)), Integer.parseInt(m.group(2)));
+            return new InetSocketAddress(InetAddress.getByName(matcher.group(1)), Integer.parseInt(matcher.group(2)));
         } catch (UnknownHostException e) {
             return null;
         }
--- /dev/null
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
@@ -0,0 +1,134 @@
+package weldhitch.routeconfig;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.nio.file.InvalidPathException;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import weldhitch.capture.policy.CaptureLimits;
+
+/**
+ * Reads the section {@code [capture]}. Problems are reported to the {@link RouteConfigReader}, all of them in one pass.
+ * Used by {@link RouteConfig} for one file; not thread-safe.
+ */
+final class CaptureSectionReader {
+    private static final List<String> KNOWN_KEYS =
+            List.of("on", "directory", "segment-size", "segment-age", "total-size", "snapshot-every", "queue");
+    private static final Pattern SIZE_PATTERN = Pattern.compile("([0-9]{1,9})(KiB|MiB|GiB)");
+    private static final Map<String, Long> BYTES_PER_UNIT = Map.of("KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
+    private static final long MAX_TOTAL_SIZE = 1L << 50;
+    private static final long DAY = 24 * 3600 * CaptureLimits.NANOS_PER_SECOND;
+
+    private final RouteConfigReader reader;
+
+    /** Creates a section reader that reports problems to {@code reader}. */
+    CaptureSectionReader(RouteConfigReader reader) {
+        this.reader = reader;
+    }
+
+    /** The settings of the section; null if there is none, or if it has errors. */
+    CaptureSettings read(JsonNode capture) {
+        if (!reader.requireTable(capture, "capture")) {
+            return null;
+        }
+        boolean valid = reader.requireKnownKeys(capture, "capture", KNOWN_KEYS);
+        Boolean enabled = readEnabled(capture.get("on"));
+        Path directory = readDirectory(capture);
+        Long segmentSize = readSize(
+                capture, "segment-size", 64L << 20, CaptureLimits.MIN_SEGMENT_BYTES, CaptureLimits.MAX_SEGMENT_BYTES);
+        Long totalSize = readSize(capture, "total-size", 1L << 30, 2 * CaptureLimits.MIN_SEGMENT_BYTES, MAX_TOTAL_SIZE);
+        Long segmentAge = readDuration(capture, "segment-age", DAY / 24, 7 * DAY);
+        Long snapshotInterval = readDuration(capture, "snapshot-every", 60 * CaptureLimits.NANOS_PER_SECOND, DAY / 24);
+        Integer queueSize = capture.has("queue")
+                ? reader.readInteger(capture.get("queue"), "capture.queue", 64, 1 << 20)
+                : Integer.valueOf(1 << 14);
+        if (queueSize != null && Integer.bitCount(queueSize) != 1) {
+            reader.error(
+                    "capture.queue",
+                    queueSize + " is no power of two",
+                    "write " + Integer.highestOneBit(queueSize) + " or " + 2 * Integer.highestOneBit(queueSize));
+            queueSize = null;
+        }
+        if (segmentSize != null && totalSize != null && totalSize < 2 * segmentSize) {
+            reader.error(
+                    capture.has("total-size") ? "capture.total-size" : "capture.segment-size",
+                    "total-size is not twice segment-size",
+                    "one segment is written while older ones are kept: make it " + 2 * segmentSize / (1 << 10)
+                            + "KiB or more");
+            totalSize = null;
+        }
+        return !valid
+                        || enabled == null
+                        || directory == null
+                        || segmentSize == null
+                        || totalSize == null
+                        || segmentAge == null
+                        || snapshotInterval == null
+                        || queueSize == null
+                ? null
+                : new CaptureSettings(
+                        enabled,
+                        directory,
+                        new CaptureLimits(segmentSize, segmentAge, totalSize, snapshotInterval, queueSize));
+    }
+
+    private Boolean readEnabled(JsonNode value) {
+        if (value != null && !value.isBoolean()) {
+            reader.error("capture.on", value + " is neither true nor false", "write on = true");
+            return null;
+        }
+        return value == null || value.booleanValue();
+    }
+
+    private Path readDirectory(JsonNode capture) {
+        String text = reader.readText(capture, "capture", "directory");
+        if (text == null) {
+            if (!capture.has("directory")) {
+                reader.error("capture", "directory is missing", "name a directory for this node alone");
+            }
+            return null;
+        }
+        try {
+            Path path = Path.of(text);
+            if (path.isAbsolute()) {
+                return path;
+            }
+        } catch (InvalidPathException e) {
+            // Reported below, together with relative paths.
+        }
+        reader.error("capture.directory", "\"" + text + "\" is no absolute path", "begin it with /");
+        return null;
+    }
+
+    private Long readDuration(JsonNode capture, String name, long defaultValue, long max) {
+        return capture.has(name)
+                ? reader.readDuration(capture.get(name), "capture." + name, CaptureLimits.NANOS_PER_SECOND, max)
+                : Long.valueOf(defaultValue);
+    }
+
+    private Long readSize(JsonNode capture, String name, long defaultValue, long min, long max) {
+        JsonNode value = capture.get(name);
+        if (value == null) {
+            return defaultValue;
+        }
+        Matcher matcher = value.isTextual() ? SIZE_PATTERN.matcher(value.textValue()) : null;
+        if (matcher == null || !matcher.matches()) {
+            reader.error(
+                    "capture." + name,
+                    value + " is no size",
+                    "write a whole number and KiB, MiB or GiB, such as \"64MiB\"");
+            return null;
+        }
+        long bytes = Long.parseLong(matcher.group(1)) * BYTES_PER_UNIT.get(matcher.group(2));
+        if (bytes < min || bytes > max) {
+            reader.error(
+                    "capture." + name,
+                    value + " is out of range",
+                    "from " + (min >> 10) + "KiB to " + (max >> 30) + "GiB");
+            return null;
+        }
+        return bytes;
+    }
+}
--- a/operator/src/main/java/weldhitch/operator/Problem.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/ConfigProblem.java
@@ -1,4 +1,4 @@
-package weldhitch.operator;
+package weldhitch.routeconfig;
 
 /**
  * A problem in a route configuration. Immutable.
@@ -6,15 +6,15 @@
  * @param file the name of the file
  * @param line counted from 1; 0 if the problem concerns the whole file
  * @param key the key's full name, such as {@code route[2].hedge.after}; empty for the whole file
- * @param what what is wrong
- * @param instead what to write instead
+ * @param description what is wrong
+ * @param remedy what to write instead
  * @param warning whether the file can be used nevertheless
  */
-public record Problem(String file, int line, String key, String what, String instead, boolean warning) {
+public record ConfigProblem(String file, int line, String key, String description, String remedy, boolean warning) {
     /** One line in the format of compilers: {@code file:line: error: key: description; remedy}. */
     @Override
     public String toString() {
         return file + ":" + line + ": " + (warning ? "warning" : "error") + ": " + (key.isEmpty() ? "" : key + ": ")
-                + what + "; " + instead;
+                + description + "; " + remedy;
     }
 }
--- /dev/null
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/LocalitySectionReader.java
@@ -0,0 +1,391 @@
+package weldhitch.routeconfig;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Pattern;
+import weldhitch.decision.settings.BalancerSettings;
+import weldhitch.decision.settings.RequestClass;
+import weldhitch.decision.settings.Tenant;
+import weldhitch.fleet.locality.LocalityRule;
+import weldhitch.fleet.locality.LocalityRule.HysteresisBand;
+import weldhitch.fleet.locality.LocalityRule.Match;
+import weldhitch.fleet.locality.LocalityRule.SpillPolicy;
+import weldhitch.fleet.locality.LocalityRules;
+import weldhitch.fleet.locality.Regions;
+
+/**
+ * Reads {@code [zones]} and {@code [[locality]]} and checks them against the platform. Problems are reported
+ * to the {@link RouteConfigReader}, all of them in one pass. Used by {@link RouteConfig} for one file; not thread-safe.
+ */
+final class LocalitySectionReader {
+    private static final int MAX_RULES = 200;
+    private static final List<String> ZONES_KEYS = List.of("rate", "regions");
+    private static final List<String> RULE_KEYS = List.of(
+            "name", "class", "tenant", "route", "prefer", "never", "use", "healthy", "late", "dwell", "most", "growth",
+            "alone", "panic");
+    private static final List<String> BUILT_IN_PREFERENCES =
+            List.of(LocalityRule.OWN_ZONE, LocalityRule.OWN_REGION, LocalityRule.ANY);
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
+    private static final long MIN_DWELL = 100_000_000L;
+
+    private final RouteConfigReader reader;
+    private final BalancerSettings platform;
+    private final Set<String> routeNames;
+    /** The platform's zones; empty if they are not known, in which case names of zones are not checked. */
+    private final Set<String> platformZones;
+
+    private Regions regions = new Regions(Map.of());
+    private boolean valid = true;
+
+    /**
+     * Creates a section reader that reports problems to {@code reader}.
+     *
+     * @param platform the platform's settings, or null if they are not known
+     * @param routeNames names of the file's routes
+     */
+    LocalitySectionReader(RouteConfigReader reader, BalancerSettings platform, Set<String> routeNames) {
+        this.reader = reader;
+        this.platform = platform;
+        this.routeNames = routeNames;
+        platformZones = platform == null ? Set.of() : new TreeSet<>(platform.zones());
+    }
+
+    /** The locality rules; null if there are none, or if they have errors. */
+    LocalityRules read(JsonNode root) {
+        JsonNode zonesTable = root.get("zones");
+        JsonNode ruleTables = root.get("locality");
+        if (zonesTable == null && ruleTables == null) {
+            return null;
+        }
+        Double capacityPerWeight = null;
+        if (zonesTable == null) {
+            error(
+                    "locality",
+                    "[zones] is missing",
+                    "write [zones] with rate, what a server of weight 1 bears in calls a second, and regions");
+        } else if (reader.requireTable(zonesTable, "zones")) {
+            valid &= reader.requireKnownKeys(zonesTable, "zones", ZONES_KEYS);
+            if (zonesTable.has("rate")) {
+                capacityPerWeight = readNumber(zonesTable.get("rate"), "zones.rate", 0.001, 1e6);
+            } else {
+                error(
+                        "zones",
+                        "rate is missing",
+                        "write rate = 40.0, what a server of weight 1 bears in calls a second");
+            }
+            readRegions(zonesTable.get("regions"));
+        } else {
+            valid = false;
+        }
+        List<LocalityRule> rules = readRules(ruleTables);
+        return valid && capacityPerWeight != null && !rules.isEmpty()
+                ? new LocalityRules(regions, capacityPerWeight, rules)
+                : null;
+    }
+
+    private void readRegions(JsonNode table) {
+        if (table == null) {
+            return;
+        }
+        if (!reader.requireTable(table, "zones.regions")) {
+            valid = false;
+            return;
+        }
+        Map<String, Set<String>> zonesByRegion = new LinkedHashMap<>();
+        Map<String, String> regionByZone = new LinkedHashMap<>();
+        for (Map.Entry<String, JsonNode> entry : table.properties()) {
+            String key = "zones.regions." + entry.getKey();
+            if (BUILT_IN_PREFERENCES.contains(entry.getKey()) || platformZones.contains(entry.getKey())) {
+                error(
+                        key,
+                        "is the name of " + (BUILT_IN_PREFERENCES.contains(entry.getKey()) ? "a step" : "a zone")
+                                + " too",
+                        "give the region another name");
+            }
+            Set<String> regionZones = readNames(entry.getValue(), key, "[\"zone-a\", \"zone-b\"]");
+            for (String zone : regionZones) {
+                String otherRegion = regionByZone.putIfAbsent(zone, entry.getKey());
+                if (otherRegion != null) {
+                    error(
+                            key,
+                            "zone " + zone + " is in region " + otherRegion + " too",
+                            "name each zone in one region");
+                }
+                checkZoneKnown(zone, key);
+            }
+            zonesByRegion.put(entry.getKey(), regionZones);
+        }
+        if (valid) {
+            regions = new Regions(zonesByRegion);
+        }
+    }
+
+    private void checkZoneKnown(String zone, String key) {
+        if (!platformZones.isEmpty() && !platformZones.contains(zone)) {
+            error(key, "the platform knows no zone \"" + zone + "\"", SpellingSuggestions.suggest(zone, platformZones));
+        }
+    }
+
+    private List<LocalityRule> readRules(JsonNode ruleTables) {
+        List<LocalityRule> rules = new ArrayList<>();
+        if (ruleTables == null) {
+            return rules;
+        }
+        if (!ruleTables.isArray() || ruleTables.size() > MAX_RULES) {
+            error(
+                    "locality",
+                    ruleTables.isArray() ? "there are " + ruleTables.size() + " rules" : "is not a list of tables",
+                    ruleTables.isArray() ? "keep to " + MAX_RULES : "write [[locality]] before each rule");
+            return rules;
+        }
+        Map<String, String> keyByName = new LinkedHashMap<>();
+        for (int i = 0; i < ruleTables.size(); i++) {
+            String key = "locality[" + i + "]";
+            if (!reader.requireTable(ruleTables.get(i), key)) {
+                valid = false;
+                continue;
+            }
+            LocalityRule rule = readRule(ruleTables.get(i), key);
+            if (rule != null) {
+                String previousKey = keyByName.putIfAbsent(rule.name(), key);
+                if (previousKey != null) {
+                    error(
+                            key + ".name",
+                            "\"" + rule.name() + "\" is the name of another rule too",
+                            "give each rule a name of its own");
+                }
+                rules.stream()
+                        .filter(r -> covers(r.match(), rule.match()))
+                        .findFirst()
+                        .ifPresent(covering -> error(
+                                key,
+                                "never holds: rule \"" + covering.name() + "\" before it takes all its requests",
+                                "put the narrower rule first"));
+                rules.add(rule);
+            }
+        }
+        return rules;
+    }
+
+    private static boolean covers(Match broader, Match narrower) {
+        return (broader.requestClass() == null || broader.requestClass().equals(narrower.requestClass()))
+                && (broader.tenant() == null || broader.tenant().equals(narrower.tenant()))
+                && (broader.route() == null || broader.route().equals(narrower.route()));
+    }
+
+    private LocalityRule readRule(JsonNode table, String key) {
+        boolean validBefore = valid;
+        valid = reader.requireKnownKeys(table, key, RULE_KEYS);
+        String name = readText(table, key, "name");
+        if (name == null || !NAME_PATTERN.matcher(name).matches()) {
+            error(
+                    name == null ? key : key + ".name",
+                    name == null ? "has no name" : "\"" + name + "\" is no name",
+                    "give each rule a name of its own, of letters, digits, dots, - and _");
+        }
+        Match match =
+                new Match(readText(table, key, "class"), readText(table, key, "tenant"), readText(table, key, "route"));
+        if (match.requestClass() != null && platform != null) {
+            checkKnown(
+                    match.requestClass(),
+                    platform.classes().stream().map(RequestClass::name).toList(),
+                    key + ".class",
+                    "the platform knows no class");
+        }
+        if (match.tenant() != null && platform != null && !platform.tenants().isEmpty()) {
+            checkKnown(
+                    match.tenant(),
+                    platform.tenants().stream().map(Tenant::name).toList(),
+                    key + ".tenant",
+                    "the platform knows no tenant");
+        }
+        if (match.route() != null) {
+            checkKnown(match.route(), routeNames, key + ".route", "this file has no route");
+        }
+        List<String> preferences = readPreferences(table.get("prefer"), key);
+        Set<String> forbidden = readForbidden(table.get("never"), key);
+        HysteresisBand utilization = readBand(table, key, "use", new HysteresisBand(0.85, 0.7), false);
+        HysteresisBand healthyFraction = readBand(table, key, "healthy", new HysteresisBand(0.5, 0.8), true);
+        HysteresisBand lateFraction = readBand(table, key, "late", new HysteresisBand(0.3, 0.1), false);
+        Long dwell = table.has("dwell")
+                ? reader.readDuration(table.get("dwell"), key + ".dwell", MIN_DWELL, 600_000_000_000L)
+                : Long.valueOf(5_000_000_000L);
+        valid &= dwell != null;
+        Double maxFraction = readFraction(table, key, "most", 1);
+        Double growthPerSecond =
+                table.has("growth") ? readNumber(table.get("growth"), key + ".growth", 0.001, 10) : Double.valueOf(0.2);
+        Double uncoordinatedFraction = readFraction(table, key, "alone", 0.02);
+        if (maxFraction != null && maxFraction == 0) {
+            error(key + ".most", "is 0, so nothing would ever spill", "leave the further steps out of prefer instead");
+        } else if (maxFraction != null && uncoordinatedFraction != null && uncoordinatedFraction > maxFraction) {
+            error(key + ".alone", "is more than most, " + maxFraction, "a node alone may spill a lesser share");
+        }
+        boolean panic = readPanic(table.get("panic"), key);
+        boolean ruleValid = valid;
+        valid &= validBefore;
+        if (!ruleValid) {
+            return null;
+        }
+        LocalityRule rule = new LocalityRule(
+                name,
+                match,
+                preferences,
+                forbidden,
+                new SpillPolicy(
+                        utilization,
+                        healthyFraction,
+                        lateFraction,
+                        dwell,
+                        maxFraction,
+                        growthPerSecond,
+                        uncoordinatedFraction),
+                panic);
+        checkSomeZonePermitted(rule, key);
+        return rule;
+    }
+
+    private List<String> readPreferences(JsonNode value, String key) {
+        List<String> preferences = new ArrayList<>();
+        if (value == null) {
+            error(key, "prefer is missing", "write prefer = [\"own-zone\", \"own-region\", \"any\"]");
+            return preferences;
+        }
+        Set<String> knownNames = new LinkedHashSet<>(BUILT_IN_PREFERENCES);
+        knownNames.addAll(regions.zones().keySet());
+        for (String preference : readNames(value, key + ".prefer", "[\"own-zone\", \"own-region\", \"any\"]")) {
+            checkKnown(preference, knownNames, key + ".prefer", "there is no step or region");
+            if (preferences.contains(LocalityRule.ANY)) {
+                error(
+                        key + ".prefer",
+                        "\"" + preference + "\" comes after \"any\", which leaves nothing",
+                        "put \"any\" last");
+            }
+            preferences.add(preference);
+        }
+        return preferences;
+    }
+
+    private Set<String> readForbidden(JsonNode value, String key) {
+        Set<String> forbidden = value == null ? Set.of() : readNames(value, key + ".never", "[\"east\"]");
+        Set<String> knownNames = new LinkedHashSet<>(regions.zones().keySet());
+        knownNames.addAll(platformZones);
+        for (String name : forbidden) {
+            if (!platformZones.isEmpty() || !regions.zones().isEmpty() && platform != null) {
+                checkKnown(name, knownNames, key + ".never", "there is no region or zone");
+            }
+        }
+        return forbidden;
+    }
+
+    /**
+     * Reports a rule that forbids all zones to the requests of some zone: that zone would reject all of them
+     * from the start.
+     */
+    private void checkSomeZonePermitted(LocalityRule rule, String key) {
+        for (String localZone : platformZones) {
+            if (regions.priorityLevels(rule, localZone, platformZones).stream().allMatch(Set::isEmpty)) {
+                error(
+                        key + ".never",
+                        "leaves requests that come in zone " + localZone + " no zone at all",
+                        "forbid fewer, or prefer further steps");
+                return;
+            }
+        }
+    }
+
+    /**
+     * Reads a hysteresis band.
+     *
+     * @param rising whether a level stops being short above the figure at which it begins to be, rather than
+     *     below it
+     */
+    private HysteresisBand readBand(
+            JsonNode table, String parentKey, String name, HysteresisBand defaultBand, boolean rising) {
+        JsonNode value = table.get(name);
+        if (value == null) {
+            return defaultBand;
+        }
+        String key = parentKey + "." + name;
+        if (!reader.requireMembers(
+                value,
+                key,
+                List.of("begin", "end"),
+                List.of("begin", "end"),
+                "{ begin = " + defaultBand.begin() + ", end = " + defaultBand.end() + " }")) {
+            valid = false;
+            return defaultBand;
+        }
+        Double begin = readNumber(value.get("begin"), key + ".begin", rising ? 0 : 0.001, 1);
+        Double end = readNumber(value.get("end"), key + ".end", 0, 1);
+        if (begin == null || end == null) {
+            return defaultBand;
+        }
+        if (rising ? end <= begin : end >= begin) {
+            error(
+                    key + ".end",
+                    "is not " + (rising ? "over" : "under") + " begin, " + begin + ": a step would flap",
+                    "put them apart, as { begin = " + defaultBand.begin() + ", end = " + defaultBand.end() + " }");
+            return defaultBand;
+        }
+        return new HysteresisBand(begin, end);
+    }
+
+    private Double readFraction(JsonNode table, String key, String name, double defaultValue) {
+        return table.has(name) ? readNumber(table.get(name), key + "." + name, 0, 1) : Double.valueOf(defaultValue);
+    }
+
+    private boolean readPanic(JsonNode value, String key) {
+        if (value != null && !value.isBoolean()) {
+            error(key + ".panic", value + " is neither true nor false", "write panic = true or panic = false");
+        }
+        return value == null || value.booleanValue();
+    }
+
+    // ---- values ----
+
+    private void checkKnown(String name, java.util.Collection<String> knownNames, String key, String description) {
+        if (!knownNames.contains(name)) {
+            error(key, description + " \"" + name + "\"", SpellingSuggestions.suggest(name, knownNames));
+        }
+    }
+
+    private Set<String> readNames(JsonNode value, String key, String example) {
+        Set<String> names = new LinkedHashSet<>();
+        if (!value.isArray() || value.isEmpty()) {
+            error(key, value + " is no list of names", "write " + example);
+            return names;
+        }
+        for (JsonNode element : value) {
+            if (!element.isTextual()
+                    || !NAME_PATTERN.matcher(element.textValue()).matches()) {
+                error(key, element + " is no name", "write " + example);
+            } else if (!names.add(element.textValue())) {
+                error(key, "\"" + element.textValue() + "\" stands twice", "name it once");
+            }
+        }
+        return names;
+    }
+
+    private String readText(JsonNode table, String parentKey, String name) {
+        String text = reader.readText(table, parentKey, name);
+        valid &= text != null || !table.has(name);
+        return text;
+    }
+
+    private Double readNumber(JsonNode value, String key, double min, double max) {
+        Double number = reader.readNumber(value, key, min, max);
+        valid &= number != null;
+        return number;
+    }
+
+    private void error(String key, String description, String remedy) {
+        valid = false;
+        reader.error(key, description, remedy);
+    }
+}
--- /dev/null
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigValidator.java
@@ -0,0 +1,316 @@
+package weldhitch.routeconfig;
+
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.stream.Collectors;
+import weldhitch.decision.endpoint.AttemptOutcome;
+import weldhitch.decision.routing.RoutePattern;
+import weldhitch.decision.routing.RoutePolicy.Backoff;
+import weldhitch.decision.routing.RoutePolicy.HedgeAfterDelay;
+import weldhitch.decision.routing.RoutePolicy.HedgeAtPercentile;
+import weldhitch.decision.routing.RoutePolicy.HedgingDisabled;
+import weldhitch.decision.routing.RoutePolicy.RetryAfterBounds;
+import weldhitch.decision.settings.BalancerSettings;
+import weldhitch.decision.settings.Idempotency;
+import weldhitch.decision.settings.RequestClass;
+import weldhitch.decision.settings.Tenant;
+import weldhitch.routeconfig.RuleSection.Kind;
+import weldhitch.routeconfig.RuleSection.Setting;
+
+/**
+ * Validates sections against the platform, the product's invariants, and each other. Used by {@link
+ * RouteConfig} for one file; not thread-safe.
+ */
+final class RouteConfigValidator {
+    /** A hedge percentile that needs more than this many seconds of traffic is warned of. */
+    private static final int MAX_SAMPLING_SECONDS = 60;
+
+    private final String file;
+    private final TomlLineIndex lineIndex;
+    private final BalancerSettings platform;
+    private final Map<String, RequestClass> classByName;
+    private final List<ConfigProblem> problems;
+
+    /**
+     * Creates a validator that adds to {@code problems}.
+     *
+     * @param platform the platform's settings, or null if they are not known
+     */
+    RouteConfigValidator(
+            String file, TomlLineIndex lineIndex, BalancerSettings platform, List<ConfigProblem> problems) {
+        this.file = file;
+        this.lineIndex = lineIndex;
+        this.platform = platform;
+        this.problems = problems;
+        classByName = platform == null
+                ? Map.of()
+                : platform.classes().stream().collect(Collectors.toMap(RequestClass::name, c -> c));
+    }
+
+    /** Checks each section by itself, and routes for ambiguity. */
+    void validate(List<RuleSection> sections) {
+        for (RuleSection section : sections) {
+            String requestClass = section.pattern().requestClass();
+            if (platform != null && requestClass != null && !classByName.containsKey(requestClass)) {
+                String key = section.kind() == Kind.CLASS ? section.key() : classKey(section);
+                error(
+                        key,
+                        "the platform knows no class \"" + requestClass + "\"",
+                        SpellingSuggestions.suggest(requestClass, classByName.keySet()));
+            }
+            checkSection(section);
+        }
+        List<RuleSection> routes =
+                sections.stream().filter(s -> s.kind() == Kind.ROUTE).toList();
+        for (int i = 0; i < routes.size(); i++) {
+            for (int j = 0; j < i; j++) {
+                checkAmbiguity(routes.get(j), routes.get(i));
+            }
+        }
+    }
+
+    /** The key that determines a route's class: its class or its path. */
+    private String classKey(RuleSection section) {
+        for (String name : List.of("class", "path", "prefix")) {
+            if (lineIndex.contains(section.key() + "." + name)) {
+                return section.key() + "." + name;
+            }
+        }
+        return section.key();
+    }
+
+    private void checkAmbiguity(RuleSection first, RuleSection second) {
+        RoutePattern firstPattern = first.pattern();
+        RoutePattern secondPattern = second.pattern();
+        if (!firstPattern.samePath(secondPattern) || !firstPattern.overlaps(secondPattern)) {
+            return;
+        }
+        boolean identical = firstPattern.constrainsAllOf(secondPattern) && secondPattern.constrainsAllOf(firstPattern);
+        if (identical || !firstPattern.constrainsAllOf(secondPattern) && !secondPattern.constrainsAllOf(firstPattern)) {
+            error(
+                    second.key(),
+                    (identical ? "matches the same requests as" : "is as specific as") + " route \"" + first.name()
+                            + "\" on line " + lineIndex.lineOf(first.key())
+                            + (identical ? "" : ", and some requests match both"),
+                    identical
+                            ? "merge the two, or give one a method, class or longer path"
+                            : "give one of them the other's method or class too");
+        }
+    }
+
+    /** Reports settings of a section that are invalid for its classes, whatever other sections set. */
+    private void checkSection(RuleSection section) {
+        Idempotency idempotency = idempotencyOf(section.pattern().requestClass());
+        Setting retryOn = section.settings().get(RuleKey.RETRY_ON);
+        if (section.kind() != Kind.DEFAULTS && idempotency == Idempotency.NON_IDEMPOTENT && retryOn != null) {
+            Set<String> possiblyExecuted = outcomesOf(retryOn).stream()
+                    .filter(o -> !o.notExecuted)
+                    .map(OutcomeNames::nameOf)
+                    .collect(Collectors.toCollection(java.util.TreeSet::new));
+            if (!possiblyExecuted.isEmpty()) {
+                error(
+                        retryOn.key(),
+                        "class " + section.pattern().requestClass() + " is unsafe: after "
+                                + String.join(", ", possiblyExecuted)
+                                + " the request may have run, and a retry could run it twice",
+                        "keep to connect-failed and full");
+            }
+        }
+        Setting hedge = section.settings().get(RuleKey.HEDGE);
+        if (hedge != null && !(hedge.value() instanceof HedgingDisabled)) {
+            if (section.kind() != Kind.DEFAULTS && idempotency != null && idempotency != Idempotency.IDEMPOTENT) {
+                error(
+                        hedge.key(),
+                        "class " + section.pattern().requestClass() + " is not safe: a second copy could run it twice",
+                        "leave hedge out or write hedge = \"off\"");
+            } else if (platform != null && !platform.limits().hedgingAllowed()) {
+                error(hedge.key(), "the platform allows no second copies", "leave hedge out");
+            }
+        }
+        Setting attempts = section.settings().get(RuleKey.ATTEMPTS);
+        if (platform != null
+                && attempts != null
+                && (int) attempts.value() > platform.limits().maxAttempts()) {
+            error(
+                    attempts.key(),
+                    attempts.value() + " is more than the platform's "
+                            + platform.limits().maxAttempts(),
+                    "a route can only narrow it: write 1 to "
+                            + platform.limits().maxAttempts());
+        }
+        Setting retryAfter = section.settings().get(RuleKey.RETRY_AFTER);
+        if (platform != null && retryAfter != null) {
+            if (!platform.limits().retryAfterAllowed()) {
+                error(retryAfter.key(), "the platform allows no Retry-After", "leave it out");
+            } else if (((RetryAfterBounds) retryAfter.value()).max()
+                    > platform.limits().maxRetryAfter()) {
+                error(
+                        retryAfter.key() + ".max",
+                        "is longer than the platform's "
+                                + ValueFormat.formatDuration(platform.limits().maxRetryAfter()),
+                        "make it as long or shorter");
+            }
+        }
+        Setting tenants = section.settings().get(RuleKey.TENANTS);
+        if (platform != null && !platform.tenants().isEmpty() && tenants != null) {
+            Set<String> tenantNames =
+                    platform.tenants().stream().map(Tenant::name).collect(Collectors.toSet());
+            for (Object tenant : ((Map<?, ?>) tenants.value()).keySet()) {
+                if (!tenant.equals("*") && !tenantNames.contains(tenant)) {
+                    error(
+                            tenants.key() + "." + tenant,
+                            "the platform knows no such tenant",
+                            SpellingSuggestions.suggest((String) tenant, tenantNames));
+                }
+            }
+        }
+    }
+
+    /**
+     * The settings that are in effect for one class, or any (null), once narrower sections override wider
+     * ones. Reports those that contradict each other, and drops hedging and retries that the class does not
+     * allow.
+     */
+    Map<RuleKey, Setting> effectiveSettings(Map<RuleKey, Setting> merged, RuleSection section, String requestClass) {
+        Map<RuleKey, Setting> settings = new EnumMap<>(RuleKey.class);
+        settings.putAll(merged);
+        Idempotency idempotency = idempotencyOf(requestClass);
+        Setting hedge = settings.get(RuleKey.HEDGE);
+        if (hedge != null && idempotency != null && idempotency != Idempotency.IDEMPOTENT) {
+            settings.remove(RuleKey.HEDGE);
+            hedge = null;
+        }
+        Setting retryOn = settings.get(RuleKey.RETRY_ON);
+        if (retryOn != null && idempotency == Idempotency.NON_IDEMPOTENT) {
+            settings.put(
+                    RuleKey.RETRY_ON,
+                    new Setting(
+                            outcomesOf(retryOn).stream()
+                                    .filter(o -> o.notExecuted)
+                                    .collect(Collectors.toSet()),
+                            retryOn.key(),
+                            retryOn.line(),
+                            retryOn.source()));
+        }
+        RequestClass classSettings = requestClass == null ? null : classByName.get(requestClass);
+        Setting deadlineSetting = settings.get(RuleKey.DEADLINE);
+        long platformDeadline = classSettings == null ? 0 : classSettings.deadline();
+        long deadline = deadlineSetting == null
+                ? platformDeadline
+                : platformDeadline == 0
+                        ? (long) deadlineSetting.value()
+                        : Math.min(platformDeadline, (long) deadlineSetting.value());
+        String deadlineText = deadlineSetting == null ? "the platform's deadline of " : "the deadline of ";
+        Setting attemptTimeout = settings.get(RuleKey.ATTEMPT_TIMEOUT);
+        Setting backoff = settings.get(RuleKey.BACKOFF);
+        Setting attempts = settings.get(RuleKey.ATTEMPTS);
+        int maxAttempts = attempts != null
+                ? (int) attempts.value()
+                : platform != null ? platform.limits().maxAttempts() : 0;
+        if (attemptTimeout != null && deadline > 0 && (long) attemptTimeout.value() > deadline) {
+            error(
+                    problemKey(section, attemptTimeout, deadlineSetting),
+                    "attempt-timeout " + ValueFormat.formatDuration((long) attemptTimeout.value()) + " is longer than "
+                            + deadlineText + ValueFormat.formatDuration(deadline),
+                    "make it shorter than the deadline");
+        } else if (deadline > 0 && maxAttempts > 1 && (attemptTimeout != null || backoff != null)) {
+            long worstCaseTime = attemptTimeout == null ? 0 : maxAttempts * (long) attemptTimeout.value();
+            for (int retry = 1; backoff != null && retry < maxAttempts; retry++) {
+                worstCaseTime += ((Backoff) backoff.value()).ceiling(retry);
+            }
+            if (worstCaseTime > deadline) {
+                error(
+                        problemKey(section, attempts, attemptTimeout, backoff, deadlineSetting),
+                        maxAttempts + " attempts"
+                                + (attempts == null ? " (the platform's, as attempts is not set)" : "")
+                                + " with their time-outs and back-off can take "
+                                + ValueFormat.formatDuration(worstCaseTime) + ", longer than "
+                                + deadlineText
+                                + ValueFormat.formatDuration(deadline),
+                        "lower attempts, attempt-timeout or backoff");
+            }
+        }
+        if (hedge != null && !(hedge.value() instanceof HedgingDisabled)) {
+            checkHedging(section, settings, hedge, deadline, maxAttempts);
+        }
+        return settings;
+    }
+
+    private void checkHedging(
+            RuleSection section, Map<RuleKey, Setting> settings, Setting hedge, long deadline, int maxAttempts) {
+        Setting attemptTimeout = settings.get(RuleKey.ATTEMPT_TIMEOUT);
+        if (maxAttempts == 1) {
+            error(
+                    problemKey(section, hedge, settings.get(RuleKey.ATTEMPTS)),
+                    "a hedge is a second attempt, and attempts is 1",
+                    "write attempts = 2 or more, or leave hedge out");
+        }
+        if (hedge.value() instanceof HedgeAfterDelay fixedDelay) {
+            long limit = attemptTimeout == null ? deadline : (long) attemptTimeout.value();
+            if (limit > 0 && fixedDelay.delay() >= limit) {
+                error(
+                        problemKey(section, hedge, attemptTimeout, settings.get(RuleKey.DEADLINE)),
+                        "hedge after " + ValueFormat.formatDuration(fixedDelay.delay())
+                                + " never comes: the " + (attemptTimeout == null ? "deadline" : "attempt-timeout")
+                                + " is "
+                                + ValueFormat.formatDuration(limit),
+                        "make it shorter");
+            }
+        }
+        Setting expectedRate = settings.get(RuleKey.EXPECTED_RATE);
+        if (hedge.value() instanceof HedgeAtPercentile percentile
+                && expectedRate != null
+                && (double) expectedRate.value() * MAX_SAMPLING_SECONDS < percentile.minSamples()) {
+            warn(
+                    problemKey(section, hedge, expectedRate),
+                    ValueFormat.formatNumber((double) expectedRate.value())
+                            + " requests a second take longer than " + MAX_SAMPLING_SECONDS + " s for the "
+                            + percentile.minSamples()
+                            + " answers that percentile " + ValueFormat.formatNumber(percentile.percentile())
+                            + " needs",
+                    "lower the percentile, or write hedge = { after = \"...\" }");
+        }
+    }
+
+    /**
+     * The key to report: that of the first of these settings which the section sets itself, else of the first
+     * that is set at all.
+     */
+    private static String problemKey(RuleSection section, Setting... candidates) {
+        String firstKey = null;
+        for (Setting setting : candidates) {
+            if (setting != null && setting.key().startsWith(section.key() + ".")) {
+                return setting.key();
+            }
+            firstKey = firstKey == null && setting != null ? setting.key() : firstKey;
+        }
+        return Objects.requireNonNull(firstKey);
+    }
+
+    private Idempotency idempotencyOf(String requestClass) {
+        RequestClass classSettings = requestClass == null ? null : classByName.get(requestClass);
+        return classSettings == null ? null : classSettings.idempotency();
+    }
+
+    private static Set<AttemptOutcome> outcomesOf(Setting retryOn) {
+        return ((Set<?>) retryOn.value())
+                .stream().map(AttemptOutcome.class::cast).collect(Collectors.toSet());
+    }
+
+    private void error(String key, String description, String remedy) {
+        addProblem(new ConfigProblem(file, lineIndex.lineOf(key), key, description, remedy, false));
+    }
+
+    private void warn(String key, String description, String remedy) {
+        addProblem(new ConfigProblem(file, lineIndex.lineOf(key), key, description, remedy, true));
+    }
+
+    private void addProblem(ConfigProblem problem) {
+        if (!problems.contains(problem)) {
+            problems.add(problem);
+        }
+    }
+}
--- a/operator/src/main/java/weldhitch/operator/Key.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RuleKey.java
@@ -1,7 +1,7 @@
-package weldhitch.operator;
+package weldhitch.routeconfig;
 
 /** The settings that a route, a class or the defaults may make, with their keys in the file. Immutable. */
-enum Key {
+enum RuleKey {
     DEADLINE("deadline"),
     ATTEMPT_TIMEOUT("attempt-timeout"),
     ATTEMPTS("attempts"),
@@ -11,18 +11,18 @@
     HEDGE("hedge"),
     RETRY_AFTER("retry-after"),
     TENANTS("tenants"),
-    EXPECTED("expected-per-second");
+    EXPECTED_RATE("expected-per-second");
 
-    final String text;
+    final String tomlName;
 
-    Key(String text) {
-        this.text = text;
+    RuleKey(String tomlName) {
+        this.tomlName = tomlName;
     }
 
     /** The setting with this key, or null. */
-    static Key of(String text) {
-        for (Key key : values()) {
-            if (key.text.equals(text)) {
+    static RuleKey fromTomlName(String tomlName) {
+        for (RuleKey key : values()) {
+            if (key.tomlName.equals(tomlName)) {
                 return key;
             }
         }
--- a/operator/src/main/java/weldhitch/operator/Section.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RuleSection.java
@@ -1,8 +1,8 @@
-package weldhitch.operator;
+package weldhitch.routeconfig;
 
 import java.util.EnumMap;
 import java.util.Map;
-import weldhitch.decision.RoutePattern;
+import weldhitch.decision.routing.RoutePattern;
 
 /**
  * A section of the file that makes settings: the defaults, a class or a route. Immutable.
@@ -11,9 +11,9 @@
  * @param key its key in the file, such as {@code route[0]}
  * @param name a route's or class's name
  * @param pattern the requests that it matches
- * @param rules its settings
+ * @param settings its settings
  */
-record Section(Kind kind, String key, String name, RoutePattern pattern, Map<Key, Setting> rules) {
+record RuleSection(Kind kind, String key, String name, RoutePattern pattern, Map<RuleKey, Setting> settings) {
     /** Kinds of sections, from wide to narrow; the order is the rank of the routes made from them. */
     enum Kind {
         DEFAULTS,
@@ -32,10 +32,10 @@
     record Setting(Object value, String key, int line, String source) {}
 
     /** The settings of this section, and those of a wider one that this one does not make. */
-    Map<Key, Setting> over(Map<Key, Setting> wider) {
-        Map<Key, Setting> merged = new EnumMap<>(Key.class);
+    Map<RuleKey, Setting> mergedOver(Map<RuleKey, Setting> wider) {
+        Map<RuleKey, Setting> merged = new EnumMap<>(RuleKey.class);
         merged.putAll(wider);
-        merged.putAll(rules);
+        merged.putAll(settings);
         return merged;
     }
 }
--- a/operator/src/main/java/weldhitch/operator/package-info.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/package-info.java
@@ -3,4 +3,4 @@
  * the product's invariants, and compiles it into routes. Files are read once and completely; nothing here
  * runs on the path of a request.
  */
-package weldhitch.operator;
+package weldhitch.routeconfig;
--- /dev/null
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/InvalidFilesTest.java
@@ -0,0 +1,60 @@
+package weldhitch.routeconfig;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.DynamicTest;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.TestFactory;
+
+/**
+ * Each invalid file lists in its first lines the problems that must be found in it: {@code #! line | key |
+ * part of the reason}.
+ */
+class InvalidFilesTest {
+    private static final Path DIRECTORY = Path.of("routeconfig/src/test/resources/broken");
+
+    private static List<Path> files() throws IOException {
+        try (Stream<Path> files = Files.list(DIRECTORY)) {
+            return files.sorted().toList();
+        }
+    }
+
+    @Test
+    void thereAreAtLeastFortyFiles() throws IOException {
+        assertTrue(files().size() >= 40);
+    }
+
+    @TestFactory
+    Stream<DynamicTest> eachFileIsRejectedWithReasonAndLocation() throws IOException {
+        return files().stream()
+                .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> assertExpectedProblems(f)));
+    }
+
+    private static void assertExpectedProblems(Path file) throws IOException {
+        List<String[]> expected = Files.readAllLines(file).stream()
+                .filter(l -> l.startsWith("#! "))
+                .map(l -> l.substring(3).split(" \\| ", 3))
+                .toList();
+        RouteConfig config = RouteConfig.read(file, TestPlatforms.platform());
+        assertFalse(config.isUsable());
+        String allProblems = config.problems().toString();
+        assertEquals(expected.size(), config.errors().size(), allProblems);
+        for (String[] expectation : expected) {
+            ConfigProblem problem = config.errors().stream()
+                    .filter(p -> p.key().equals(expectation[1].trim())
+                            && p.description().contains(expectation[2]))
+                    .findFirst()
+                    .orElseThrow(() -> new AssertionError(String.join(" | ", expectation) + " in " + allProblems));
+            assertEquals(Integer.parseInt(expectation[0]), problem.line(), allProblems);
+            assertFalse(problem.remedy().isEmpty());
+            assertTrue(problem.toString().startsWith(file + ":" + expectation[0] + ": error: "));
+        }
+    }
+}
--- a/operator/src/test/java/weldhitch/operator/LocalityFileTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/LocalityConfigTest.java
@@ -1,4 +1,4 @@
-package weldhitch.operator;
+package weldhitch.routeconfig;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,19 +12,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import weldhitch.decision.Balancing.Settings;
+import weldhitch.decision.settings.BalancerSettings;
 import weldhitch.fleet.locality.LocalityRule;
-import weldhitch.fleet.locality.LocalityRule.Band;
+import weldhitch.fleet.locality.LocalityRule.HysteresisBand;
 import weldhitch.fleet.locality.LocalityRules;
 
 /**
  * Tests {@code [zones]} and {@code [[locality]]}: the rules they yield, and that each error names its line
  * and key.
  */
-class LocalityFileTest {
-    private static final Settings PLATFORM =
-            Platforms.usual(Map.of("areas", "kigali,huye,rusizi,musanze", "az", "kigali"));
-    private static final String SOUND = """
+class LocalityConfigTest {
+    private static final BalancerSettings PLATFORM =
+            TestPlatforms.platform(Map.of("areas", "kigali,huye,rusizi,musanze", "az", "kigali"));
+    private static final String VALID_FILE = """
         version = 1
         [zones]
         rate = 40.0
@@ -50,25 +50,25 @@
         # end
         """;
 
-    private static OperatorFile parse(String text) {
-        return OperatorFile.parse("x.toml", text.getBytes(StandardCharsets.UTF_8), PLATFORM);
+    private static RouteConfig parse(String text) {
+        return RouteConfig.parse("x.toml", text.getBytes(StandardCharsets.UTF_8), PLATFORM);
     }
 
     @Test
-    void aSoundFileMakesItsRules() {
-        OperatorFile file = parse(SOUND);
-        assertEquals(List.of(), file.errors());
-        LocalityRules rules = file.locality();
-        assertEquals(40, rules.rate());
-        assertEquals("records", rules.of("book", null, null).name());
-        LocalityRule all = rules.of("read", "clinic-a", null);
-        assertEquals(new Band(0.9, 0.6), all.spill().use());
-        assertEquals(2_000_000_000L, all.spill().dwell());
-        assertTrue(all.panic());
-        assertFalse(rules.of("book", null, null).panic());
+    void validFileYieldsItsRules() {
+        RouteConfig config = parse(VALID_FILE);
+        assertEquals(List.of(), config.errors());
+        LocalityRules rules = config.locality();
+        assertEquals(40, rules.capacityPerWeight());
+        assertEquals("records", rules.ruleFor("book", null, null).name());
+        LocalityRule ruleForAll = rules.ruleFor("read", "clinic-a", null);
+        assertEquals(new HysteresisBand(0.9, 0.6), ruleForAll.spillPolicy().utilization());
+        assertEquals(2_000_000_000L, ruleForAll.spillPolicy().dwell());
+        assertTrue(ruleForAll.panic());
+        assertFalse(rules.ruleFor("book", null, null).panic());
         assertEquals(
                 List.of(Set.of("kigali"), Set.of("huye"), Set.of("rusizi"), Set.of("musanze")),
-                rules.regions().steps(all, "kigali", Set.copyOf(PLATFORM.zones())));
+                rules.regions().priorityLevels(ruleForAll, "kigali", Set.copyOf(PLATFORM.zones())));
         assertNull(parse("version = 1\n# end\n").locality());
     }
 
@@ -105,22 +105,23 @@
                 "alone = 0.01 | alone = 0.6 | 19 | locality[1].alone | is more than most",
                 "alone = 0.01 | growth = -1 | 19 | locality[1].growth | not a number"
             })
-    void whatIsWrongIsNamedWithLineAndKey(String part, String instead, int line, String key, String what) {
-        OperatorFile file = parse(SOUND.replace(part, instead == null ? "" : instead.replace("\\n", "\n")));
-        assertFalse(file.usable());
-        assertNull(file.locality());
-        Problem problem = file.errors().stream()
-                .filter(p -> p.key().equals(key) && p.what().contains(what))
+    void eachErrorNamesItsLineAndKey(String original, String replacement, int line, String key, String description) {
+        RouteConfig config =
+                parse(VALID_FILE.replace(original, replacement == null ? "" : replacement.replace("\\n", "\n")));
+        assertFalse(config.isUsable());
+        assertNull(config.locality());
+        ConfigProblem problem = config.errors().stream()
+                .filter(p -> p.key().equals(key) && p.description().contains(description))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError(file.errors().toString()));
+                .orElseThrow(() -> new AssertionError(config.errors().toString()));
         assertEquals(line, problem.line(), problem.toString());
-        assertFalse(problem.instead().isEmpty());
+        assertFalse(problem.remedy().isEmpty());
     }
 
     @Test
-    void rulesWithoutZonesAndZonesWithoutRules() {
-        OperatorFile none = parse("version = 1\n[[locality]]\nname = \"x\"\nprefer = [\"any\"]\n# end\n");
-        assertEquals("[zones] is missing", none.errors().get(0).what());
+    void rulesNeedZonesAndZonesAloneYieldNoRules() {
+        RouteConfig rulesWithoutZones = parse("version = 1\n[[locality]]\nname = \"x\"\nprefer = [\"any\"]\n# end\n");
+        assertEquals("[zones] is missing", rulesWithoutZones.errors().get(0).description());
         assertNull(parse("version = 1\n[zones]\nrate = 1\n# end\n").locality());
         assertEquals(List.of(), parse("version = 1\n[zones]\nrate = 1\n# end\n").errors());
     }
--- a/operator/src/test/java/weldhitch/operator/Platforms.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/TestPlatforms.java
@@ -1,25 +1,25 @@
-package weldhitch.operator;
+package weldhitch.routeconfig;
 
 import java.util.HashMap;
 import java.util.Map;
-import weldhitch.decision.Balancing.Settings;
-import weldhitch.decision.FlatSettings;
+import weldhitch.decision.settings.BalancerSettings;
+import weldhitch.decision.settings.FlatSettingsParser;
 
 /** Platform settings for tests to validate files against. */
-final class Platforms {
-    private Platforms() {}
+final class TestPlatforms {
+    private TestPlatforms() {}
 
     /** The default test platform with some settings changed. */
-    static Settings usual(Map<String, String> changed) {
-        Map<String, String> flat = new HashMap<>();
+    static BalancerSettings platform(Map<String, String> overrides) {
+        Map<String, String> settings = new HashMap<>();
         String[] classes = {"read", "book", "feed", "whole"};
         for (int i = 0; i < classes.length; i++) {
-            flat.put("classes." + i + ".name", classes[i]);
-            flat.put("classes." + i + ".effect", i % 2 == 0 ? "read_like" : "non_idempotent");
-            flat.put("classes." + i + ".aimS", "4");
-            flat.put("classes." + i + ".deadlineS", "8");
+            settings.put("classes." + i + ".name", classes[i]);
+            settings.put("classes." + i + ".effect", i % 2 == 0 ? "read_like" : "non_idempotent");
+            settings.put("classes." + i + ".aimS", "4");
+            settings.put("classes." + i + ".deadlineS", "8");
         }
-        flat.putAll(Map.of(
+        settings.putAll(Map.of(
                 "classes.count",
                 "4",
                 "customers.count",
@@ -38,13 +38,13 @@
                 "true",
                 "limits.maxRetryAfterS",
                 "1.5"));
-        flat.put("quantumS", "0.002");
-        flat.putAll(changed);
-        return new FlatSettings(flat).settings();
+        settings.put("quantumS", "0.002");
+        settings.putAll(overrides);
+        return new FlatSettingsParser(settings).settings();
     }
 
     /** The default test platform. */
-    static Settings usual() {
-        return usual(Map.of());
+    static BalancerSettings platform() {
+        return platform(Map.of());
     }
 }
--- a/lab/src/main/java/weldhitch/lab/site/Tap.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/BalancerTap.java
@@ -1,24 +1,24 @@
-package weldhitch.lab.site;
+package weldhitch.simulator.cluster;
 
 import java.util.List;
 import java.util.function.Supplier;
-import weldhitch.decision.Balancing.Action;
-import weldhitch.decision.Balancing.Event;
-import weldhitch.decision.Balancing.Settings;
-import weldhitch.decision.Snapshot;
+import weldhitch.decision.action.BalancerAction;
+import weldhitch.decision.event.BalancerEvent;
+import weldhitch.decision.settings.BalancerSettings;
+import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /** Receives every event and every action of one node, in order, on the thread of the simulation. */
-public interface Tap {
+public interface BalancerTap {
     /** An incarnation of the node has started; {@code module} gives snapshots of its balancer from now on. */
-    void starts(Settings settings, Supplier<Snapshot> module);
+    void onStart(BalancerSettings settings, Supplier<BalancerSnapshot> snapshotSource);
 
     /**
      * Called before each event is handled, so that a snapshot can be taken.
      *
      * @param now nanoseconds of virtual time
      */
-    void before(long now);
+    void beforeEvent(long now);
 
     /** The balancer has handled an event and decided on these actions. */
-    void told(long now, Event event, List<Action> actions);
+    void onEvent(long now, BalancerEvent event, List<BalancerAction> actions);
 }
--- a/lab/src/main/java/weldhitch/lab/site/Figures.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/RunStatistics.java
@@ -1,4 +1,4 @@
-package weldhitch.lab.site;
+package weldhitch.simulator.cluster;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -11,11 +11,11 @@
  * Statistics of one run: by second of the arrival of first tries, by class, by server, and rejections and
  * failures by reason. Filled by the cluster, single-threaded; read when the run is over.
  */
-public final class Figures {
-    private static final long LONGEST_US = 120_000_000L;
+public final class RunStatistics {
+    private static final long MAX_LATENCY_US = 120_000_000L;
 
     /** What became of a set of first tries. */
-    public static final class Counts {
+    public static final class RequestStatistics {
         /** First tries. */
         public long offered;
         /** Answered within the latency objective. */
@@ -23,31 +23,31 @@
         /** Answered after it. */
         public long late;
 
-        public long refused;
+        public long rejected;
         public long failed;
         /** Ended without a node that would accept the last try. */
-        public long unreached;
+        public long unreachable;
         /** Tries of clients, the first included. */
-        public long tries;
+        public long clientAttempts;
         /** Attempts of nodes for them. */
-        public long attempts;
+        public long nodeAttempts;
         /** Priority weight of all first tries. */
-        public double worthOffered;
+        public double weightOffered;
         /** Priority weight of those answered, with late weight for late ones. */
-        public double worthServed;
+        public double weightServed;
         /** Microseconds from a first try to its answer, of those served. */
-        public final Histogram latency = new Histogram(LONGEST_US, 2);
+        public final Histogram latency = new Histogram(MAX_LATENCY_US, 2);
 
         /**
          * The fraction of the offered priority weight that was served, late weight included; 1 if none was
          * offered.
          */
         public double goodput() {
-            return worthOffered == 0 ? 1 : worthServed / worthOffered;
+            return weightOffered == 0 ? 1 : weightServed / weightOffered;
         }
 
         /** The fraction of first tries that was answered within the latency objective; 1 if there were none. */
-        public double inTimeShare() {
+        public double inTimeFraction() {
             return offered == 0 ? 1 : (double) inTime / offered;
         }
 
@@ -56,21 +56,21 @@
             return latency.getTotalCount() == 0 ? 0 : latency.getValueAtPercentile(percentile) / 1000.0;
         }
 
-        void served(long nanos) {
-            latency.recordValue(Math.min(LONGEST_US, nanos / 1000));
+        void recordLatency(long nanos) {
+            latency.recordValue(Math.min(MAX_LATENCY_US, nanos / 1000));
         }
     }
 
-    public final Counts all = new Counts();
-    public final List<Counts> seconds = new ArrayList<>();
-    public final Map<String, Counts> classes = new LinkedHashMap<>();
-    public final Map<String, Long> servers = new TreeMap<>();
+    public final RequestStatistics total = new RequestStatistics();
+    public final List<RequestStatistics> bySecond = new ArrayList<>();
+    public final Map<String, RequestStatistics> byClass = new LinkedHashMap<>();
+    public final Map<String, Long> attemptsByServer = new TreeMap<>();
     /** Final answers of nodes other than success, by the reason of the balancer. */
-    public final Map<String, Long> causes = new TreeMap<>();
+    public final Map<String, Long> unservedByCause = new TreeMap<>();
     /** Attempts that went to another zone. */
-    public long crossings;
+    public long crossZoneAttempts;
     /** Attempts by the zone that they went to, by second. */
-    public final Map<String, long[]> zones = new TreeMap<>();
+    public final Map<String, long[]> attemptsByZone = new TreeMap<>();
     /** The largest number of priority level changes of a locality rule at any node. */
-    public int stepChanges;
+    public int maxLevelTransitions;
 }
--- a/lab/src/main/java/weldhitch/lab/site/Box.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimEndpoint.java
@@ -1,18 +1,18 @@
-package weldhitch.lab.site;
+package weldhitch.simulator.cluster;
 
-import weldhitch.decision.Balancing.Outcome;
+import weldhitch.decision.endpoint.AttemptOutcome;
 
 /** An endpoint as a simulated node sees it. */
-public interface Box {
+public interface SimEndpoint {
     /** Receives the outcome of an attempt; never called if the node hears nothing of it. */
-    interface Reply {
+    interface AttemptCallback {
         /** Called at most once for each attempt. */
-        void ended(Outcome outcome);
+        void onAttemptEnded(AttemptOutcome outcome);
     }
 
     /** The zone that it is in. */
     String zone();
 
     /** Handles an attempt. */
-    void take(Call call, Reply reply);
+    void handle(SimCall call, AttemptCallback callback);
 }
--- a/lab/src/main/java/weldhitch/lab/site/package-info.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/package-info.java
@@ -2,4 +2,4 @@
  * The simulated cluster: a discrete-event simulation of servers, network, clients and coordinators around the
  * balancers of real nodes. Single-threaded and deterministic in its seed.
  */
-package weldhitch.lab.site;
+package weldhitch.simulator.cluster;
--- a/lab/src/main/java/weldhitch/lab/start/Tally.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/BucketedCounter.java
@@ -1,29 +1,29 @@
-package weldhitch.lab.start;
+package weldhitch.simulator.coldstart;
 
 import java.util.Arrays;
 
 /**
  * A counter in buckets of a tenth of a second of virtual time. Not thread-safe; times are nanoseconds from 0.
  */
-final class Tally {
-    private static final long TENTH = 100_000_000L;
+final class BucketedCounter {
+    private static final long BUCKET_NANOS = 100_000_000L;
 
     private long[] counts = new long[64];
-    private int used;
+    private int bucketCount;
 
     /** Adds to the bucket of this time. */
     void add(long at, long count) {
-        int tenth = (int) (at / TENTH);
-        if (tenth >= counts.length) {
-            counts = Arrays.copyOf(counts, Math.max(2 * counts.length, tenth + 1));
+        int bucket = (int) (at / BUCKET_NANOS);
+        if (bucket >= counts.length) {
+            counts = Arrays.copyOf(counts, Math.max(2 * counts.length, bucket + 1));
         }
-        counts[tenth] += count;
-        used = Math.max(used, tenth + 1);
+        counts[bucket] += count;
+        bucketCount = Math.max(bucketCount, bucket + 1);
     }
 
     /** The maximum of all buckets from the one that contains {@code from} on; 0 if there are none. */
     long peak(long from) {
-        return Arrays.stream(counts, Math.min(used, (int) (from / TENTH)), used)
+        return Arrays.stream(counts, Math.min(bucketCount, (int) (from / BUCKET_NANOS)), bucketCount)
                 .max()
                 .orElse(0);
     }
@@ -32,8 +32,9 @@
      * The sum of the buckets from the one that contains {@code from} up to, not including, the one that
      * contains {@code to}.
      */
-    long between(long from, long to) {
-        return Arrays.stream(counts, Math.min(used, (int) (from / TENTH)), Math.min(used, (int) (to / TENTH)))
+    long sumBetween(long from, long to) {
+        return Arrays.stream(counts, Math.min(bucketCount, (int) (from / BUCKET_NANOS)), Math.min(bucketCount, (int)
+                        (to / BUCKET_NANOS)))
                 .sum();
     }
 }
--- a/lab/src/main/java/weldhitch/lab/start/package-info.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Simulation of a cold start: many nodes poll one discovery service that all of them share, in virtual time.
  */
-package weldhitch.lab.start;
+package weldhitch.simulator.coldstart;
--- a/lab/src/main/java/weldhitch/lab/package-info.java
+++ b/simulator/src/main/java/weldhitch/simulator/package-info.java
@@ -3,4 +3,4 @@
  * balancer's real decision code, {@code report} writes statistics, plots and comparisons. Nothing here is on a
  * node's class path.
  */
-package weldhitch.lab;
+package weldhitch.simulator;
--- a/lab/src/main/java/weldhitch/lab/report/package-info.java
+++ b/simulator/src/main/java/weldhitch/simulator/report/package-info.java
@@ -2,4 +2,4 @@
  * Reports of simulation runs: statistics and plots, comparisons of two sets of runs, and captures of a
  * simulated node.
  */
-package weldhitch.lab.report;
+package weldhitch.simulator.report;
--- a/lab/src/main/java/weldhitch/lab/scenario/Draws.java
+++ b/simulator/src/main/java/weldhitch/simulator/scenario/Distribution.java
@@ -1,4 +1,4 @@
-package weldhitch.lab.scenario;
+package weldhitch.simulator.scenario;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ContinuousUniformSampler;
@@ -10,23 +10,23 @@
  * A probability distribution, sampled with a generator that the caller passes. Immutable. Durations are in
  * nanoseconds, other values plain numbers.
  */
-public sealed interface Draws {
+public sealed interface Distribution {
     /** Draws one sample. */
-    double draw(UniformRandomProvider random);
+    double sample(UniformRandomProvider random);
 
     /** The expected value. */
     double mean();
 
     /** Always the same value. */
-    record Constant(double mean) implements Draws {
+    record Constant(double mean) implements Distribution {
         @Override
-        public double draw(UniformRandomProvider random) {
+        public double sample(UniformRandomProvider random) {
             return mean;
         }
     }
 
     /** Uniform between {@code low} and {@code high}. */
-    record Uniform(double low, double high) implements Draws {
+    record Uniform(double low, double high) implements Distribution {
         /**
          * Checks that the bounds are in order.
          *
@@ -37,7 +37,7 @@
         }
 
         @Override
-        public double draw(UniformRandomProvider random) {
+        public double sample(UniformRandomProvider random) {
             return ContinuousUniformSampler.of(random, low, high).sample();
         }
 
@@ -48,18 +48,18 @@
     }
 
     /** Exponential, as the gaps of a Poisson process. */
-    record Exponential(double mean) implements Draws {
+    record Exponential(double mean) implements Distribution {
         @Override
-        public double draw(UniformRandomProvider random) {
+        public double sample(UniformRandomProvider random) {
             return ZigguratSampler.Exponential.of(random, mean).sample();
         }
     }
 
     /** Log-normal with this mean and coefficient of variation. */
-    record Lognormal(double mean, double cv) implements Draws {
+    record LogNormal(double mean, double coefficientOfVariation) implements Distribution {
         @Override
-        public double draw(UniformRandomProvider random) {
-            double sigma2 = Math.log1p(cv * cv);
+        public double sample(UniformRandomProvider random) {
+            double sigma2 = Math.log1p(coefficientOfVariation * coefficientOfVariation);
             return LogNormalSampler.of(
                             ZigguratSampler.NormalizedGaussian.of(random),
                             Math.log(mean) - sigma2 / 2,
@@ -69,17 +69,17 @@
     }
 
     /** Heavy-tailed, with this mean; the smaller the shape (above 1), the heavier the tail. */
-    record Pareto(double mean, double shape) implements Draws {
+    record Pareto(double mean, double shape) implements Distribution {
         @Override
-        public double draw(UniformRandomProvider random) {
+        public double sample(UniformRandomProvider random) {
             return InverseTransformParetoSampler.of(random, mean * (shape - 1) / shape, shape)
                     .sample();
         }
     }
 
-    private static void require(boolean sound, String wanted) {
-        if (!sound) {
-            throw new IllegalArgumentException(wanted);
+    private static void require(boolean condition, String expected) {
+        if (!condition) {
+            throw new IllegalArgumentException(expected);
         }
     }
 }
--- a/lab/src/main/java/weldhitch/lab/scenario/package-info.java
+++ b/simulator/src/main/java/weldhitch/simulator/scenario/package-info.java
@@ -2,4 +2,4 @@
  * Scenarios: the model of a scenario file, its reader and validator, and the probability distributions that it
  * names.
  */
-package weldhitch.lab.scenario;
+package weldhitch.simulator.scenario;
--- a/lab/src/main/java/weldhitch/lab/whatif/package-info.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/package-info.java
@@ -3,4 +3,4 @@
  * model fitted to the capture, arrivals and endpoint lists are the captured ones. Free of I/O, clocks and
  * threads.
  */
-package weldhitch.lab.whatif;
+package weldhitch.simulator.whatif;
--- /dev/null
+++ b/testkit/src/main/java/weldhitch/testkit/FakeDiscovery.java
@@ -0,0 +1,140 @@
+package weldhitch.testkit;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * A fake discovery service: serves an endpoint list that the test changes, by poll or long poll. Thread-safe:
+ * the list is guarded by the object's monitor.
+ */
+public final class FakeDiscovery implements Closeable {
+    private static final Pattern WATCH_QUERY = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
+
+    /** One list entry; {@code since} is the list version that changed it last. Immutable. */
+    private record Endpoint(String address, String health, int changedIn) {}
+
+    private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
+    private final ScriptedServer server;
+    private int version = 1;
+    private boolean paused;
+    private long notifiedAt;
+    private int notifiedVersion;
+    /** The list version in the latest response. */
+    private int lastAnsweredVersion;
+
+    /** Starts to listen at once, with an empty list. */
+    public FakeDiscovery() throws IOException {
+        server = new ScriptedServer(connection -> {
+            for (RawHttpMessage request = connection.readMessage();
+                    request != null;
+                    request = connection.readMessage()) {
+                connection.write(respond(request.firstLine()));
+                recordNotified();
+            }
+        });
+    }
+
+    /** Host and port. */
+    public String address() {
+        return server.address();
+    }
+
+    /** Lists the endpoint as ready. */
+    public FakeDiscovery add(String name, String address) {
+        return update(name, address, "ready");
+    }
+
+    /** Lists the endpoint as draining. */
+    public FakeDiscovery drain(String name) {
+        return update(name, endpoints.get(name).address, "draining");
+    }
+
+    /** Removes the endpoint from the list. */
+    public FakeDiscovery remove(String name) {
+        return update(name, endpoints.get(name).address, "gone");
+    }
+
+    private synchronized FakeDiscovery update(String name, String address, String health) {
+        endpoints.put(name, new Endpoint(address, health, ++version));
+        notifyAll();
+        return this;
+    }
+
+    /** Suspends all responses until {@link #resume}; polls stay pending. */
+    public synchronized FakeDiscovery pause() {
+        paused = true;
+        return this;
+    }
+
+    /** Resumes responses. */
+    public synchronized FakeDiscovery resume() {
+        paused = false;
+        notifyAll();
+        return this;
+    }
+
+    /**
+     * Waits until a node has received the newest list version; returns {@link System#nanoTime} of that
+     * moment.
+     */
+    public synchronized long awaitNotified() throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TestSupport.TIMEOUT_SECONDS);
+        while (notifiedVersion < version) {
+            long remaining = deadline - System.nanoTime();
+            if (remaining <= 0) {
+                throw new AssertionError("no node asked for version " + version);
+            }
+            TimeUnit.NANOSECONDS.timedWait(this, remaining);
+        }
+        return notifiedAt;
+    }
+
+    private synchronized void recordNotified() {
+        if (lastAnsweredVersion > notifiedVersion) {
+            notifiedVersion = lastAnsweredVersion;
+            notifiedAt = System.nanoTime();
+            notifyAll();
+        }
+    }
+
+    private synchronized String respond(String requestLine) throws InterruptedException {
+        Matcher matcher = WATCH_QUERY.matcher(requestLine);
+        boolean isWatch = matcher.find();
+        int knownVersion = isWatch ? Integer.parseInt(matcher.group(1)) : 0;
+        long deadline =
+                System.nanoTime() + (isWatch ? TimeUnit.MILLISECONDS.toNanos(Long.parseLong(matcher.group(2))) : 0);
+        while (paused || isWatch && version == knownVersion && System.nanoTime() < deadline) {
+            long remaining = paused ? TimeUnit.SECONDS.toNanos(1) : deadline - System.nanoTime();
+            if (remaining > 0) {
+                TimeUnit.NANOSECONDS.timedWait(this, remaining);
+            }
+        }
+        lastAnsweredVersion = version;
+        boolean completeList = !isWatch || knownVersion == 0;
+        StringBuilder entries = new StringBuilder();
+        endpoints.forEach((name, endpoint) -> {
+            if (completeList ? !endpoint.health.equals("gone") : endpoint.changedIn > knownVersion) {
+                entries.append(entries.length() == 0 ? "" : ",")
+                        .append("{\"host\":\"")
+                        .append(name)
+                        .append("\",\"dial\":\"")
+                        .append(endpoint.address)
+                        .append("\",\"site\":\"a\",\"class\":\"k\",\"block\":1,\"health\":\"")
+                        .append(endpoint.health)
+                        .append("\",\"share\":1.0,\"born_ms\":0}");
+            }
+        });
+        String body = "{\"seq\":" + version + ",\"whole\":" + completeList + ",\"hosts\":[" + entries + "]}";
+        return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+    }
+
+    @Override
+    public void close() throws IOException {
+        server.close();
+    }
+}
--- a/testkit/src/main/java/weldhitch/testkit/HeldPort.java
+++ b/testkit/src/main/java/weldhitch/testkit/ReservedPort.java
@@ -12,19 +12,19 @@
  * refuses connection attempts to it, and lets a listener bind to it explicitly, any number of times. A port
  * that was only looked up and released may be taken by any connection in between. Immutable.
  */
-public final class HeldPort implements Closeable {
-    private final Socket holder = new Socket();
+public final class ReservedPort implements Closeable {
+    private final Socket reservingSocket = new Socket();
 
     /** Reserves a free port at once. */
-    public HeldPort() throws IOException {
+    public ReservedPort() throws IOException {
         // Both sockets need SO_REUSEADDR; Java's server channels set it by themselves.
-        holder.setReuseAddress(true);
-        holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        reservingSocket.setReuseAddress(true);
+        reservingSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
     /** The reserved port. */
     public int number() {
-        return holder.getLocalPort();
+        return reservingSocket.getLocalPort();
     }
 
     /** Host and port. */
@@ -34,6 +34,6 @@
 
     @Override
     public void close() throws IOException {
-        holder.close();
+        reservingSocket.close();
     }
 }
--- /dev/null
+++ b/testkit/src/main/java/weldhitch/testkit/ScriptedHttpServer.java
@@ -0,0 +1,259 @@
+package weldhitch.testkit;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * An HTTP server that follows a script: each request gets the next step, and the default step once the
+ * script is used up. It counts executions by request id, so that tests can check that no non-idempotent
+ * request runs twice. Thread-safe; each connection has a thread of its own.
+ *
+ * <pre>{@code
+ * new ScriptedHttpServer("s1").enqueue(reject(), delayed(50, respond("late"))).byDefault(respond("x"))
+ * }</pre>
+ */
+public final class ScriptedHttpServer implements Closeable {
+    /** How the server treats one request. Immutable. */
+    public sealed interface Step
+            permits FullResponse,
+                    Rejection,
+                    ErrorStatus,
+                    DelayedStep,
+                    ResetBeforeBody,
+                    ResetAfterRequest,
+                    StalledResponse,
+                    MalformedResponse,
+                    NoResponse {
+        /** Whether the request is executed. */
+        default boolean executesRequest() {
+            return true;
+        }
+    }
+
+    /** Status 200 with a body. */
+    private record FullResponse(String body) implements Step {}
+
+    /** A status without a body. */
+    private record ErrorStatus(int status) implements Step {}
+
+    /** Another step, a while later. */
+    private record DelayedStep(long millis, Step step) implements Step {
+        @Override
+        public boolean executesRequest() {
+            return step.executesRequest();
+        }
+    }
+
+    /** A reset after the request was executed. */
+    private record ResetAfterRequest() implements Step {}
+
+    /** The first half of the body, then nothing. */
+    private record StalledResponse(String body) implements Step {}
+
+    /** Bytes that are no HTTP response. */
+    private record MalformedResponse(String rawResponse) implements Step {}
+
+    /** No response at all. */
+    private record NoResponse() implements Step {}
+
+    /** Status 503 with the promise that the request was not executed. */
+    private record Rejection() implements Step {
+        @Override
+        public boolean executesRequest() {
+            return false;
+        }
+    }
+
+    /** A reset before the body is read. */
+    private record ResetBeforeBody() implements Step {
+        @Override
+        public boolean executesRequest() {
+            return false;
+        }
+    }
+
+    /** Executes and responds with status 200 and this body. */
+    public static Step respond(String body) {
+        return new FullResponse(body);
+    }
+
+    /** Rejects with status 503 and {@code X-Never-Ran}: the request is not executed. */
+    public static Step reject() {
+        return new Rejection();
+    }
+
+    /** Executes and responds with this status and no body. */
+    public static Step respondWithStatus(int status) {
+        return new ErrorStatus(status);
+    }
+
+    /** Performs the step so many milliseconds later. */
+    public static Step delayed(long millis, Step step) {
+        return new DelayedStep(millis, step);
+    }
+
+    /** Resets after the head and before the body is read: the request is not executed. */
+    public static Step resetBeforeLastByte() {
+        return new ResetBeforeBody();
+    }
+
+    /** Executes and resets without a response. */
+    public static Step resetAfterLastByte() {
+        return new ResetAfterRequest();
+    }
+
+    /** Executes, sends the first half of this body, then stalls with the connection open. */
+    public static Step stallMidResponse(String body) {
+        return new StalledResponse(body);
+    }
+
+    /** Executes and responds with these bytes, which are no HTTP response. */
+    public static Step respondMalformed(String rawResponse) {
+        return new MalformedResponse(rawResponse);
+    }
+
+    /** Executes and never responds. */
+    public static Step hang() {
+        return new NoResponse();
+    }
+
+    /**
+     * A received request. Immutable.
+     *
+     * @param id its trace id
+     * @param receivedAtNanos {@link System#nanoTime} when its last byte had arrived, or its head where it was reset
+     *     unread
+     */
+    public record ReceivedRequest(String id, long receivedAtNanos, Step step) {}
+
+    private final String name;
+    private final ScriptedServer server;
+    private final Deque<Step> script = new ArrayDeque<>();
+    private final Map<String, Integer> executionsById = new ConcurrentHashMap<>();
+    private final List<ReceivedRequest> receivedRequests = new CopyOnWriteArrayList<>();
+    private final CountDownLatch closed = new CountDownLatch(1);
+    private Step defaultStep;
+
+    /** Starts to listen at once; the default step responds with the server's name. */
+    public ScriptedHttpServer(String name) throws IOException {
+        this.name = name;
+        defaultStep = respond(name);
+        server = new ScriptedServer(this::serve);
+    }
+
+    /** Appends steps that are used once each, in order, before the default step. */
+    public synchronized ScriptedHttpServer enqueue(Step... steps) {
+        script.addAll(List.of(steps));
+        return this;
+    }
+
+    /** Sets the step for every request for which the script has none. */
+    public synchronized ScriptedHttpServer byDefault(Step step) {
+        defaultStep = step;
+        return this;
+    }
+
+    private synchronized Step nextStep() {
+        Step scripted = script.poll();
+        return scripted == null ? defaultStep : scripted;
+    }
+
+    private void serve(TestConnection connection) throws Exception {
+        for (String head = connection.readHead(); head != null; head = connection.readHead()) {
+            Step step = nextStep();
+            if (!(step instanceof ResetBeforeBody)) {
+                String length = RawHttpMessage.header(head, "content-length");
+                connection.readBytes(length == null ? 0 : Integer.parseInt(length));
+            }
+            String id = String.valueOf(RawHttpMessage.header(head, "x-trace-id"));
+            receivedRequests.add(new ReceivedRequest(id, System.nanoTime(), step));
+            if (step.executesRequest()) {
+                executionsById.merge(id, 1, Integer::sum);
+            }
+            if (!perform(connection, step)) {
+                return;
+            }
+        }
+        // The client has ended it; left open, each would cost a descriptor until the end of the test.
+        connection.close();
+    }
+
+    /** Performs a step; false where nothing more is read on the connection. */
+    private boolean perform(TestConnection connection, Step step) throws Exception {
+        if (step instanceof DelayedStep delayed) {
+            // The scripted processing time; closing the server ends it early.
+            closed.await(delayed.millis, TimeUnit.MILLISECONDS);
+            return perform(connection, delayed.step);
+        } else if (step instanceof FullResponse response) {
+            connection.write(responseHead(200, response.body.length()) + response.body);
+        } else if (step instanceof Rejection) {
+            connection.write("HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+        } else if (step instanceof ErrorStatus error) {
+            connection.write(responseHead(error.status, 0));
+        } else if (step instanceof StalledResponse stalled) {
+            connection.write(
+                    responseHead(200, stalled.body.length()) + stalled.body.substring(0, stalled.body.length() / 2));
+            closed.await();
+        } else if (step instanceof MalformedResponse malformed) {
+            connection.write(malformed.rawResponse.getBytes(StandardCharsets.ISO_8859_1));
+        } else if (step instanceof NoResponse) {
+            closed.await();
+        } else {
+            connection.reset();
+            return false;
+        }
+        return true;
+    }
+
+    private static String responseHead(int status, int length) {
+        return "HTTP/1.1 " + status + " x\r\nContent-Length: " + length + "\r\n\r\n";
+    }
+
+    /** The server's name. */
+    public String name() {
+        return name;
+    }
+
+    /** Host and port. */
+    public String address() {
+        return server.address();
+    }
+
+    /** How often the request of this id was executed. */
+    public int executionCount(String id) {
+        return executionsById.getOrDefault(id, 0);
+    }
+
+    /** All received requests, in order of arrival. */
+    public List<ReceivedRequest> receivedRequests() {
+        return List.copyOf(receivedRequests);
+    }
+
+    /** The most connections accepted within any {@code millis}. */
+    public int peakConnections(long millis) {
+        List<Long> acceptedAt = server.acceptTimes();
+        int peak = 0;
+        for (int windowStart = 0, windowEnd = 0; windowEnd < acceptedAt.size(); windowEnd++) {
+            while (acceptedAt.get(windowEnd) - acceptedAt.get(windowStart) > millis * 1_000_000) {
+                windowStart++;
+            }
+            peak = Math.max(peak, windowEnd - windowStart + 1);
+        }
+        return peak;
+    }
+
+    @Override
+    public void close() throws IOException {
+        closed.countDown();
+        server.close();
+    }
+}
--- a/testkit/src/main/java/weldhitch/testkit/HeldDial.java
+++ b/testkit/src/main/java/weldhitch/testkit/StalledListener.java
@@ -15,17 +15,17 @@
  * A listener whose full backlog stalls connection attempts until it is released. The kernel retransmits a
  * SYN one second after the first, so a stalled attempt takes at least that long. Used from one test thread.
  */
-public final class HeldDial implements Closeable {
+public final class StalledListener implements Closeable {
     private static final int BACKLOG = 1;
 
     private final ServerSocket listener;
-    private final List<Closeable> open = new CopyOnWriteArrayList<>();
+    private final List<Closeable> openSockets = new CopyOnWriteArrayList<>();
 
     /** Listens and fills the backlog at once. */
-    public HeldDial() throws IOException {
+    public StalledListener() throws IOException {
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         for (int i = 0; i <= BACKLOG; i++) {
-            open.add(new Socket(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
+            openSockets.add(new Socket(InetAddress.getLoopbackAddress(), listener.getLocalPort()));
         }
     }
 
@@ -35,36 +35,37 @@
     }
 
     /** Waits until a connection attempt to it is under way (state SYN_SENT). */
-    public void awaitDial() {
-        String port = String.format(Locale.ROOT, ":%04X 02", listener.getLocalPort());
-        Tests.await(() -> lines("/proc/net/tcp", port) || lines("/proc/net/tcp6", port));
+    public void awaitConnectAttempt() {
+        String connectAttemptPattern = String.format(Locale.ROOT, ":%04X 02", listener.getLocalPort());
+        TestSupport.await(() -> hasMatchingLine("/proc/net/tcp", connectAttemptPattern)
+                || hasMatchingLine("/proc/net/tcp6", connectAttemptPattern));
     }
 
-    private static boolean lines(String table, String port) {
+    private static boolean hasMatchingLine(String procFile, String pattern) {
         try {
-            return Files.readAllLines(Path.of(table)).stream().anyMatch(line -> line.contains(port));
+            return Files.readAllLines(Path.of(procFile)).stream().anyMatch(line -> line.contains(pattern));
         } catch (IOException e) {
             return false;
         }
     }
 
     /** Empties the backlog, so that connection attempts succeed, and waits for one. */
-    public Wire release() throws IOException {
-        listener.setSoTimeout(Tests.WAIT_S * 1000);
+    public TestConnection release() throws IOException {
+        listener.setSoTimeout(TestSupport.TIMEOUT_SECONDS * 1000);
         for (int i = 0; i <= BACKLOG; i++) {
-            open.add(listener.accept());
+            openSockets.add(listener.accept());
         }
-        Wire wire = new Wire(listener.accept());
-        open.add(wire);
-        return wire;
+        TestConnection connection = new TestConnection(listener.accept());
+        openSockets.add(connection);
+        return connection;
     }
 
     /** Empties the backlog and hands each connection, now and later, to this handler on a thread of its own. */
-    public void release(Behaviour behaviour) {
-        Tests.daemon(() -> {
-            for (Wire wire = release(); ; wire = new Wire(listener.accept())) {
-                Wire next = wire;
-                Tests.daemon(() -> behaviour.serve(next));
+    public void release(ConnectionHandler handler) {
+        TestSupport.startDaemon(() -> {
+            for (TestConnection connection = release(); ; connection = new TestConnection(listener.accept())) {
+                TestConnection accepted = connection;
+                TestSupport.startDaemon(() -> handler.handle(accepted));
             }
         });
     }
@@ -72,8 +73,8 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        for (Closeable each : open) {
-            each.close();
+        for (Closeable socket : openSockets) {
+            socket.close();
         }
     }
 }
--- a/testkit/src/main/java/weldhitch/testkit/Wire.java
+++ b/testkit/src/main/java/weldhitch/testkit/TestConnection.java
@@ -10,17 +10,17 @@
 
 /**
  * One TCP connection of a test, with blocking reads of HTTP messages and of the end of the stream. Every read
- * times out after {@link Tests#WAIT_S} seconds. Not thread-safe: one thread reads at a time.
+ * times out after {@link TestSupport#TIMEOUT_SECONDS} seconds. Not thread-safe: one thread reads at a time.
  */
-public final class Wire implements Closeable {
+public final class TestConnection implements Closeable {
     public final Socket socket;
-    private final InputStream in;
+    private final InputStream input;
 
     /** Wraps a connected socket and sets its read timeout. */
-    public Wire(Socket socket) throws IOException {
+    public TestConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(Tests.WAIT_S * 1000);
-        in = new java.io.BufferedInputStream(socket.getInputStream());
+        socket.setSoTimeout(TestSupport.TIMEOUT_SECONDS * 1000);
+        input = new java.io.BufferedInputStream(socket.getInputStream());
     }
 
     /** Writes the text in ISO 8859-1 and flushes. */
@@ -35,46 +35,46 @@
     }
 
     /** Reads a message head including its empty line; null at the end of the stream. */
-    public String head() throws IOException {
-        ByteArrayOutputStream head = new ByteArrayOutputStream();
-        for (int b = in.read(); b >= 0; b = in.read()) {
-            head.write(b);
-            String text = head.toString(StandardCharsets.ISO_8859_1);
-            if (text.endsWith("\r\n\r\n")) {
-                return text;
+    public String readHead() throws IOException {
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+        for (int nextByte = input.read(); nextByte >= 0; nextByte = input.read()) {
+            buffer.write(nextByte);
+            String headText = buffer.toString(StandardCharsets.ISO_8859_1);
+            if (headText.endsWith("\r\n\r\n")) {
+                return headText;
             }
         }
-        if (head.size() > 0) {
-            throw new EOFException("a broken head: " + head);
+        if (buffer.size() > 0) {
+            throw new EOFException("a broken head: " + buffer);
         }
         return null;
     }
 
     /** Reads a complete message by its Content-Length (0 without one); null at the end of the stream. */
-    public Message message() throws IOException {
-        String head = head();
+    public RawHttpMessage readMessage() throws IOException {
+        String head = readHead();
         if (head == null) {
             return null;
         }
-        String length = Message.field(head, "content-length");
-        byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-        return new Message(head, body);
+        String length = RawHttpMessage.header(head, "content-length");
+        byte[] body = input.readNBytes(length == null ? 0 : Integer.parseInt(length));
+        return new RawHttpMessage(head, body);
     }
 
     /** Reads all bytes up to the end of the stream. */
-    public byte[] rest() throws IOException {
-        return in.readAllBytes();
+    public byte[] readToEnd() throws IOException {
+        return input.readAllBytes();
     }
 
     /** Reads {@code count} bytes, or fewer where the stream ends before. */
-    public byte[] bytes(int count) throws IOException {
-        return in.readNBytes(count);
+    public byte[] readBytes(int count) throws IOException {
+        return input.readNBytes(count);
     }
 
     /** Whether the peer closes or resets the connection; blocks until it does or a byte arrives. */
-    public boolean ends() throws IOException {
+    public boolean isClosedByPeer() throws IOException {
         try {
-            return in.read() < 0;
+            return input.read() < 0;
         } catch (java.net.SocketException e) {
             return true;
         }
--- a/testkit/src/main/java/weldhitch/testkit/Tests.java
+++ b/testkit/src/main/java/weldhitch/testkit/TestSupport.java
@@ -1,26 +1,26 @@
 package weldhitch.testkit;
 
 /** Timeout, polling and daemon threads shared by tests that use sockets. Thread-safe. */
-public final class Tests {
+public final class TestSupport {
     /**
      * Upper bound for any wait of a test, in seconds: generous for a noisy machine, not itself an
      * assertion.
      */
-    public static final int WAIT_S = 20;
+    public static final int TIMEOUT_SECONDS = 20;
 
-    private Tests() {}
+    private TestSupport() {}
 
     /** The body of a daemon thread. Its exceptions are ignored, as a peer's thread ends with its connection. */
-    public interface Work {
+    public interface ThrowingRunnable {
         /** Runs on a thread of its own until the connection ends. */
         void run() throws Exception;
     }
 
     /** Starts a daemon thread that runs {@code work} and ignores its exceptions. */
-    public static Thread daemon(Work work) {
+    public static Thread startDaemon(ThrowingRunnable task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (Exception e) {
                 // the peer's connection has ended, and its thread with it
             }
@@ -30,16 +30,16 @@
         return thread;
     }
 
-    /** Polls until the condition is true; fails after {@link #WAIT_S} seconds. */
+    /** Polls until the condition is true; fails after {@link #TIMEOUT_SECONDS} seconds. */
     public static void await(java.util.function.BooleanSupplier condition) {
-        await(WAIT_S, condition);
+        await(TIMEOUT_SECONDS, condition);
     }
 
     /** Polls until the condition is true; fails after {@code seconds}. */
     public static void await(int seconds, java.util.function.BooleanSupplier condition) {
-        long end = System.nanoTime() + seconds * 1_000_000_000L;
+        long deadline = System.nanoTime() + seconds * 1_000_000_000L;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
+            if (System.nanoTime() > deadline) {
                 throw new AssertionError("it never came about");
             }
             Thread.onSpinWait();
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Chronicle.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/EventLog.java
@@ -6,34 +6,34 @@
 import java.util.stream.Collectors;
 
 /** The log of all events of a test, in one order and on the clock of this process. Thread-safe. */
-public final class Chronicle {
+public final class EventLog {
     /**
      * One event. Immutable.
      *
-     * @param at nanoseconds since the event log was created
-     * @param who the process, link or peer that it concerns
+     * @param atNanos nanoseconds since the event log was created
+     * @param source the process, link or peer that it concerns
      */
-    public record Entry(long at, String who, String what) {
+    public record Entry(long atNanos, String source, String event) {
         @Override
         public String toString() {
-            return String.format(java.util.Locale.ROOT, "%9.3f ms %s: %s", at / 1e6, who, what);
+            return String.format(java.util.Locale.ROOT, "%9.3f ms %s: %s", atNanos / 1e6, source, event);
         }
     }
 
-    private final long began = System.nanoTime();
+    private final long startedAt = System.nanoTime();
     private final List<Entry> entries = new ArrayList<>();
 
     /** Nanoseconds since the event log was created. */
-    public long now() {
-        return System.nanoTime() - began;
+    public long elapsedNanos() {
+        return System.nanoTime() - startedAt;
     }
 
     /** Appends an event at the current time and returns that time. */
-    public synchronized long note(String who, String what) {
-        long at = now();
-        entries.add(new Entry(at, who, what));
+    public synchronized long append(String source, String event) {
+        long atNanos = elapsedNanos();
+        entries.add(new Entry(atNanos, source, event));
         notifyAll();
-        return at;
+        return atNanos;
     }
 
     /** All entries so far, in order. */
@@ -42,25 +42,26 @@
     }
 
     /** Waits for the first matching entry from index {@code from} on; fails after {@code seconds}. */
-    public synchronized Entry await(int from, int seconds, Predicate<Entry> fits) throws InterruptedException {
-        long end = System.nanoTime() + seconds * 1_000_000_000L;
-        int next = from;
+    public synchronized Entry awaitEntry(int fromIndex, int timeoutSeconds, Predicate<Entry> predicate)
+            throws InterruptedException {
+        long deadline = System.nanoTime() + timeoutSeconds * 1_000_000_000L;
+        int index = fromIndex;
         while (true) {
-            for (; next < entries.size(); next++) {
-                if (fits.test(entries.get(next))) {
-                    return entries.get(next);
+            for (; index < entries.size(); index++) {
+                if (predicate.test(entries.get(index))) {
+                    return entries.get(index);
                 }
             }
-            long left = end - System.nanoTime();
-            if (left <= 0) {
-                throw new AssertionError("it was never seen; the last of what was:\n" + last(40));
+            long remaining = deadline - System.nanoTime();
+            if (remaining <= 0) {
+                throw new AssertionError("it was never seen; the last of what was:\n" + tail(40));
             }
-            wait(Math.max(1, left / 1_000_000));
+            wait(Math.max(1, remaining / 1_000_000));
         }
     }
 
     /** The last {@code count} entries, one line each: for the message of a failing test. */
-    public synchronized String last(int count) {
+    public synchronized String tail(int count) {
         return entries.subList(Math.max(0, entries.size() - count), entries.size()).stream()
                 .map(Entry::toString)
                 .collect(Collectors.joining("\n"));
--- /dev/null
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/InvariantChecker.java
@@ -0,0 +1,143 @@
+package weldhitch.testkit.fleet;
+
+import java.util.ArrayList;
+import java.util.List;
+import weldhitch.testkit.ScriptedHttpServer;
+import weldhitch.testkit.fleet.LoadGenerator.Completion;
+import weldhitch.testkit.fleet.LoadGenerator.RequestRecord;
+
+/**
+ * Checks the four invariants of many nodes against what clients and servers recorded. Immutable; reads the
+ * records at each call.
+ */
+public final class InvariantChecker {
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
+    private final FaultInjector faultInjector;
+    private final List<ScriptedHttpServer> servers;
+    /** {@link System#nanoTime} at which the event log began: converts the servers' times to its clock. */
+    private final long eventLogStart;
+
+    /** @param eventLog the event log on whose clock requests and faults were recorded */
+    public InvariantChecker(EventLog eventLog, FaultInjector faultInjector, List<ScriptedHttpServer> servers) {
+        this.faultInjector = faultInjector;
+        this.servers = servers;
+        eventLogStart = System.nanoTime() - eventLog.elapsedNanos();
+    }
+
+    /**
+     * Violations of: one final response in time; no non-idempotent request executed twice, or rejected
+     * after it was executed. A node that was killed or suspended with a request in flight is excused from
+     * responding; executions are checked all the same.
+     *
+     * @param timeoutMillis the clients' timeout in milliseconds
+     * @param graceMillis how much later than that a response may arrive, in milliseconds
+     */
+    public List<String> violations(List<RequestRecord> requests, long timeoutMillis, long graceMillis) {
+        List<String> violations = new ArrayList<>();
+        for (RequestRecord request : requests) {
+            boolean excused = faultInjector.wasAffected(
+                    request.node(), request.sentAt() - 50 * NANOS_PER_MILLI, request.endedAt() + 50 * NANOS_PER_MILLI);
+            if (!excused
+                    && (request.completion() == Completion.TIMED_OUT
+                            || request.completion() == Completion.CONNECTION_BROKEN)) {
+                violations.add(request.id() + ": no whole answer, " + request);
+            }
+            if (request.completion() == Completion.EXTRA_RESPONSE) {
+                violations.add(request.id() + ": more behind its final answer");
+            }
+            if (!excused
+                    && request.completion() == Completion.RESPONDED
+                    && request.endedAt() - request.sentAt() > (timeoutMillis + graceMillis) * NANOS_PER_MILLI) {
+                violations.add(request.id() + ": answered after "
+                        + (request.endedAt() - request.sentAt()) / NANOS_PER_MILLI + " ms");
+            }
+            int executions = servers.stream()
+                    .mapToInt(server -> server.executionCount(request.id()))
+                    .sum();
+            if (request.unsafe() && executions > 1) {
+                violations.add(request.id() + ": unsafe and run " + executions + " times");
+            }
+            if (request.unsafe() && request.isRejected() && executions > 0) {
+                violations.add(request.id() + ": refused with " + request.status() + " and run");
+            }
+            if (!excused && request.completion() == Completion.STALE_CONNECTION && executions > 0) {
+                violations.add(request.id() + ": its connection was closed with no answer, and it ran");
+            }
+            if (request.status() == 200 && executions == 0) {
+                violations.add(request.id() + ": served and never run");
+            }
+        }
+        return violations;
+    }
+
+    /**
+     * Requests that a server received from a node later than a grace period after the node was notified
+     * that the endpoint drains, one line each. A node that was suspended at that time counts as notified
+     * when it resumed.
+     */
+    public List<String> requestsAfterDrain(
+            CapacityLimitedDiscovery discovery, List<String> nodeNames, long graceMillis) {
+        List<String> violations = new ArrayList<>();
+        for (ScriptedHttpServer server : servers) {
+            for (ScriptedHttpServer.ReceivedRequest received : server.receivedRequests()) {
+                String node = received.id().replaceFirst("-.*", "");
+                Long notifiedAt = nodeNames.contains(node) ? discovery.drainNotifiedAt(node, server.name()) : null;
+                long receivedAt = received.receivedAtNanos() - eventLogStart;
+                if (notifiedAt != null
+                        && receivedAt - notifiedAt > graceMillis * NANOS_PER_MILLI
+                        && !faultInjector.wasAffected(node, notifiedAt, receivedAt)) {
+                    violations.add(received.id() + ": sent to " + server.name() + " "
+                            + (receivedAt - notifiedAt) / NANOS_PER_MILLI + " ms after " + node
+                            + " was told of its drain");
+                }
+            }
+        }
+        return violations;
+    }
+
+    /**
+     * The slow-start invariant: in no window of {@code spanMs} does the server receive more requests, of
+     * all nodes together, than {@code N + 3 sqrt(N) + 3}, where N is {@code multiple} times its capacity at
+     * that time.
+     *
+     * @param startedAt when it started, on the event log's clock in nanoseconds
+     * @param warmRatePerSecond its capacity once warm, in requests a second
+     * @param initialFraction its capacity at the start as a fraction of that, which grows linearly to 1 over
+     *     {@code coldMs}
+     * @param slowStartMillis how long it warms up, in milliseconds
+     * @return the first violation, or an empty list
+     */
+    public List<String> slowStartOverloads(
+            ScriptedHttpServer server,
+            long startedAt,
+            double warmRatePerSecond,
+            double initialFraction,
+            long slowStartMillis,
+            double allowedMultiple,
+            long windowMillis) {
+        long[] callTimes = server.receivedRequests().stream()
+                .mapToLong(received -> received.receivedAtNanos() - eventLogStart)
+                .sorted()
+                .toArray();
+        for (int windowStart = 0; windowStart < callTimes.length; windowStart++) {
+            int windowEnd = windowStart;
+            while (windowEnd < callTimes.length
+                    && callTimes[windowEnd] - callTimes[windowStart] <= windowMillis * NANOS_PER_MILLI) {
+                windowEnd++;
+            }
+            double ageMillis = (callTimes[windowStart] - startedAt) / 1e6;
+            if (ageMillis > slowStartMillis) {
+                break;
+            }
+            double capacity = warmRatePerSecond
+                    * (initialFraction + (1 - initialFraction) * Math.max(0, ageMillis) / slowStartMillis);
+            double allowedCalls = allowedMultiple * capacity * windowMillis / 1000;
+            if (windowEnd - windowStart > allowedCalls + 3 * Math.sqrt(allowedCalls) + 3) {
+                return List.of(server.name() + ": " + (windowEnd - windowStart) + " calls within " + windowMillis
+                        + " ms, " + Math.round(ageMillis) + " ms after its start, allowed " + allowedCalls);
+            }
+        }
+        return List.of();
+    }
+}
--- /dev/null
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/LoadGenerator.java
@@ -0,0 +1,196 @@
+package weldhitch.testkit.fleet;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiFunction;
+import weldhitch.testkit.RawHttpMessage;
+import weldhitch.testkit.TestConnection;
+import weldhitch.testkit.TestSupport;
+
+/**
+ * Generates load: each client sends one request at a time to one node and records its completion. Clients
+ * run on threads of their own; they are added from one thread, and the records may be read from any.
+ */
+public final class LoadGenerator implements Closeable {
+    /**
+     * How a request completed: answered; its reused connection was closed just as it was written; the
+     * connection broke; no response in time; more bytes after the final response.
+     */
+    public enum Completion {
+        RESPONDED,
+        STALE_CONNECTION,
+        CONNECTION_BROKEN,
+        TIMED_OUT,
+        EXTRA_RESPONSE
+    }
+
+    /**
+     * A completed request. Times are nanoseconds on the event log's clock. Immutable.
+     *
+     * @param unsafe whether it is non-idempotent
+     * @param sentAt when its last byte was written
+     * @param status 0 without a response
+     * @param routeVersion the route version that the response names, or null
+     */
+    public record RequestRecord(
+            String id,
+            String node,
+            boolean unsafe,
+            long sentAt,
+            long endedAt,
+            Completion completion,
+            int status,
+            String routeVersion) {
+        /** Whether the response promises that the request had no effect, so that a retry is harmless. */
+        public boolean isRejected() {
+            return status == 429 || status == 503;
+        }
+    }
+
+    /** Builds the text of a request from its id and whether it is non-idempotent, which odd numbers are. */
+    public interface RequestFactory extends BiFunction<String, Boolean, String> {}
+
+    /** Size of each client's own range of request numbers: even, because odd numbers are non-idempotent. */
+    private static final int MAX_IDS_PER_CLIENT = 1_000_000;
+
+    private final EventLog eventLog;
+    private final RequestFactory requestFactory;
+    private final long timeoutMillis;
+    private final ConcurrentLinkedQueue<RequestRecord> requests = new ConcurrentLinkedQueue<>();
+    private final CountDownLatch stopped = new CountDownLatch(1);
+    private final List<Thread> threads = new ArrayList<>();
+
+    /** @param timeoutMillis how long a client waits for a response before it counts as lost, in milliseconds */
+    public LoadGenerator(EventLog eventLog, RequestFactory requestFactory, long timeoutMillis) {
+        this.eventLog = eventLog;
+        this.requestFactory = requestFactory;
+        this.timeoutMillis = timeoutMillis;
+    }
+
+    /** Adds a client that sends a request to the node about every {@code everyMs}, while the node listens. */
+    public LoadGenerator addClient(ManagedProcess node, long intervalMillis) {
+        int firstNumber = MAX_IDS_PER_CLIENT * threads.size();
+        threads.add(TestSupport.startDaemon(() -> {
+            TestConnection connection = null;
+            int connectedPort = 0;
+            int number = firstNumber;
+            boolean reused = false;
+            while (!stopped.await(intervalMillis, TimeUnit.MILLISECONDS)) {
+                int listenPort = node.currentPort();
+                if (listenPort == 0) {
+                    continue;
+                }
+                String id = node.name() + "-" + number;
+                boolean unsafe = number++ % 2 == 1;
+                try {
+                    if (connection == null || connectedPort != listenPort) {
+                        connection = connect(listenPort);
+                        connectedPort = listenPort;
+                        reused = false;
+                    }
+                } catch (IOException e) {
+                    connection = null;
+                    continue;
+                }
+                connection = sendOnce(connection, node.name(), id, unsafe, reused);
+                reused = true;
+            }
+        }));
+        return this;
+    }
+
+    private TestConnection connect(int port) throws IOException {
+        Socket socket = new Socket();
+        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 1000);
+        socket.setTcpNoDelay(true);
+        TestConnection connection = new TestConnection(socket);
+        socket.setSoTimeout((int) timeoutMillis);
+        return connection;
+    }
+
+    /** Sends one request; returns the connection where it may carry another, else null. */
+    private TestConnection sendOnce(TestConnection connection, String node, String id, boolean unsafe, boolean reused) {
+        long sentAt = 0;
+        try {
+            connection.write(requestFactory.apply(id, unsafe));
+            sentAt = eventLog.elapsedNanos();
+            RawHttpMessage response = connection.readMessage();
+            if (response == null) {
+                // An idle connection may be closed in the instant in which the next request is written.
+                addRecord(
+                        id,
+                        node,
+                        unsafe,
+                        sentAt,
+                        reused ? Completion.STALE_CONNECTION : Completion.CONNECTION_BROKEN,
+                        null);
+                return null;
+            }
+            addRecord(id, node, unsafe, sentAt, Completion.RESPONDED, response);
+            boolean closesConnection = "close".equalsIgnoreCase(RawHttpMessage.header(response.head(), "connection"));
+            if (closesConnection) {
+                if (connection.readToEnd().length > 0) {
+                    addRecord(id, node, unsafe, sentAt, Completion.EXTRA_RESPONSE, null);
+                }
+                connection.close();
+                return null;
+            }
+            return connection;
+        } catch (java.net.SocketTimeoutException e) {
+            addRecord(id, node, unsafe, sentAt, Completion.TIMED_OUT, null);
+        } catch (IOException e) {
+            addRecord(
+                    id,
+                    node,
+                    unsafe,
+                    sentAt == 0 ? eventLog.elapsedNanos() : sentAt,
+                    sentAt == 0 || reused ? Completion.STALE_CONNECTION : Completion.CONNECTION_BROKEN,
+                    null);
+        }
+        try {
+            connection.close();
+        } catch (IOException e) {
+            // already closed
+        }
+        return null;
+    }
+
+    private void addRecord(
+            String id, String node, boolean unsafe, long sentAt, Completion completion, RawHttpMessage response) {
+        requests.add(new RequestRecord(
+                id,
+                node,
+                unsafe,
+                sentAt,
+                eventLog.elapsedNanos(),
+                completion,
+                response == null ? 0 : response.status(),
+                response == null ? null : RawHttpMessage.header(response.head(), "x-route-version")));
+    }
+
+    /** All completed requests so far, in order of completion. */
+    public List<RequestRecord> requests() {
+        return List.copyOf(requests);
+    }
+
+    /** Stops the clients and waits for the requests in flight to complete. */
+    @Override
+    public void close() throws IOException {
+        stopped.countDown();
+        for (Thread thread : threads) {
+            try {
+                thread.join(timeoutMillis + 1000L * TestSupport.TIMEOUT_SECONDS);
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+            }
+        }
+    }
+}
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Program.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/ManagedProcess.java
@@ -10,27 +10,27 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import weldhitch.testkit.Tests;
+import weldhitch.testkit.TestSupport;
 
 /**
  * A process that a test starts, signals and restarts, known by one name in the event log. Its standard error is
  * copied to the event log. Thread-safe.
  */
-public final class Program implements Closeable {
-    private static final Pattern LISTENS = Pattern.compile("listens on \\S*?127\\.0\\.0\\.1:(\\d+)");
+public final class ManagedProcess implements Closeable {
+    private static final Pattern LISTEN_ADDRESS = Pattern.compile("listens on \\S*?127\\.0\\.0\\.1:(\\d+)");
 
-    private final Chronicle chronicle;
+    private final EventLog eventLog;
     private final String name;
     private final List<String> command;
     private final Map<String, String> environment;
     private Process process;
     private CountDownLatch listening = new CountDownLatch(1);
     private volatile int port;
-    private volatile boolean stopped;
+    private volatile boolean suspended;
 
     /** Does not start the process. */
-    public Program(Chronicle chronicle, String name, List<String> command, Map<String, String> environment) {
-        this.chronicle = chronicle;
+    public ManagedProcess(EventLog eventLog, String name, List<String> command, Map<String, String> environment) {
+        this.eventLog = eventLog;
         this.name = name;
         this.command = List.copyOf(command);
         this.environment = Map.copyOf(environment);
@@ -42,72 +42,72 @@
     }
 
     /** Starts or restarts the process and copies its log to the event log; fails where it is running. */
-    public synchronized Program start() throws IOException {
+    public synchronized ManagedProcess start() throws IOException {
         if (process != null && process.isAlive()) {
             throw new IllegalStateException(name + " runs");
         }
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().putAll(environment);
-        CountDownLatch heard = new CountDownLatch(1);
-        listening = heard;
+        CountDownLatch portAnnounced = new CountDownLatch(1);
+        listening = portAnnounced;
         port = 0;
-        chronicle.note(name, "START");
+        eventLog.append(name, "START");
         Process started = builder.start();
         process = started;
-        stopped = false;
-        Tests.daemon(() -> {
+        suspended = false;
+        TestSupport.startDaemon(() -> {
             try (BufferedReader log = started.errorReader(StandardCharsets.UTF_8)) {
                 for (String line = log.readLine(); line != null; line = log.readLine()) {
-                    Matcher listens = LISTENS.matcher(line);
-                    if (heard.getCount() > 0 && listens.find()) {
-                        port = Integer.parseInt(listens.group(1));
-                        heard.countDown();
+                    Matcher matcher = LISTEN_ADDRESS.matcher(line);
+                    if (portAnnounced.getCount() > 0 && matcher.find()) {
+                        port = Integer.parseInt(matcher.group(1));
+                        portAnnounced.countDown();
                     }
-                    chronicle.note(name, line);
+                    eventLog.append(name, line);
                 }
             } finally {
                 started.waitFor();
-                chronicle.note(name, "ENDED with " + started.exitValue());
-                heard.countDown();
+                eventLog.append(name, "ENDED with " + started.exitValue());
+                portAnnounced.countDown();
             }
         });
         return this;
     }
 
     /** Waits for the loopback port that its log names; fails where the process ends instead. */
-    public int port() throws InterruptedException {
-        CountDownLatch heard;
+    public int awaitPort() throws InterruptedException {
+        CountDownLatch portAnnounced;
         synchronized (this) {
-            heard = listening;
+            portAnnounced = listening;
         }
-        if (!heard.await(3 * Tests.WAIT_S, TimeUnit.SECONDS) || port == 0) {
-            throw new AssertionError(name + " does not listen\n" + chronicle.last(20));
+        if (!portAnnounced.await(3 * TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS) || port == 0) {
+            throw new AssertionError(name + " does not listen\n" + eventLog.tail(20));
         }
         return port;
     }
 
     /** The port on which it listens; 0 while it does not. */
-    public int portNow() {
-        return running() ? port : 0;
+    public int currentPort() {
+        return isRunning() ? port : 0;
     }
 
     /** Whether it has been started and has neither ended nor been suspended. */
-    public synchronized boolean running() {
-        return process != null && process.isAlive() && !stopped;
+    public synchronized boolean isRunning() {
+        return process != null && process.isAlive() && !suspended;
     }
 
     /** Whether the process exists, suspended or not. */
-    public synchronized boolean alive() {
+    public synchronized boolean isAlive() {
         return process != null && process.isAlive();
     }
 
     /** Waits for the process to end and returns its exit status; fails when it does not end in time. */
-    public int awaitEnd() throws InterruptedException {
+    public int awaitExit() throws InterruptedException {
         Process started;
         synchronized (this) {
             started = process;
         }
-        if (!started.waitFor(Tests.WAIT_S, TimeUnit.SECONDS)) {
+        if (!started.waitFor(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new AssertionError(name + " does not end");
         }
         return started.exitValue();
@@ -121,18 +121,18 @@
         if (process == null || !process.isAlive()) {
             return;
         }
-        chronicle.note(name, "SIG" + signal);
+        eventLog.append(name, "SIG" + signal);
         if (signal.equals("STOP")) {
-            stopped = true;
+            suspended = true;
         }
-        int status = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
+        int exitStatus = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                 .start()
                 .waitFor();
-        if (status != 0 && process.isAlive()) {
-            throw new IOException("kill -" + signal + " " + name + " ended with " + status);
+        if (exitStatus != 0 && process.isAlive()) {
+            throw new IOException("kill -" + signal + " " + name + " ended with " + exitStatus);
         }
         if (signal.equals("CONT")) {
-            stopped = false;
+            suspended = false;
         }
         if (signal.equals("KILL")) {
             process.waitFor();
--- a/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import java.util.stream.Collectors;
-import weldhitch.testkit.FaultLink;
-import weldhitch.testkit.HttpUpstream;
-import weldhitch.testkit.Message;
-import weldhitch.testkit.NodeTexts;
-import weldhitch.testkit.Tests;
-import weldhitch.testkit.Wire;
+import weldhitch.testkit.FaultInjectingProxy;
+import weldhitch.testkit.NodeFixtures;
+import weldhitch.testkit.RawHttpMessage;
+import weldhitch.testkit.ScriptedHttpServer;
+import weldhitch.testkit.TestConnection;
+import weldhitch.testkit.TestSupport;
 
 /**
  * Processes of the packaged node with their servers and one fake discovery service, with a fault-injecting
@@ -28,92 +28,116 @@
  */
 public class NodeFleet implements Closeable {
     /** How long a client waits for a response, in milliseconds. */
-    public static final long WAIT_MS = 3000;
+    public static final long REQUEST_TIMEOUT_MILLIS = 3000;
 
-    public final Chronicle chronicle = new Chronicle();
-    public final ListServiceStandIn list;
-    public final List<HttpUpstream> servers = new ArrayList<>();
-    public final Map<String, Program> nodes = new LinkedHashMap<>();
+    public final EventLog eventLog = new EventLog();
+    public final CapacityLimitedDiscovery discovery;
+    public final List<ScriptedHttpServer> servers = new ArrayList<>();
+    public final Map<String, ManagedProcess> nodes = new LinkedHashMap<>();
     /** All processes that faults may target: the nodes, and those that a test adds. */
-    public final Map<String, Program> processes = new LinkedHashMap<>();
+    public final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
     /** Links by edge: {@code n0>list}, {@code n0>s1}. */
-    public final Map<String, FaultLink> edges = new LinkedHashMap<>();
+    public final Map<String, FaultInjectingProxy> links = new LinkedHashMap<>();
 
-    public final Callers callers = new Callers(chronicle, NodeFleet::request, WAIT_MS + 3000);
-    public final Faults faults;
-    private final Map<String, String> addresses = new LinkedHashMap<>();
-    private final List<Path> files = new ArrayList<>();
-    private final CountDownLatch over = new CountDownLatch(1);
+    public final LoadGenerator loadGenerator =
+            new LoadGenerator(eventLog, NodeFleet::request, REQUEST_TIMEOUT_MILLIS + 3000);
+    public final FaultInjector faultInjector;
+    private final Map<String, String> serverAddresses = new LinkedHashMap<>();
+    private final List<Path> temporaryFiles = new ArrayList<>();
+    private final CountDownLatch closed = new CountDownLatch(1);
 
     /**
      * Starts the servers and the discovery service and writes the configurations; nodes are not started yet.
      *
-     * @param serverMillis processing time of each request at a server, in milliseconds
-     * @param born when the servers start, Unix time in milliseconds; 0 for long ago
-     * @param linkServers whether nodes reach servers by links, which cost four threads a connection
-     * @param service creates the discovery service that all nodes poll; the servers are listed here
+     * @param responseMillis processing time of each request at a server, in milliseconds
+     * @param serversStartedAt when the servers start, Unix time in milliseconds; 0 for long ago
+     * @param useServerLinks whether nodes reach servers by links, which cost four threads a connection
+     * @param discoveryFactory creates the discovery service that all nodes poll; the servers are listed here
      */
     public NodeFleet(
-            int nodeCount, int serverCount, long serverMillis, long born, boolean linkServers, ListService service)
+            int nodeCount,
+            int serverCount,
+            long responseMillis,
+            long serversStartedAt,
+            boolean useServerLinks,
+            DiscoveryFactory discoveryFactory)
             throws Exception {
-        this(nodeCount, serverCount, serverMillis, born, linkServers, service, null);
+        this(nodeCount, serverCount, responseMillis, serversStartedAt, useServerLinks, discoveryFactory, null);
     }
 
-    /** @param operatorFile creates each node's route configuration, or null for none */
+    /** @param routeConfigFactory creates each node's route configuration, or null for none */
     public NodeFleet(
             int nodeCount,
             int serverCount,
-            long serverMillis,
-            long born,
-            boolean linkServers,
-            ListService service,
-            OperatorFileOf operatorFile)
+            long responseMillis,
+            long serversStartedAt,
+            boolean useServerLinks,
+            DiscoveryFactory discoveryFactory,
+            RouteConfigFactory routeConfigFactory)
             throws Exception {
-        list = service.on(chronicle);
-        list.zones(this::zoneOf);
-        for (int s = 0; s < serverCount; s++) {
-            HttpUpstream server = new HttpUpstream("s" + s);
-            server.usually(HttpUpstream.after(serverMillis, HttpUpstream.answer("s" + s)));
+        discovery = discoveryFactory.create(eventLog);
+        discovery.setZones(this::zoneOf);
+        for (int serverIndex = 0; serverIndex < serverCount; serverIndex++) {
+            ScriptedHttpServer server = new ScriptedHttpServer("s" + serverIndex);
+            server.byDefault(ScriptedHttpServer.delayed(responseMillis, ScriptedHttpServer.respond("s" + serverIndex)));
             servers.add(server);
-            addresses.put(
-                    server.name(), linkOnce(server) ? link("*>" + server.name(), server.address()) : server.address());
-            list.put("s" + s, "ready", born);
+            serverAddresses.put(
+                    server.name(),
+                    usesSharedLink(server) ? addLink("*>" + server.name(), server.address()) : server.address());
+            discovery.put("s" + serverIndex, "ready", serversStartedAt);
         }
-        for (int n = 0; n < nodeCount; n++) {
-            String name = "n" + n;
-            Map<String, String> dial = new LinkedHashMap<>();
-            for (HttpUpstream server : servers) {
-                dial.put(
+        for (int nodeIndex = 0; nodeIndex < nodeCount; nodeIndex++) {
+            String name = "n" + nodeIndex;
+            Map<String, String> addresses = new LinkedHashMap<>();
+            for (ScriptedHttpServer server : servers) {
+                addresses.put(
                         server.name(),
-                        linkServers
-                                ? link(name + ">" + server.name(), server.address())
-                                : addresses.get(server.name()));
+                        useServerLinks
+                                ? addLink(name + ">" + server.name(), server.address())
+                                : serverAddresses.get(server.name()));
             }
-            String discovery = link(name + ">list", list.addressFor(name, dial));
-            Path config = Files.createTempFile("weldhitch-" + name, ".json");
-            files.add(config);
-            Files.writeString(config, configOf(name, config(name, n, nodeCount, discovery, dial, born, this::zoneOf)));
-            String operator = "";
-            if (operatorFile != null) {
+            String discoveryAddress = addLink(name + ">list", discovery.addressFor(name, addresses));
+            Path configFile = Files.createTempFile("weldhitch-" + name, ".json");
+            temporaryFiles.add(configFile);
+            Files.writeString(
+                    configFile,
+                    customizeConfig(
+                            name,
+                            nodeConfig(
+                                    name,
+                                    nodeIndex,
+                                    nodeCount,
+                                    discoveryAddress,
+                                    addresses,
+                                    serversStartedAt,
+                                    this::zoneOf)));
+            String routeConfigOption = "";
+            if (routeConfigFactory != null) {
                 Path file = Files.createTempFile("weldhitch-" + name, ".toml");
-                files.add(file);
-                Files.writeString(file, operatorFile.text(name, this));
-                operator = " --operator " + file;
+                temporaryFiles.add(file);
+                Files.writeString(file, routeConfigFactory.create(name, this));
+                routeConfigOption = " --operator " + file;
             }
-            nodes.put(name, new Program(chronicle, name, command(operator), Map.of("GW_CONFIG", config.toString())));
+            nodes.put(
+                    name,
+                    new ManagedProcess(
+                            eventLog,
+                            name,
+                            nodeCommand(routeConfigOption),
+                            Map.of("GW_CONFIG", configFile.toString())));
         }
         processes.putAll(nodes);
-        faults = new Faults(chronicle, processes, edges);
+        faultInjector = new FaultInjector(eventLog, processes, links);
     }
 
     /** Creates the discovery service, once the event log exists. */
-    public interface ListService {
+    public interface DiscoveryFactory {
         /** Called once, from the constructor. */
-        ListServiceStandIn on(Chronicle chronicle);
+        CapacityLimitedDiscovery create(EventLog eventLog);
     }
 
     /** Called with each node's configuration before it is written; a test may override it to change one. */
-    protected String configOf(String node, String text) {
+    protected String customizeConfig(String node, String text) {
         return text;
     }
 
@@ -126,30 +150,30 @@
      * Whether all nodes reach a server by one shared link, the edge {@code *>server}; called from the
      * constructor.
      */
-    protected boolean linkOnce(HttpUpstream server) {
+    protected boolean usesSharedLink(ScriptedHttpServer server) {
         return false;
     }
 
     /** Creates the route configuration of a node, as text. */
-    public interface OperatorFileOf {
+    public interface RouteConfigFactory {
         /** Called once for each node, from the constructor. */
-        String text(String node, NodeFleet fleet) throws IOException;
+        String create(String node, NodeFleet fleet) throws IOException;
     }
 
     /** Adds a fault-injecting link as the edge of that name; returns host and port on which it listens. */
-    public String link(String edge, String address) throws IOException {
-        FaultLink link = new FaultLink(address);
-        edges.put(edge, link);
-        return link.address();
+    public String addLink(String linkName, String address) throws IOException {
+        FaultInjectingProxy proxy = new FaultInjectingProxy(address);
+        links.put(linkName, proxy);
+        return proxy.address();
     }
 
     /**
      * The command of the deploy file, with a heap that lets many run on one machine, and with the jar that
      * the system property {@code weldhitch.fleet.jar} names, where it is set.
      */
-    private static List<String> command(String more) throws Exception {
+    private static List<String> nodeCommand(String extraArguments) throws Exception {
         String jar = System.getProperty("weldhitch.fleet.jar", "");
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+        String command = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow()
@@ -158,75 +182,79 @@
                 .replaceFirst("-Xms\\S+", "-Xms8m")
                 .replaceFirst("-Xmx\\S+", "-Xmx48m");
         if (!jar.isEmpty()) {
-            run = run.replaceFirst("-XX:SharedArchiveFile=\\S+ ", "").replace("node/target/weldhitch-node.jar", jar);
+            command = command.replaceFirst("-XX:SharedArchiveFile=\\S+ ", "")
+                    .replace("node/target/weldhitch-node.jar", jar);
         }
-        return List.of("/bin/sh", "-c", run + more);
+        return List.of("/bin/sh", "-c", command + extraArguments);
     }
 
-    private static String config(
+    private static String nodeConfig(
             String name,
-            int self,
-            int siblings,
-            String discovery,
-            Map<String, String> dial,
-            long born,
+            int nodeIndex,
+            int nodeCount,
+            String discoveryAddress,
+            Map<String, String> addresses,
+            long serversStartedAt,
             UnaryOperator<String> zoneOf) {
-        String known = dial.entrySet().stream()
-                .map(d -> ListServiceStandIn.entry(d.getKey(), d.getValue(), "ready", born, zoneOf.apply(d.getKey())))
+        String cachedEndpoints = addresses.entrySet().stream()
+                .map(entry -> CapacityLimitedDiscovery.entryJson(
+                        entry.getKey(), entry.getValue(), "ready", serversStartedAt, zoneOf.apply(entry.getKey())))
                 .collect(Collectors.joining(","));
         return new String(
-                        NodeTexts.config(discovery, known, 512, ",\"membershipMode\":\"ask\""), StandardCharsets.UTF_8)
+                        NodeFixtures.configJson(discoveryAddress, cachedEndpoints, 512, ",\"membershipMode\":\"ask\""),
+                        StandardCharsets.UTF_8)
                 .replace("\"name\":\"n1\"", "\"name\":\"" + name + "\"")
-                .replace("\"seed\":\"0f\"", "\"seed\":\"" + (100 + self) + "\"")
-                .replace("\"me\":0,\"siblings\":1", "\"me\":" + self + ",\"siblings\":" + siblings);
+                .replace("\"seed\":\"0f\"", "\"seed\":\"" + (100 + nodeIndex) + "\"")
+                .replace("\"me\":0,\"siblings\":1", "\"me\":" + nodeIndex + ",\"siblings\":" + nodeCount);
     }
 
-    /** A request with {@link #WAIT_MS} as its deadline. */
+    /** A request with {@link #REQUEST_TIMEOUT_MILLIS} as its deadline. */
     public static String request(String id, boolean unsafe) {
-        String text = unsafe ? NodeTexts.post(id, "body") : NodeTexts.get(id);
-        return text.replace("X-Expires-In: 8.000", "X-Expires-In: " + WAIT_MS / 1000.0);
+        String text = unsafe ? NodeFixtures.postRequest(id, "body") : NodeFixtures.getRequest(id);
+        return text.replace("X-Expires-In: 8.000", "X-Expires-In: " + REQUEST_TIMEOUT_MILLIS / 1000.0);
     }
 
     /**
      * Starts all nodes at once. Each is logged as READY once its readiness check succeeds, and gets load
      * from then on, as from a front-end.
      *
-     * @param askEveryMs milliseconds between requests to a node; 0 for no load
+     * @param requestIntervalMillis milliseconds between requests to a node; 0 for no load
      */
-    public void start(long askEveryMs) throws Exception {
-        for (Program node : nodes.values()) {
+    public void start(long requestIntervalMillis) throws Exception {
+        for (ManagedProcess node : nodes.values()) {
             node.start();
         }
-        for (Program node : nodes.values()) {
-            Tests.daemon(() -> {
-                node.port();
+        for (ManagedProcess node : nodes.values()) {
+            TestSupport.startDaemon(() -> {
+                node.awaitPort();
                 do {
-                    if (ready(node)) {
-                        chronicle.note(node.name(), "READY");
-                        if (askEveryMs > 0) {
-                            callers.ask(node, askEveryMs);
+                    if (isReady(node)) {
+                        eventLog.append(node.name(), "READY");
+                        if (requestIntervalMillis > 0) {
+                            loadGenerator.addClient(node, requestIntervalMillis);
                         }
                         return;
                     }
-                } while (!over.await(20, TimeUnit.MILLISECONDS));
+                } while (!closed.await(20, TimeUnit.MILLISECONDS));
             });
         }
     }
 
     /** Waits for {@code millis} of test time; closing the fleet ends the wait early. */
-    public void pass(long millis) throws InterruptedException {
-        over.await(millis, TimeUnit.MILLISECONDS);
+    public void waitFor(long millis) throws InterruptedException {
+        closed.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    private static boolean ready(Program node) {
+    private static boolean isReady(ManagedProcess node) {
         try {
-            Wire wire = new Wire(new Socket(InetAddress.getLoopbackAddress(), node.portNow()));
-            try (wire) {
-                wire.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-                Message answer = wire.message();
-                return answer != null && answer.status() == 200;
+            TestConnection connection =
+                    new TestConnection(new Socket(InetAddress.getLoopbackAddress(), node.currentPort()));
+            try (connection) {
+                connection.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+                RawHttpMessage response = connection.readMessage();
+                return response != null && response.status() == 200;
             }
-        } catch (IOException e) {
+        } catch (IOException entry) {
             return false;
         }
     }
@@ -235,50 +263,54 @@
      * Waits until all nodes have been ready; returns when the last was, on the event log's clock in
      * nanoseconds.
      */
-    public long awaitReady() throws InterruptedException {
-        long last = 0;
+    public long awaitAllReady() throws InterruptedException {
+        long lastReadyAt = 0;
         for (String name : nodes.keySet()) {
-            last = Math.max(
-                    last,
-                    chronicle
-                            .await(0, 60, e -> e.who().equals(name) && e.what().equals("READY"))
-                            .at());
+            lastReadyAt = Math.max(
+                    lastReadyAt,
+                    eventLog.awaitEntry(
+                                    0,
+                                    60,
+                                    entry -> entry.source().equals(name)
+                                            && entry.event().equals("READY"))
+                            .atNanos());
         }
-        return last;
+        return lastReadyAt;
     }
 
     /**
      * Stops the load and checks the invariants.
      *
-     * @param drains whether to check requests to draining endpoints too
+     * @param checkDrains whether to check requests to draining endpoints too
      * @return all violations, one line each
      */
-    public List<String> judge(boolean drains) throws IOException {
-        callers.close();
-        Judge judge = new Judge(chronicle, faults, servers);
+    public List<String> stopAndCheckInvariants(boolean checkDrains) throws IOException {
+        loadGenerator.close();
+        InvariantChecker checker = new InvariantChecker(eventLog, faultInjector, servers);
         // One second of tolerance for a noisy machine; the node's own limit is 50 ms.
-        List<String> broken = new ArrayList<>(judge.broken(callers.asked(), WAIT_MS, 1000));
-        if (drains) {
-            broken.addAll(judge.sentAfterDrain(list, List.copyOf(nodes.keySet()), 2050));
+        List<String> violations =
+                new ArrayList<>(checker.violations(loadGenerator.requests(), REQUEST_TIMEOUT_MILLIS, 1000));
+        if (checkDrains) {
+            violations.addAll(checker.requestsAfterDrain(discovery, List.copyOf(nodes.keySet()), 2050));
         }
-        return broken;
+        return violations;
     }
 
     @Override
     public void close() throws IOException {
-        over.countDown();
-        callers.close();
-        for (Program program : processes.values()) {
-            program.close();
+        closed.countDown();
+        loadGenerator.close();
+        for (ManagedProcess process : processes.values()) {
+            process.close();
         }
-        for (FaultLink link : edges.values()) {
-            link.close();
+        for (FaultInjectingProxy proxy : links.values()) {
+            proxy.close();
         }
-        for (HttpUpstream server : servers) {
+        for (ScriptedHttpServer server : servers) {
             server.close();
         }
-        list.close();
-        for (Path file : files) {
+        discovery.close();
+        for (Path file : temporaryFiles) {
             Files.deleteIfExists(file);
         }
     }
--- a/testkit/src/test/java/weldhitch/testkit/HeldPortTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/ReservedPortTest.java
@@ -11,12 +11,12 @@
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
 
-/** Tests of {@link HeldPort}. */
-class HeldPortTest {
+/** Tests of {@link ReservedPort}. */
+class ReservedPortTest {
     /** Binds without SO_REUSEADDR: the check by which the kernel chooses ephemeral ports. */
     @Test
-    void nobodyElseGetsIt() throws Exception {
-        try (HeldPort port = new HeldPort();
+    void noOtherSocketCanBindAReservedPort() throws Exception {
+        try (ReservedPort port = new ReservedPort();
                 Socket other = new Socket()) {
             other.setReuseAddress(false);
             assertThrows(
@@ -26,16 +26,16 @@
     }
 
     @Test
-    void dialsAreRefusedUntilItsListenerComesWhichMayComeAgain() throws Exception {
-        try (HeldPort port = new HeldPort()) {
+    void connectionsAreRefusedWhileNoListenerIsBoundToTheReservedPort() throws Exception {
+        try (ReservedPort port = new ReservedPort()) {
             for (int i = 0; i < 3; i++) {
                 assertThrows(
                         ConnectException.class,
                         () -> new Socket(InetAddress.getLoopbackAddress(), port.number()).close());
                 try (ServerSocket listener = new ServerSocket(port.number(), 1, InetAddress.getLoopbackAddress());
-                        Socket dialled = new Socket(InetAddress.getLoopbackAddress(), port.number());
+                        Socket connecting = new Socket(InetAddress.getLoopbackAddress(), port.number());
                         Socket accepted = listener.accept()) {
-                    assertEquals(dialled.getLocalPort(), accepted.getPort());
+                    assertEquals(connecting.getLocalPort(), accepted.getPort());
                 }
             }
         }
--- a/testkit/src/test/java/weldhitch/testkit/fleet/FaultTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/fleet/FaultTest.java
@@ -10,43 +10,45 @@
 /** Tests that schedules of faults are repeatable, don't overlap, and survive formatting and parsing. */
 class FaultTest {
     private static final List<String> PROCESSES = List.of("n0", "n1", "s1");
-    private static final List<String> EDGES = List.of("n0>list", "n1>list", "n0>s", "n1>s");
+    private static final List<String> LINKS = List.of("n0>list", "n1>list", "n0>s", "n1>s");
 
     @Test
-    void aSeedDrawsTheSameScheduleAndItsTextIsReadBack() {
+    void sameSeedDrawsSameScheduleAndItsTextIsParsedBack() {
         for (long seed = 0; seed < 200; seed++) {
-            List<Fault> drawn = Fault.draw(seed, PROCESSES, EDGES, 10_000, 12);
-            assertEquals(drawn, Fault.draw(seed, PROCESSES, EDGES, 10_000, 12));
-            assertEquals(drawn, Fault.read(Fault.print(drawn)));
-            assertTrue(drawn.size() > 6, "" + drawn.size());
+            List<Fault> schedule = Fault.randomSchedule(seed, PROCESSES, LINKS, 10_000, 12);
+            assertEquals(schedule, Fault.randomSchedule(seed, PROCESSES, LINKS, 10_000, 12));
+            assertEquals(schedule, Fault.parse(Fault.format(schedule)));
+            assertTrue(schedule.size() > 6, "" + schedule.size());
         }
     }
 
     @Test
-    void everyKindIsDrawnAllEndInTimeAndNoTargetSuffersTwoAtOnce() {
+    void everyKindIsDrawnWithinTheSpanAndFaultsOfOneTargetDoNotOverlap() {
         java.util.EnumSet<Fault.Kind> kinds = java.util.EnumSet.noneOf(Fault.Kind.class);
         for (long seed = 0; seed < 200; seed++) {
-            List<Fault> drawn = Fault.draw(seed, PROCESSES, EDGES, 10_000, 12);
-            for (Fault a : drawn) {
-                kinds.add(a.kind());
-                assertTrue(a.atMs() >= 0 && a.atMs() + a.lastsMs() <= 10_000, a.toString());
-                assertTrue((a.kind().ofProcess() ? PROCESSES : EDGES).contains(a.target()), a.toString());
+            List<Fault> schedule = Fault.randomSchedule(seed, PROCESSES, LINKS, 10_000, 12);
+            for (Fault fault : schedule) {
+                kinds.add(fault.kind());
                 assertTrue(
-                        drawn.stream()
-                                .noneMatch(b -> b != a
-                                        && b.target().equals(a.target())
-                                        && a.atMs() <= b.atMs() + b.lastsMs()
-                                        && b.atMs() <= a.atMs() + a.lastsMs()),
-                        drawn.toString());
+                        fault.atMillis() >= 0 && fault.atMillis() + fault.durationMillis() <= 10_000, fault.toString());
+                assertTrue(
+                        (fault.kind().targetsProcess() ? PROCESSES : LINKS).contains(fault.target()), fault.toString());
+                assertTrue(
+                        schedule.stream()
+                                .noneMatch(other -> other != fault
+                                        && other.target().equals(fault.target())
+                                        && fault.atMillis() <= other.atMillis() + other.durationMillis()
+                                        && other.atMillis() <= fault.atMillis() + fault.durationMillis()),
+                        schedule.toString());
             }
         }
         assertEquals(java.util.EnumSet.allOf(Fault.Kind.class), kinds);
     }
 
     @Test
-    void aLineThatIsNoFaultIsNamed() {
+    void invalidLineIsNamedInTheError() {
         for (String line : List.of("1 KILL n0 5", "1 BURN n0 5 0", "x KILL n0 5 0")) {
-            assertTrue(assertThrows(IllegalArgumentException.class, () -> Fault.read(line))
+            assertTrue(assertThrows(IllegalArgumentException.class, () -> Fault.parse(line))
                     .getMessage()
                     .endsWith(line));
         }
