--- a/cli/src/main/java/weldhitch/cli/CaptureCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureCommands.java
@@ -69,11 +69,7 @@
                             .forEach(violation -> out.printf(
                                     Locale.ROOT,
                                     "%s at %d.%09d: %s: %s%n",
-                                    violation
-                                            .invariant()
-                                            .name()
-                                            .toLowerCase(Locale.ROOT)
-                                            .replace('_', ' '),
+                                    violation.invariant().label(),
                                     violation.timestamp() / 1_000_000_000L,
                                     violation.timestamp() % 1_000_000_000L,
                                     violation.subject(),
@@ -98,7 +94,7 @@
             ArrayNode violationNodes = root.putArray("breaches");
             violations.forEach(violation -> violationNodes
                     .addObject()
-                    .put("rule", violation.invariant().name().toLowerCase(Locale.ROOT))
+                    .put("rule", violation.invariant().label().replace(' ', '_'))
                     .put("at", violation.timestamp())
                     .put("subject", violation.subject())
                     .put("what", violation.description()));
--- a/cli/src/main/java/weldhitch/cli/CoordinatorCommand.java
+++ b/cli/src/main/java/weldhitch/cli/CoordinatorCommand.java
@@ -14,9 +14,9 @@
  * signal ends the process.
  */
 @Command(
-        name = "steward",
+        name = "coordinator",
         mixinStandardHelpOptions = true,
-        description = "Runs a steward: one of 1, 3 or 5 processes that keep the fleet's shared state.")
+        description = "Runs a coordinator: one of 1, 3 or 5 processes that replicate the fleet's shared state.")
 final class CoordinatorCommand implements Callable<Integer> {
     private static final int EXIT_INVALID_CONFIG = 78;
 
@@ -24,7 +24,7 @@
             names = "--config",
             required = true,
             paramLabel = "FILE",
-            description = "The steward's configuration, TOML.")
+            description = "The coordinator's configuration, TOML.")
     private Path configFile;
 
     @Override
--- a/cli/src/main/java/weldhitch/cli/SimulatorCommands.java
+++ b/cli/src/main/java/weldhitch/cli/SimulatorCommands.java
@@ -29,15 +29,15 @@
 
 /** The simulator: runs scenarios in virtual time and compares their results. */
 @Command(
-        name = "lab",
+        name = "simulator",
         mixinStandardHelpOptions = true,
-        description = "Plays sites and their failures in virtual time.",
+        description = "Simulates clusters and their faults in virtual time.",
         subcommands = {SimulatorCommands.RunCommand.class, SimulatorCommands.CompareCommand.class})
 final class SimulatorCommands {
     private static final int EXIT_INVALID = 1;
     private static final int EXIT_IO_ERROR = 3;
 
-    private SimulatorCommands() {}
+    SimulatorCommands() {}
 
     /**
      * Runs a scenario for one or several seeds. Exit status 1 where the scenario or the route configuration has
@@ -47,7 +47,7 @@
             name = "run",
             mixinStandardHelpOptions = true,
             description =
-                    "Plays a scenario and writes figures (JSON, CSV) and a page with plots for each seed: exit status 1 "
+                    "Runs a scenario and writes figures (JSON, CSV) and a page with plots for each seed: exit status 1 "
                             + "where the scenario has errors, 3 where something can't be read or written.")
     static final class RunCommand implements Callable<Integer> {
         private static final Pattern SEED_RANGE = Pattern.compile("(-?\\d{1,18})(?:\\.\\.(-?\\d{1,18}))?");
@@ -196,7 +196,7 @@
         @Spec
         private CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "BEFORE", description = "What lab run --out wrote.")
+        @Parameters(index = "0", paramLabel = "BEFORE", description = "What simulator run --out wrote.")
         private Path beforeDirectory;
 
         @Parameters(index = "1", paramLabel = "AFTER", description = "The same, by another build or settings.")
--- a/cli/src/main/java/weldhitch/cli/Weldhitch.java
+++ b/cli/src/main/java/weldhitch/cli/Weldhitch.java
@@ -29,6 +29,16 @@
     }
 
     static CommandLine commandLine() {
-        return new CommandLine(new Weldhitch());
+        CommandLine commandLine = new CommandLine(new Weldhitch());
+        addFormerName(commandLine, "steward", new CoordinatorCommand());
+        addFormerName(commandLine, "lab", new SimulatorCommands());
+        return commandLine;
+    }
+
+    /** Keeps a verb of earlier releases working, without listing it in the help. */
+    private static void addFormerName(CommandLine commandLine, String formerName, Object command) {
+        CommandLine former = new CommandLine(command);
+        former.getCommandSpec().name(formerName).usageMessage().hidden(true);
+        commandLine.addSubcommand(formerName, former);
     }
 }
--- a/cli/src/test/java/weldhitch/cli/CoordinatedFleet.java
+++ b/cli/src/test/java/weldhitch/cli/CoordinatedFleet.java
@@ -112,7 +112,7 @@
                                     "-XX:TieredStopAtLevel=1",
                                     "-jar",
                                     "cli/target/weldhitch.jar",
-                                    "steward",
+                                    "coordinator",
                                     "--config",
                                     config.toString()),
                             Map.of()));
--- a/replay/src/main/java/weldhitch/replay/policy/InvariantChecker.java
+++ b/replay/src/main/java/weldhitch/replay/policy/InvariantChecker.java
@@ -40,11 +40,22 @@
 
     /** The four invariants, and the operator's own rule on allowed zones. */
     public enum Invariant {
-        ONE_ANSWER,
-        NO_EFFECT_TWICE,
-        DRAIN,
-        SLOW_START,
-        ZONE
+        ONE_ANSWER("one answer"),
+        NO_EFFECT_TWICE("no effect twice"),
+        DRAIN("drain"),
+        SLOW_START("cold"),
+        ZONE("zone");
+
+        private final String label;
+
+        Invariant(String label) {
+            this.label = label;
+        }
+
+        /** Returns the name in reports. Scripts read it, so it never changes. */
+        public String label() {
+            return label;
+        }
     }
 
     /**
@@ -356,7 +367,7 @@
                     Invariant.DRAIN,
                     endpoint.id,
                     "sent " + request.id + " " + millis(now - endpoint.stateSince) + " after it was told to be "
-                            + endpoint.state.name().toLowerCase(java.util.Locale.ROOT));
+                            + (endpoint.state == EndpointState.REMOVED ? "gone" : "draining"));
         }
         request.attempts.add(new TrackedAttempt(endpoint, now));
         endpoint.recentSends.addLast(now);
