--- a/simulator/src/test/java/weldhitch/simulator/ColdStartTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/ColdStartTest.java
@@ -151,7 +151,7 @@
     }
 
     /**
-     * The table of docs/design/cold-start.md: {@code mvn -pl simulator -am test -Dtest=ColdStartTest
+     * The table of docs/design/fleet-startup.md: {@code mvn -pl simulator -am test -Dtest=ColdStartTest
      * -Dcoldstart.table=true}.
      */
     @Test
