--- a/fleet/src/main/java/weldhitch/fleet/activation/LeaseTiming.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/LeaseTiming.java
@@ -15,6 +15,8 @@
 public record LeaseTiming(
         long leaderLease, long memberLease, long activationDelay, long voteTimeout, double maxClockDrift) {
     private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final double LARGEST_CLOCK_DRIFT = 0.1;
+
     /**
      * The default durations: a leader lease of 2 s, a member lease of 3 s, 0.5 s before activation, 10 s to
      * vote, a drift of 0.2%.
@@ -31,8 +33,11 @@
                 || memberLease <= 0
                 || activationDelay < 0
                 || voteTimeout <= 0
-                || !(maxClockDrift >= 0 && maxClockDrift <= 0.1)) {
-            throw new IllegalArgumentException("spans above 0, drift from 0 to 0.1");
+                || !(maxClockDrift >= 0 && maxClockDrift <= LARGEST_CLOCK_DRIFT)) {
+            throw new IllegalArgumentException(
+                    "durations must be above 0 (activationDelay from 0), maxClockDrift from 0 to 0.1: leaderLease="
+                            + leaderLease + " memberLease=" + memberLease + " activationDelay=" + activationDelay
+                            + " voteTimeout=" + voteTimeout + " maxClockDrift=" + maxClockDrift);
         }
     }
 
--- a/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * An error of the state that the fleet shares. Each kind says what happened, where, and what an operator can
- * do; its wording is the same in log lines, in the line that ends a process, and in the coordinators'
- * responses. All kinds are immutable.
+ * An error of the state that the fleet shares. Each kind describes what happened, where, and what an operator can
+ * do. The same description appears in log lines, in the message with which a process exits, and in the
+ * coordinators' error responses. All kinds are immutable.
  */
 public sealed interface FleetError {
     /**
      * The parts of an error, as a log line or the body of an HTTP response shows them.
      *
-     * @param kind the name of its kind: coordinators send it, log lines begin with it, and it never changes
+     * @param kind the stable identifier of the kind: part of the wire protocol and the prefix of log lines; it
+     *     never changes
      * @param location the file and line, member, coordinator or address that it is about
      * @param problem what happened, without a full stop
      * @param remedy what an operator can do, in the imperative
@@ -34,10 +35,10 @@
         public Description describe() {
             return new Description(
                     "member-absent",
-                    members.isEmpty() ? "the roster" : members.get(0),
+                    members.isEmpty() ? "the membership" : members.get(0),
                     "version " + version + " had no vote in time from " + String.join(", ", members),
-                    "look whether they run and reach the stewards; lay NAME.gone beside the versions for one that is gone for good,"
-                            + " then lay the version in again");
+                    "check that they run and reach the coordinators; for a member that is removed for good put NAME.gone"
+                            + " beside the versions, then submit the version again");
         }
     }
 
@@ -48,8 +49,9 @@
             return new Description(
                     "in-doubt",
                     member,
-                    "may not say whether version " + version + " is in force: routes on which it differs are refused",
-                    "restore the way from this member to the stewards; it goes on by itself once it hears them");
+                    "cannot tell whether version " + version
+                            + " is active: requests on which the two versions differ are rejected",
+                    "restore the path from this member to the coordinators; it recovers by itself");
         }
     }
 
@@ -60,8 +62,9 @@
             return new Description(
                     "not-joined",
                     member,
-                    "started and has not heard which version is in force: requests are refused",
-                    "restore the way from this member to the stewards, or set before-join = \"serve\" to serve by its own file");
+                    "has not joined since its start: the active version is unknown and requests are rejected",
+                    "restore the path from this member to the coordinators, or set before-join = \"serve\" to serve its"
+                            + " own file");
         }
     }
 
@@ -78,8 +81,9 @@
             return new Description(
                     "no-majority",
                     coordinator,
-                    reachable + " of " + total + " stewards answer: nothing is decided and no lease is given",
-                    "start the other stewards, or restore the way to them");
+                    reachable + " of " + total
+                            + " coordinators reachable: no quorum, nothing is decided and no lease is granted",
+                    "start the other coordinators, or restore the path to them");
         }
     }
 
@@ -99,8 +103,8 @@
             return new Description(
                     "steward-unreachable",
                     member,
-                    "no steward answers (tried " + String.join(", ", failures) + "); what is in force stays so",
-                    "start them, or restore the way to them");
+                    "no coordinator answers (" + String.join(", ", failures) + "); the active version stays",
+                    "start them, or restore the path to them");
         }
     }
 
@@ -111,9 +115,9 @@
             return new Description(
                     "log-suspect",
                     file,
-                    "its last record is damaged: this steward learns and does not vote",
-                    "look at the disk; while the others run with a majority, stop this steward, take the log and its .suspect mark"
-                            + " away and give it a new name");
+                    "the last record is damaged: this coordinator learns and does not vote",
+                    "check the disk; while the others have a quorum, stop this coordinator, remove the log and its"
+                            + " .suspect mark and give it a new name");
         }
     }
 
@@ -124,8 +128,8 @@
             return new Description(
                     "disk-refused",
                     file,
-                    "cannot write what was decided: " + reason + "; nothing was answered and nothing is changed",
-                    "make room on the disk, or mend it");
+                    "cannot write what was decided: " + reason + "; nothing was acknowledged or changed",
+                    "free space on the disk, or repair it");
         }
     }
 
@@ -136,8 +140,8 @@
             return new Description(
                     "clock-error-too-large",
                     member,
-                    "knows the fleet's time to " + errorMillis + " ms only, " + limitMillis + " are allowed",
-                    "look for what slows the way from it to the stewards");
+                    "knows the fleet clock to " + errorMillis + " ms only, limit " + limitMillis + " ms",
+                    "find what slows the path from it to the coordinators");
         }
     }
 
@@ -149,7 +153,7 @@
                     "message-refused",
                     sender,
                     reason,
-                    "look at who sends it: name, cluster and version of the program have to agree with the stewards'");
+                    "check the sender: name, cluster and version of the program have to match the coordinators'");
         }
     }
 
@@ -158,7 +162,7 @@
         @Override
         public Description describe() {
             return new Description(
-                    "bundle-unusable", file + ":" + line, reason, "mend the file and lay it in again by rename");
+                    "bundle-unusable", file + ":" + line, reason, "correct the file and submit it again by rename");
         }
     }
 
@@ -174,8 +178,9 @@
                     "stale-view",
                     member,
                     "has had no view of the fleet's zones for " + maxAgeMillis
-                            + " ms: goes by its own calls, and spills the lesser share",
-                    "restore the way from it to the stewards, or that of the half of the nodes that they do not hear");
+                            + " ms: uses its own measurements and spills the uncoordinated fraction",
+                    "restore the path from it to the coordinators, or that of the half of the nodes that they do not"
+                            + " receive reports from");
         }
     }
 
@@ -186,8 +191,8 @@
             return new Description(
                     "rule-impossible",
                     member,
-                    "locality rule " + rule + " has no zone left that it may send to: its requests are refused",
-                    "bring servers of these zones back, or lay in a version that prefers further zones or forbids fewer");
+                    "locality rule " + rule + " has no zone left that it may send to: its requests are rejected",
+                    "bring endpoints of these zones back, or submit a version that prefers more zones or forbids fewer");
         }
     }
 
--- a/fleet/src/main/java/weldhitch/fleet/error/FleetException.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/FleetException.java
@@ -4,6 +4,7 @@
 public final class FleetException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** Not serialized: null after deserialization. Nothing serializes this exception. */
     private final transient FleetError error;
 
     /** Creates an exception whose message is the error's line. */
--- a/fleet/src/main/java/weldhitch/fleet/locality/FleetView.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/FleetView.java
@@ -6,7 +6,7 @@
  * The leading coordinator's view of zones, as sent to one node. Immutable.
  *
  * @param zones merged reports by zone; empty if too few nodes have reported
- * @param grants what this node may send to each zone that it asked for, in calls per second
+ * @param grants what this node may send to each zone that it reported demand for, in calls per second
  * @param grantDuration how long the grants may be used, in nanoseconds of the node's clock from the sending of
  *     its heartbeat
  * @param reporterCount number of nodes whose reports are fresh
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
@@ -36,7 +36,7 @@
         preferences = List.copyOf(preferences);
         forbidden = Set.copyOf(forbidden);
         if (preferences.isEmpty()) {
-            throw new IllegalArgumentException("prefer names no step");
+            throw new IllegalArgumentException("preferences must not be empty");
         }
     }
 
@@ -82,20 +82,16 @@
             double maxFraction,
             double growthPerSecond,
             double uncoordinatedFraction) {
-        /** Rejects figures out of their range. */
+        /** Rejects values out of their range, and bands whose thresholds are not apart. */
         public SpillPolicy {
             require(utilization.begin > 0 && utilization.begin <= 1, "use.begin from 0 to 1");
-            require(
-                    utilization.end >= 0 && utilization.end < utilization.begin,
-                    "use.end under use.begin, or it flaps");
+            require(utilization.end >= 0 && utilization.end < utilization.begin, "use.end under use.begin");
             require(healthyFraction.begin >= 0 && healthyFraction.begin < 1, "healthy.begin from 0 to 1");
             require(
                     healthyFraction.end > healthyFraction.begin && healthyFraction.end <= 1,
-                    "healthy.end over healthy.begin, or it flaps");
+                    "healthy.end over healthy.begin");
             require(lateFraction.begin > 0 && lateFraction.begin <= 1, "late.begin from 0 to 1");
-            require(
-                    lateFraction.end >= 0 && lateFraction.end < lateFraction.begin,
-                    "late.end under late.begin, or it flaps");
+            require(lateFraction.end >= 0 && lateFraction.end < lateFraction.begin, "late.end under late.begin");
             require(dwell > 0, "dwell over 0");
             require(maxFraction > 0 && maxFraction <= 1 && growthPerSecond > 0, "most from 0 to 1, growth over 0");
             require(uncoordinatedFraction >= 0 && uncoordinatedFraction <= maxFraction, "alone from 0 to most");
@@ -103,7 +99,7 @@
 
         private static void require(boolean valid, String requirement) {
             if (!valid) {
-                throw new IllegalArgumentException("wanted: " + requirement);
+                throw new IllegalArgumentException("invalid spill policy: " + requirement);
             }
         }
     }
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
@@ -15,7 +15,7 @@
     public LocalityRules {
         rules = List.copyOf(rules);
         if (!(capacityPerWeight > 0) || Double.isInfinite(capacityPerWeight)) {
-            throw new IllegalArgumentException("rate over 0");
+            throw new IllegalArgumentException("capacityPerWeight must be above 0: " + capacityPerWeight);
         }
     }
 
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadReport.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadReport.java
@@ -19,13 +19,13 @@
         double failingWeight,
         double attemptRate,
         double lateRate) {
-    /** Rejects figures that are not from 0 to 1e9. */
+    /** Rejects values that are not from 0 to 1e9. */
     public ZoneLoadReport {
         for (double value : new double[] {
             capacity, nonQuotaCallRate, quotaCallRate, observedWeight, failingWeight, attemptRate, lateRate
         }) {
             if (!(value >= 0 && value < 1e9)) {
-                throw new IllegalArgumentException("a figure of a zone that is not from 0 to 1e9: " + value);
+                throw new IllegalArgumentException("zone load value out of range 0 to 1e9: " + value);
             }
         }
     }
--- a/fleet/src/main/java/weldhitch/fleet/member/BundleDigest.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/BundleDigest.java
@@ -16,7 +16,7 @@
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bundle));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("SHA-256 is missing from this JDK", e);
         }
     }
 }
--- a/fleet/src/test/java/weldhitch/fleet/error/FleetErrorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/error/FleetErrorTest.java
@@ -13,7 +13,7 @@
 
 /** The names of the kinds are data: other processes' responses, logs and the state on disk contain them. */
 class FleetErrorTest {
-    private static final Map<String, FleetError> BY_TYPE = List.<FleetError>of(
+    private static final Map<String, FleetError> ERRORS_BY_KIND = List.<FleetError>of(
                     new FleetError.MissingVotes(1, List.of("n1", "n2")),
                     new FleetError.InDoubt(1, "n1"),
                     new FleetError.NotJoined("n1"),
@@ -47,24 +47,25 @@
                         "stale-view",
                         "rule-impossible",
                         "setting-unusable"),
-                BY_TYPE.keySet());
-        assertTrue(BY_TYPE.get("member-absent") instanceof FleetError.MissingVotes);
-        assertTrue(BY_TYPE.get("message-refused") instanceof FleetError.MessageRejected);
-        assertTrue(BY_TYPE.get("disk-refused") instanceof FleetError.StateWriteFailed);
+                ERRORS_BY_KIND.keySet());
+        assertTrue(ERRORS_BY_KIND.get("member-absent") instanceof FleetError.MissingVotes);
+        assertTrue(ERRORS_BY_KIND.get("message-refused") instanceof FleetError.MessageRejected);
+        assertTrue(ERRORS_BY_KIND.get("disk-refused") instanceof FleetError.StateWriteFailed);
     }
 
     @Test
     void everyKindIsNamed() {
         Set<Class<?>> kinds =
                 Arrays.stream(FleetError.class.getPermittedSubclasses()).collect(Collectors.toSet());
-        assertEquals(kinds, BY_TYPE.values().stream().map(Object::getClass).collect(Collectors.toSet()));
+        assertEquals(
+                kinds, ERRORS_BY_KIND.values().stream().map(Object::getClass).collect(Collectors.toSet()));
     }
 
     @Test
-    void aLineSaysKindPlaceProblemAndRemedy() {
+    void messageContainsKindLocationProblemAndRemedy() {
         assertEquals(
-                "disk-refused: f: cannot write what was decided: full; nothing was answered and nothing is changed;"
-                        + " make room on the disk, or mend it",
-                BY_TYPE.get("disk-refused").message());
+                "disk-refused: f: cannot write what was decided: full; nothing was acknowledged or changed;"
+                        + " free space on the disk, or repair it",
+                ERRORS_BY_KIND.get("disk-refused").message());
     }
 }
