--- a/fleet/src/main/java/weldhitch/fleet/activation/ActivationParticipant.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ActivationParticipant.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import weldhitch.fleet.error.FleetError;
 
 /**
@@ -36,44 +37,27 @@
         }
     }
 
-    /**
-     * The largest error, in nanoseconds, with which the activation time may be known here. With a larger
-     * error a member rejects requests on which the versions differ for as long as the switch may or may not
-     * have happened, and takes the new version when it surely has.
-     */
-    public static final long MAX_CLOCK_ERROR = 50_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_MICRO = 1_000L;
 
     private final String memberName;
     private final String incarnation;
     private final double maxClockDrift;
-    /** How long a lease may be used here, as the leader says. */
-    private long leaseDuration;
-
-    private final boolean fenceBeforeJoin;
     private final ClockEstimate clockEstimate;
-    private boolean joined;
+    private final MemberLease lease;
     private boolean leaving;
-    private boolean leaseRequired;
     private long generation;
-    private long leaseExpiresAt = Long.MIN_VALUE;
-    /** Until when no version can have been decided without this member knowing it. */
-    private long undecidedUntil = Long.MIN_VALUE;
-    /** The version in use, or in use until {@code switchAt}. */
-    private long currentVersion;
-
-    private RouteVersion targetVersion;
-    private boolean targetPrepared;
-    private List<String> rejectionReasons = List.of();
-    private boolean voted;
-    private ActivationOutcome outcome;
-    private long switchAt = Long.MAX_VALUE;
-    private long switchErrorBound = Long.MAX_VALUE;
     private long lastSwitchErrorBound = Long.MAX_VALUE;
+    /** The version in use, or in use until the target version's activation time. */
+    private long currentVersion;
+    /** The version to switch to; null if there is none. */
+    private TargetVersion target;
     /**
-     * Whether the target version is active already, so that {@code currentVersion} must not be used any more.
+     * Whether the target version is active in the fleet already, so that {@code currentVersion} must not be used
+     * any more.
      */
     private boolean targetActive;
-    /** The response that reported the target version as active. */
+    /** The response that reported the target version as active; null if none has. */
     private MemberHeartbeatResponse activatingResponse;
 
     /**
@@ -89,42 +73,39 @@
         this.memberName = memberName;
         this.incarnation = incarnation;
         this.maxClockDrift = maxClockDrift;
-        this.fenceBeforeJoin = fenceBeforeJoin;
         clockEstimate = new ClockEstimate(maxClockDrift);
+        lease = new MemberLease(fenceBeforeJoin);
     }
 
     /** The heartbeat to send now. This casts the member's vote, whether the heartbeat arrives or not. */
     public MemberHeartbeat heartbeat(long now) {
         applyReachedSwitch(now);
-        boolean castsVote = joined
-                && targetVersion != null
-                && outcome == null
-                && !targetActive
-                && (targetPrepared || !rejectionReasons.isEmpty());
-        if (castsVote && targetPrepared && !voted) {
-            voted = true;
+        boolean castsVote =
+                lease.isJoined() && target != null && !target.isCommitted() && !targetActive && target.isReadyToVote();
+        if (castsVote && target.isPrepared() && !target.isVoted()) {
+            target.recordVote();
             // A decision that waits for this vote is made after it was sent, and its activation time leaves a
             // full lease after that: until then the member needs no further message.
-            undecidedUntil = Math.max(undecidedUntil, now + leaseDuration);
+            lease.extendUndecided(now);
         }
         return new MemberHeartbeat(
                 memberName,
                 incarnation,
                 generation,
-                castsVote ? targetVersion.number() : 0,
-                castsVote && targetPrepared,
-                castsVote ? rejectionReasons : List.of(),
+                castsVote ? target.number() : 0,
+                castsVote && target.isPrepared(),
+                castsVote ? target.rejectionReasons() : List.of(),
                 leaving);
     }
 
-    /** Marks the member as shutting down: further heartbeats say so. */
+    /** Marks the member as shutting down, which all further heartbeats report. */
     public void startLeaving() {
         leaving = true;
     }
 
     /**
-     * Handles the response to a heartbeat sent at {@code sentAt}; of a follower's response only a decision
-     * counts.
+     * Handles the response to a heartbeat sent at {@code sentAt}. Responses of an older generation than the latest
+     * one are ignored.
      */
     public List<Effect> onResponse(long sentAt, long now, MemberHeartbeatResponse response) {
         List<Effect> effects = new ArrayList<>();
@@ -132,127 +113,134 @@
         if (response.generation() < generation) {
             return effects;
         }
-        if (!response.fromLeader()) {
-            // A decision is final, whichever coordinator reports it: a leader that dies after its decision
-            // leaves no member in doubt.
-            if (targetVersion != null
-                    && !targetActive
-                    && response.outcome() != null
-                    && response.outcome().version() == targetVersion.number()) {
-                if (response.outcome().committed()) {
-                    onDecision(response.outcome(), now, effects);
-                } else {
-                    dropTarget(
-                            effects,
-                            "is given up: "
-                                    + String.join("; ", response.outcome().reasons()));
-                }
-            }
-            return effects;
+        if (response.fromLeader()) {
+            onLeaderResponse(sentAt, now, response, effects);
+        } else {
+            onFollowerResponse(now, response, effects);
+        }
+        return effects;
+    }
+
+    /**
+     * Applies a decision on the target version. A decision is final, whichever coordinator reports it: a leader
+     * that fails after its decision leaves no member in doubt. Nothing else of a follower's response counts.
+     */
+    private void onFollowerResponse(long now, MemberHeartbeatResponse response, List<Effect> effects) {
+        if (target == null || targetActive || !decidesTarget(response)) {
+            return;
         }
+        if (response.outcome().committed()) {
+            onDecision(response.outcome(), now, effects);
+        } else {
+            dropTarget(effects, abortedBy(response.outcome()));
+        }
+    }
+
+    private void onLeaderResponse(long sentAt, long now, MemberHeartbeatResponse response, List<Effect> effects) {
         generation = response.generation();
         clockEstimate.addReading(response.clockId(), sentAt, now, response.clockReading(), response.clockError());
-        leaseRequired = response.leaseRequired();
-        leaseDuration = response.leaseDuration();
+        lease.updateTerms(response.leaseRequired(), response.leaseDuration());
         if (!response.joined()) {
-            return effects;
+            return;
         }
-        if (!joined) {
-            joined = true;
-            effects.add(
-                    new LogEvent("joined; version " + response.activeVersion().number() + " is in force"));
+        if (!lease.isJoined()) {
+            lease.join();
+            effects.add(new LogEvent(
+                    "joined fleet activeVersion=" + response.activeVersion().number()));
         }
         if (response.leaseGranted()) {
-            leaseExpiresAt = Math.max(leaseExpiresAt, sentAt + leaseDuration);
+            lease.extend(sentAt);
             if (response.outcome() == null || !response.outcome().committed()) {
-                undecidedUntil = Math.max(undecidedUntil, sentAt + leaseDuration);
+                lease.extendUndecided(sentAt);
             }
         }
-        if (response.activeVersion().number() > currentVersion
-                && (targetVersion == null
-                        || targetVersion.number() <= response.activeVersion().number())) {
+        if (isNewActiveVersion(response.activeVersion())) {
             targetActive = true;
             activatingResponse = response;
             setTarget(response.activeVersion(), effects);
-            if (targetPrepared) {
+            if (target.isPrepared()) {
                 activateTarget(now, effects);
             }
-            return effects;
+            return;
         }
         updatePending(response, now, effects);
-        return effects;
+    }
+
+    private boolean isNewActiveVersion(RouteVersion activeVersion) {
+        return activeVersion.number() > currentVersion && (target == null || target.number() <= activeVersion.number());
+    }
+
+    /** Whether a response reports how the target version, which there must be, was decided. */
+    private boolean decidesTarget(MemberHeartbeatResponse response) {
+        return response.outcome() != null && response.outcome().version() == target.number();
     }
 
     private void updatePending(MemberHeartbeatResponse response, long now, List<Effect> effects) {
         if (response.pendingVersion() != null && response.pendingVersion().number() > currentVersion) {
             setTarget(response.pendingVersion(), effects);
             onDecision(response.outcome(), now, effects);
-        } else if (targetVersion != null && !targetActive && response.pendingVersion() == null) {
-            boolean decidedForTarget =
-                    response.outcome() != null && response.outcome().version() == targetVersion.number();
-            dropTarget(
-                    effects,
-                    decidedForTarget
-                            ? "is given up: "
-                                    + String.join("; ", response.outcome().reasons())
-                            : "is not pending any more");
+        } else if (target != null && !targetActive && response.pendingVersion() == null) {
+            dropTarget(effects, decidesTarget(response) ? abortedBy(response.outcome()) : "is not pending any more");
         }
     }
 
+    private static String abortedBy(ActivationOutcome outcome) {
+        return "is given up: " + String.join("; ", outcome.reasons());
+    }
+
     /** Makes this the target version; does nothing if it is already. */
     private void setTarget(RouteVersion version, List<Effect> effects) {
-        if (targetVersion != null && targetVersion.equals(version)) {
+        if (target != null && target.version().equals(version)) {
             return;
         }
-        clearTarget();
-        targetVersion = version;
+        target = new TargetVersion(version);
         effects.add(new RetainTables(List.of(currentVersion, version.number())));
         effects.add(new Prepare(version));
     }
 
-    private void clearTarget() {
-        targetVersion = null;
-        targetPrepared = false;
-        rejectionReasons = List.of();
-        voted = false;
-        outcome = null;
-        switchAt = Long.MAX_VALUE;
-        switchErrorBound = Long.MAX_VALUE;
+    /** Applies the decision that a response reports, if any, to the target version if it commits that. */
+    private void onDecision(ActivationOutcome decision, long now, List<Effect> effects) {
+        if (decision == null || !decision.committed() || decision.version() != target.number()) {
+            return;
+        }
+        boolean firstNotice = target.recordCommit(decision);
+        refineSchedule(decision, now);
+        if (firstNotice) {
+            logCommit(now, effects);
+        }
+        applyReachedSwitch(now);
     }
 
-    private void onDecision(ActivationOutcome decision, long now, List<Effect> effects) {
-        if (decision == null || !decision.committed() || decision.version() != targetVersion.number()) {
+    private void refineSchedule(ActivationOutcome decision, long now) {
+        if (!decision.clockId().equals(clockEstimate.clockId())) {
             return;
         }
-        boolean firstNotice = outcome == null;
-        outcome = decision;
-        if (decision.clockId().equals(clockEstimate.clockId())) {
-            long localActivationTime = clockEstimate.toLocalTime(decision.activationTime());
-            long errorBound =
-                    clockEstimate.errorBound(now) + (long) (2 * maxClockDrift * Math.max(0, localActivationTime - now));
-            // Once the activation time has passed it is no longer moved.
-            if (errorBound < switchErrorBound && now < activatesAt()) {
-                switchErrorBound = errorBound;
-                switchAt = localActivationTime;
-                lastSwitchErrorBound = Math.min(errorBound, MAX_CLOCK_ERROR);
-            }
+        long localActivationTime = clockEstimate.toLocalTime(decision.activationTime());
+        long errorBound =
+                clockEstimate.errorBound(now) + (long) (2 * maxClockDrift * Math.max(0, localActivationTime - now));
+        if (target.schedule().refine(localActivationTime, errorBound, now)) {
+            lastSwitchErrorBound = Math.min(errorBound, SwitchSchedule.MAX_CLOCK_ERROR);
         }
-        if (firstNotice && switchErrorBound != Long.MAX_VALUE && switchErrorBound > MAX_CLOCK_ERROR) {
+    }
+
+    private void logCommit(long now, List<Effect> effects) {
+        SwitchSchedule schedule = target.schedule();
+        if (schedule.isTooImprecise()) {
             effects.add(new LogEvent(new FleetError.ClockErrorTooLarge(
-                            memberName, switchErrorBound / 1_000_000, MAX_CLOCK_ERROR / 1_000_000)
+                            memberName,
+                            schedule.errorBound() / NANOS_PER_MILLI,
+                            SwitchSchedule.MAX_CLOCK_ERROR / NANOS_PER_MILLI)
                     .message()));
         }
-        if (firstNotice) {
-            effects.add(new LogEvent("version " + targetVersion.number() + " takes effect in "
-                    + (switchAt == Long.MAX_VALUE ? "?" : (switchAt - now) / 1_000_000 + " ms") + ", clocks known to "
-                    + (switchErrorBound == Long.MAX_VALUE ? "?" : switchErrorBound / 1000 + " us")));
-        }
-        applyReachedSwitch(now);
+        String delay = schedule.isKnown() ? (schedule.switchAt() - now) / NANOS_PER_MILLI + " ms" : "?";
+        String clockError = schedule.isKnown() ? schedule.errorBound() / NANOS_PER_MICRO + " us" : "?";
+        effects.add(new LogEvent(
+                "version " + target.number() + " takes effect in " + delay + ", clocks known to " + clockError));
     }
 
     private void dropTarget(List<Effect> effects, String reason) {
-        effects.add(new LogEvent("version " + targetVersion.number() + " " + reason));
-        clearTarget();
+        effects.add(new LogEvent("version " + target.number() + " " + reason));
+        target = null;
         effects.add(new RetainTables(List.of(currentVersion)));
     }
 
@@ -264,14 +252,13 @@
     public List<Effect> onPrepared(long now, long versionNumber, List<String> errors) {
         List<Effect> effects = new ArrayList<>();
         applyReachedSwitch(now);
-        if (targetVersion == null || targetVersion.number() != versionNumber || targetPrepared) {
+        if (target == null || target.number() != versionNumber || target.isPrepared()) {
             return effects;
         }
-        rejectionReasons = List.copyOf(errors);
-        targetPrepared = errors.isEmpty();
+        target.recordPreparation(errors);
         effects.add(new LogEvent("version " + versionNumber
-                + (targetPrepared ? " is prepared" : " is refused: " + String.join("; ", errors))));
-        if (targetPrepared && targetActive) {
+                + (target.isPrepared() ? " is prepared" : " is refused: " + String.join("; ", errors))));
+        if (target.isPrepared() && targetActive) {
             activateTarget(now, effects);
         }
         applyReachedSwitch(now);
@@ -280,11 +267,11 @@
 
     /** Switches to the target version, which is already active in the fleet. */
     private void activateTarget(long now, List<Effect> effects) {
-        currentVersion = targetVersion.number();
-        clearTarget();
+        currentVersion = target.number();
+        target = null;
         targetActive = false;
         effects.add(new RetainTables(List.of(currentVersion)));
-        effects.add(new LogEvent("version " + currentVersion + " is in force here"));
+        effects.add(new LogEvent("version " + currentVersion + " is active"));
         if (activatingResponse != null) {
             // The same response may carry the next version, which may be decided already.
             updatePending(activatingResponse, now, effects);
@@ -292,72 +279,55 @@
         activatingResponse = null;
     }
 
-    /**
-     * When this member switches: at the activation time, or once that has surely passed if it is not known
-     * well enough.
-     */
-    private long activatesAt() {
-        return switchAt == Long.MAX_VALUE || switchErrorBound <= MAX_CLOCK_ERROR
-                ? switchAt
-                : switchAt + switchErrorBound;
-    }
-
-    /**
-     * From when on the activation time may have passed, if it is not known well enough; {@link
-     * Long#MAX_VALUE} if it is.
-     */
-    private long switchUncertainFrom() {
-        return switchAt == Long.MAX_VALUE
-                ? undecidedUntil
-                : switchErrorBound <= MAX_CLOCK_ERROR ? Long.MAX_VALUE : switchAt - switchErrorBound;
-    }
-
     /** Makes a prepared and committed version the current one once its activation time has passed. */
     private void applyReachedSwitch(long now) {
-        if (targetVersion != null && targetPrepared && outcome != null && now >= activatesAt()) {
-            currentVersion = targetVersion.number();
-            clearTarget();
+        if (target != null && target.isSwitchReached(now)) {
+            currentVersion = target.number();
+            target = null;
         }
     }
 
     /** The versions to serve by from {@code now} on, valid without further messages. */
     public ActiveVersions activeVersions(long now) {
         applyReachedSwitch(now);
-        long fencedFrom = Long.MAX_VALUE;
-        if (!joined && fenceBeforeJoin || targetActive) {
-            fencedFrom = Long.MIN_VALUE;
-        } else if (joined && leaseRequired) {
-            fencedFrom = leaseExpiresAt;
+        if (targetActive) {
+            return currentVersionOnly(Long.MIN_VALUE);
         }
-        if (targetVersion == null || targetActive) {
-            return new ActiveVersions(currentVersion, null, Long.MAX_VALUE, Long.MAX_VALUE, fencedFrom);
+        long fencedFrom = lease.fencedFrom();
+        if (target == null) {
+            return currentVersionOnly(fencedFrom);
         }
-        if (outcome != null) {
-            if (!targetPrepared) {
-                // The version is committed but cannot be served here: the member joined late, or is still
-                // fetching the bundle.
-                return new ActiveVersions(
-                        currentVersion,
-                        null,
-                        Long.MAX_VALUE,
-                        Long.MAX_VALUE,
-                        Math.min(fencedFrom, Math.min(switchAt, switchUncertainFrom())));
-            }
-            // Without a known activation time the member is in doubt once its lease has expired.
-            return new ActiveVersions(
-                    currentVersion, targetVersion.number(), activatesAt(), switchUncertainFrom(), fencedFrom);
+        return target.isCommitted() ? committedVersions(fencedFrom) : undecidedVersions(fencedFrom);
+    }
+
+    private ActiveVersions currentVersionOnly(long fencedFrom) {
+        return new ActiveVersions(currentVersion, null, Long.MAX_VALUE, Long.MAX_VALUE, fencedFrom);
+    }
+
+    private ActiveVersions committedVersions(long fencedFrom) {
+        SwitchSchedule schedule = target.schedule();
+        // Without a known activation time the member is in doubt once its lease has expired.
+        long uncertainFrom = schedule.uncertainFrom(lease.undecidedUntil());
+        if (!target.isPrepared()) {
+            // The version is committed but cannot be served here: the member joined late, or is still
+            // fetching the bundle.
+            return currentVersionOnly(Math.min(fencedFrom, Math.min(schedule.switchAt(), uncertainFrom)));
         }
+        return new ActiveVersions(currentVersion, target.number(), schedule.activatesAt(), uncertainFrom, fencedFrom);
+    }
+
+    private ActiveVersions undecidedVersions(long fencedFrom) {
         return new ActiveVersions(
                 currentVersion,
-                targetPrepared ? targetVersion.number() : null,
+                target.isPrepared() ? target.number() : null,
                 Long.MAX_VALUE,
-                voted ? undecidedUntil : Long.MAX_VALUE,
+                target.isVoted() ? lease.undecidedUntil() : Long.MAX_VALUE,
                 fencedFrom);
     }
 
     /** Whether the member is registered, according to the latest response. */
     public boolean joined() {
-        return joined;
+        return lease.isJoined();
     }
 
     /** The generation of the latest decision that the member knows. */
@@ -365,9 +335,9 @@
         return generation;
     }
 
-    /** The version whose table has to be built, or null. */
-    public RouteVersion versionToPrepare() {
-        return targetPrepared ? null : targetVersion;
+    /** The version whose table has to be built; empty if there is none. */
+    public Optional<RouteVersion> versionToPrepare() {
+        return target == null || target.isPrepared() ? Optional.empty() : Optional.of(target.version());
     }
 
     /**
--- a/fleet/src/main/java/weldhitch/fleet/activation/ActiveVersions.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ActiveVersions.java
@@ -1,8 +1,9 @@
 package weldhitch.fleet.activation;
 
 /**
- * The versions that a member serves by until the next update, made by {@link ActivationParticipant#activeVersions}. Immutable;
- * a request is judged by the time at which it arrives.
+ * The versions that a member serves by until the next update, made by {@link
+ * ActivationParticipant#activeVersions}. Immutable; which of them applies to a request depends on the time at
+ * which it arrives.
  */
 public final class ActiveVersions {
     private final long current;
--- a/fleet/src/main/java/weldhitch/fleet/member/CoordinatorClient.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/CoordinatorClient.java
@@ -9,6 +9,7 @@
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.List;
 import weldhitch.fleet.activation.MemberHeartbeat;
@@ -23,18 +24,32 @@
  */
 final class CoordinatorClient {
     private static final int MAX_RESPONSE_BYTES = 512 << 10;
+    private static final int MAX_LOGGED_BODY_BYTES = 300;
+    private static final int HTTP_OK = 200;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration BUNDLE_TIMEOUT = Duration.ofMillis(2000);
+    /** How long a heartbeat may take beyond the time for which the coordinator may delay its response. */
+    private static final long HEARTBEAT_TIMEOUT_MILLIS = 800;
+
     static final ObjectMapper JSON =
             MemberJson.register(new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES));
 
+    /** A response that has been read completely. */
+    private record Response(int status, byte[] body) {
+        String bodyStart() {
+            return new String(body, 0, Math.min(body.length, MAX_LOGGED_BODY_BYTES), StandardCharsets.UTF_8);
+        }
+    }
+
     private final HttpClient httpClient = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofMillis(500))
+            .connectTimeout(CONNECT_TIMEOUT)
             .build();
     private final String cluster;
     private final List<InetSocketAddress> addresses;
     private int currentIndex;
 
-    /** Creates a client that starts with the coordinator at position {@code first}, modulo their number. */
+    /** Creates a client that starts with the coordinator at position {@code firstIndex}, modulo their number. */
     CoordinatorClient(String cluster, List<InetSocketAddress> addresses, int firstIndex) {
         this.cluster = cluster;
         this.addresses = addresses;
@@ -68,22 +83,20 @@
     MemberResponse sendHeartbeat(
             MemberHeartbeat heartbeat, long waitMillis, NodeLoadReport loadReport, long ownPollDelayNanos)
             throws IOException, InterruptedException {
-        HttpResponse<InputStream> httpResponse = httpClient.send(
-                HttpRequest.newBuilder(URI.create("http://" + currentAddress() + "/v1/member"))
-                        .timeout(Duration.ofMillis(waitMillis + 800))
-                        .header("Content-Type", "application/json")
-                        .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(
-                                new MemberRequest(cluster, waitMillis, heartbeat, loadReport, ownPollDelayNanos))))
-                        .build(),
-                HttpResponse.BodyHandlers.ofInputStream());
-        byte[] body = readBody(httpResponse);
-        if (httpResponse.statusCode() != 200) {
-            throw new IOException(currentAddress() + " answered " + httpResponse.statusCode() + " "
-                    + new String(body, 0, Math.min(body.length, 300), java.nio.charset.StandardCharsets.UTF_8));
+        MemberRequest memberRequest = new MemberRequest(cluster, waitMillis, heartbeat, loadReport, ownPollDelayNanos);
+        Response response = send(HttpRequest.newBuilder(resource("/v1/member"))
+                .timeout(Duration.ofMillis(waitMillis + HEARTBEAT_TIMEOUT_MILLIS))
+                .header("Content-Type", "application/json")
+                .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(memberRequest)))
+                .build());
+        if (response.status != HTTP_OK) {
+            throw new IOException("coordinator " + currentAddress() + " answered status=" + response.status + " body="
+                    + response.bodyStart());
         }
-        MemberResponse memberResponse = JSON.readValue(body, MemberResponse.class);
+        MemberResponse memberResponse = JSON.readValue(response.body, MemberResponse.class);
         if (memberResponse.heartbeat() == null) {
-            throw new IOException(currentAddress() + " answered without an answer: is it of this version?");
+            throw new IOException(
+                    "coordinator " + currentAddress() + " sent no heartbeat response: incompatible version?");
         }
         return memberResponse;
     }
@@ -94,26 +107,28 @@
      * @throws IOException if no response came in time, or the coordinator does not have the version
      */
     byte[] fetchBundle(long versionNumber) throws IOException, InterruptedException {
-        HttpResponse<InputStream> response = httpClient.send(
-                HttpRequest.newBuilder(URI.create("http://" + currentAddress() + "/v1/bundle/" + versionNumber))
-                        .timeout(Duration.ofMillis(2000))
-                        .GET()
-                        .build(),
-                HttpResponse.BodyHandlers.ofInputStream());
-        byte[] body = readBody(response);
-        if (response.statusCode() != 200) {
-            throw new IOException(currentAddress() + " has no version " + versionNumber);
+        Response response = send(HttpRequest.newBuilder(resource("/v1/bundle/" + versionNumber))
+                .timeout(BUNDLE_TIMEOUT)
+                .GET()
+                .build());
+        if (response.status != HTTP_OK) {
+            throw new IOException("coordinator " + currentAddress() + " has no bundle version=" + versionNumber);
         }
-        return body;
+        return response.body;
+    }
+
+    private URI resource(String path) {
+        return URI.create("http://" + currentAddress() + path);
     }
 
-    private static byte[] readBody(HttpResponse<InputStream> response) throws IOException {
+    private Response send(HttpRequest request) throws IOException, InterruptedException {
+        HttpResponse<InputStream> response = httpClient.send(request, HttpResponse.BodyHandlers.ofInputStream());
         try (InputStream in = response.body()) {
             byte[] body = in.readNBytes(MAX_RESPONSE_BYTES + 1);
             if (body.length > MAX_RESPONSE_BYTES) {
-                throw new IOException("an answer of more than " + MAX_RESPONSE_BYTES + " bytes");
+                throw new IOException("response larger than " + MAX_RESPONSE_BYTES + " bytes");
             }
-            return body;
+            return new Response(response.statusCode(), body);
         }
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
@@ -1,28 +1,25 @@
 package weldhitch.fleet.member;
 
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
+import java.util.Optional;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import weldhitch.fleet.activation.ActivationParticipant;
-import weldhitch.fleet.activation.ActiveVersions;
 import weldhitch.fleet.activation.LeaseTiming;
+import weldhitch.fleet.activation.MemberHeartbeat;
 import weldhitch.fleet.activation.MemberHeartbeatResponse;
 import weldhitch.fleet.activation.MemberResponse;
 import weldhitch.fleet.activation.RouteVersion;
-import weldhitch.fleet.error.FleetError;
 import weldhitch.fleet.locality.FleetView;
 import weldhitch.fleet.locality.NodeLoadReport;
+import weldhitch.fleet.member.VersionTableBuilder.BuildResult;
 import weldhitch.fleet.table.VersionedTables;
-import weldhitch.fleet.table.VersionedTables.Table;
 
 /**
- * A running fleet member. One thread calls the coordinators, builds the tables of versions and publishes the
- * active ones; requests enter {@link #tables} from any thread. If no coordinator responds, the active version
- * stays active.
+ * A running fleet member: owns the thread that exchanges heartbeats with the coordinators, has the tables of
+ * versions built and publishes the active ones. Requests enter {@link #tables} from any thread. If no coordinator
+ * responds, the active version stays active. The object's lock guards the participant and the built tables.
  *
  * @param <T> the contents of a version's table
  */
@@ -70,25 +67,23 @@
 
     private static final long MIN_HEARTBEAT_INTERVAL = 40 * NANOS_PER_MILLI;
     private static final long RETRY_DELAY = 150 * NANOS_PER_MILLI;
-    private static final long INITIAL_UNREACHABLE_LOG_DELAY = 3000 * NANOS_PER_MILLI;
+    private static final long JOIN_TIMEOUT_MILLIS = 1000;
+    /** The range that the hash of the incarnation is reduced to, so that members start at different coordinators. */
+    private static final int FIRST_COORDINATOR_RANGE = 1 << 20;
 
-    private final String memberName;
     private final CoordinatorClient coordinators;
     private final ActivationParticipant participant;
-    private final TableBuilder<T> tableBuilder;
+    private final VersionTableBuilder<T> versionTableBuilder;
+    private final BuiltTables<T> tables;
+    private final CoordinatorOutageLog outageLog;
     private final Consumer<String> log;
     private final ZoneLoadExchange zoneLoadExchange;
     private final ListPoller listPoller;
-    private final VersionedTables<T> tables;
-    private final Map<Long, Table<T>> builtTables = new TreeMap<>();
     private final Thread thread;
     private volatile boolean closing;
-    private long lastLeaderResponseAt = System.nanoTime();
-    private long unreachableLogDelay = INITIAL_UNREACHABLE_LOG_DELAY;
-    private boolean rejectionLogged;
     /**
      * The number of the version that was rejected last: it is not built again for each response that names
-     * it.
+     * it. Belongs to the member's thread.
      */
     private long rejectedVersion;
 
@@ -114,16 +109,16 @@
             Consumer<String> log) {
         this.zoneLoadExchange = zoneLoadExchange;
         this.listPoller = listPoller;
-        memberName = member;
-        this.tableBuilder = tableBuilder;
         this.log = log;
         coordinators = new CoordinatorClient(
-                settings.cluster(), settings.coordinators(), Math.floorMod(incarnation.hashCode(), 1 << 20));
+                settings.cluster(),
+                settings.coordinators(),
+                Math.floorMod(incarnation.hashCode(), FIRST_COORDINATOR_RANGE));
+        versionTableBuilder = new VersionTableBuilder<>(coordinators, tableBuilder);
         participant = new ActivationParticipant(
                 member, incarnation, LeaseTiming.DEFAULT.maxClockDrift(), settings.fenceBeforeJoin());
-        Table<T> ownTable = new Table<>(0, ownContent);
-        builtTables.put(0L, ownTable);
-        tables = new VersionedTables<>(participant.activeVersions(System.nanoTime()), ownTable);
+        outageLog = new CoordinatorOutageLog(member, log, System.nanoTime());
+        tables = new BuiltTables<>(ownContent, participant.activeVersions(System.nanoTime()));
         thread = new Thread(this::run, "fleet");
         thread.setDaemon(true);
         thread.start();
@@ -131,7 +126,7 @@
 
     /** The tables that requests enter. */
     public VersionedTables<T> tables() {
-        return tables;
+        return tables.published();
     }
 
     /**
@@ -140,7 +135,7 @@
      */
     public void replaceOwnTable(T newContent) {
         synchronized (this) {
-            builtTables.put(0L, new Table<>(0, newContent));
+            tables.putOwn(newContent);
             publish();
         }
     }
@@ -154,7 +149,7 @@
                 return;
             } catch (RuntimeException e) {
                 // A failure here must not affect requests: the active version stays active.
-                log.accept("fleet: " + e);
+                log.accept("fleet: heartbeat failed error=\"" + e + "\"");
                 LockSupport.parkNanos(RETRY_DELAY);
             }
             long remaining = MIN_HEARTBEAT_INTERVAL - (System.nanoTime() - startedAt);
@@ -164,113 +159,94 @@
         }
     }
 
+    /** One round: sends a heartbeat, handles the response, and builds the table that it makes necessary. */
     private void exchangeHeartbeat() throws InterruptedException {
-        weldhitch.fleet.activation.MemberHeartbeat heartbeat;
+        MemberHeartbeat heartbeat;
         long sentAt;
         synchronized (this) {
             sentAt = System.nanoTime();
             heartbeat = participant.heartbeat(sentAt);
             publish();
         }
-        MemberHeartbeatResponse heartbeatResponse;
+        MemberHeartbeatResponse response;
         try {
-            NodeLoadReport loadReport = zoneLoadExchange.loadReport();
-            long ownPollDelayNanos = listPoller.ownPollDelayNanos();
-            MemberResponse response = coordinators.sendHeartbeat(
-                    heartbeat,
-                    ownPollDelayNanos >= 0 ? 0 : loadReport == null ? LONG_POLL_MILLIS : LOCALITY_LONG_POLL_MILLIS,
-                    loadReport,
-                    ownPollDelayNanos);
-            heartbeatResponse = response.heartbeat();
-            if (ownPollDelayNanos >= 0 && response.pollSlotDelayNanos() >= 0) {
-                listPoller.assignPollTime(System.nanoTime() + response.pollSlotDelayNanos());
-            }
-            if (response.fleetView() != null) {
-                zoneLoadExchange.onFleetView(response.fleetView(), sentAt);
-            }
+            response = sendHeartbeat(heartbeat, sentAt);
         } catch (IOException | RuntimeException e) {
-            onNoLeaderResponse(e);
+            onNoLeaderResponse(String.valueOf(e.getMessage()));
             return;
         }
-        if (!heartbeatResponse.fromLeader()) {
-            synchronized (this) {
-                applyEffects(participant.onResponse(sentAt, System.nanoTime(), heartbeatResponse));
-            }
-            onNoLeaderResponse(null);
-            return;
+        if (response.fromLeader()) {
+            outageLog.onLeaderResponse(System.nanoTime());
         }
-        lastLeaderResponseAt = System.nanoTime();
-        if (unreachableLogDelay != INITIAL_UNREACHABLE_LOG_DELAY) {
-            log.accept("fleet: stewards answer again");
-            unreachableLogDelay = INITIAL_UNREACHABLE_LOG_DELAY;
+        synchronized (this) {
+            applyEffects(participant.onResponse(sentAt, System.nanoTime(), response));
+        }
+        if (!response.fromLeader()) {
+            onNoLeaderResponse("no leader");
+            return;
         }
+        Optional<RouteVersion> versionToBuild;
         synchronized (this) {
-            applyEffects(participant.onResponse(sentAt, System.nanoTime(), heartbeatResponse));
+            versionToBuild = participant
+                    .versionToPrepare()
+                    .filter(version -> version.number() != rejectedVersion && !tables.contains(version.number()));
         }
-        RouteVersion targetVersion = participant.versionToPrepare();
-        if (targetVersion != null
-                && targetVersion.number() != rejectedVersion
-                && !builtTables.containsKey(targetVersion.number())) {
-            prepare(targetVersion);
+        if (versionToBuild.isPresent()) {
+            prepare(versionToBuild.get());
         }
     }
 
-    private void onNoLeaderResponse(Exception cause) {
+    /** Sends a heartbeat with what goes with it, and passes on what the response carries beside its own part. */
+    private MemberHeartbeatResponse sendHeartbeat(MemberHeartbeat heartbeat, long sentAt)
+            throws IOException, InterruptedException {
+        NodeLoadReport loadReport = zoneLoadExchange.loadReport();
+        long ownPollDelayNanos = listPoller.ownPollDelayNanos();
+        boolean wantsPollSlot = ownPollDelayNanos >= 0;
+        long longPollMillis = loadReport == null ? LONG_POLL_MILLIS : LOCALITY_LONG_POLL_MILLIS;
+        MemberResponse response = coordinators.sendHeartbeat(
+                heartbeat, wantsPollSlot ? 0 : longPollMillis, loadReport, ownPollDelayNanos);
+        if (wantsPollSlot && response.pollSlotDelayNanos() >= 0) {
+            listPoller.assignPollTime(System.nanoTime() + response.pollSlotDelayNanos());
+        }
+        if (response.fleetView() != null) {
+            zoneLoadExchange.onFleetView(response.fleetView(), sentAt);
+        }
+        return response.heartbeat();
+    }
+
+    private void onNoLeaderResponse(String failure) {
         coordinators.switchToNext();
         long now = System.nanoTime();
-        if (now - lastLeaderResponseAt > unreachableLogDelay) {
-            unreachableLogDelay = 2 * (now - lastLeaderResponseAt);
-            log.accept("fleet: "
-                    + new FleetError.CoordinatorUnreachable(
-                                    memberName,
-                                    List.of(cause == null ? "none leads" : String.valueOf(cause.getMessage())))
-                            .message());
-        }
+        outageLog.onNoLeaderResponse(failure, now);
         synchronized (this) {
-            ActiveVersions activeVersions = participant.activeVersions(now);
-            boolean rejecting = activeVersions.isInDoubtAt(now) || activeVersions.isFencedAt(now);
-            if (rejecting && !rejectionLogged) {
-                log.accept("fleet: "
-                        + (activeVersions.isFencedAt(now)
-                                        ? new FleetError.NotJoined(memberName)
-                                        : new FleetError.InDoubt(activeVersions.next(), memberName))
-                                .message());
-            }
-            rejectionLogged = rejecting;
+            outageLog.onVersionsWithoutLeader(participant.activeVersions(now), now);
         }
         LockSupport.parkNanos(RETRY_DELAY);
     }
 
     private void prepare(RouteVersion version) throws InterruptedException {
         synchronized (this) {
-            if (!tables.canAddTable()) {
-                log.accept("fleet: version " + version.number() + " waits: requests still read "
-                        + VersionedTables.MAX_LIVE_TABLES + " tables");
+            if (!tables.published().canAddTable()) {
+                log.accept("fleet: version preparation postponed version=" + version.number() + " liveTables="
+                        + VersionedTables.MAX_LIVE_TABLES);
                 return;
             }
         }
-        String file = "version-" + version.number() + ".toml";
-        List<String> errors = new ArrayList<>();
-        T content = null;
+        BuildResult<T> result;
         try {
-            byte[] bundle = coordinators.fetchBundle(version.number());
-            if (!BundleDigest.sha256(bundle).equals(version.sha256())) {
-                throw new IOException("what " + coordinators.currentAddress() + " gave for version " + version.number()
-                        + " is not what was decided");
-            }
-            content = tableBuilder.build(file, bundle, errors::add);
+            result = versionTableBuilder.build(version);
         } catch (IOException e) {
             // Requested again in the next round.
             log.accept("fleet: " + e.getMessage());
             return;
-        } catch (RuntimeException e) {
-            errors.add(file + ": " + e);
         }
         synchronized (this) {
-            if (content != null && errors.isEmpty()) {
-                builtTables.put(version.number(), new Table<>(version.number(), content));
-            } else {
+            List<String> errors = List.of();
+            if (result instanceof BuildResult.Built<T> built) {
+                tables.put(version.number(), built.content());
+            } else if (result instanceof BuildResult.Rejected<T> rejected) {
                 rejectedVersion = version.number();
+                errors = rejected.errors();
             }
             applyEffects(participant.onPrepared(System.nanoTime(), version.number(), errors));
         }
@@ -282,32 +258,28 @@
             if (effect instanceof ActivationParticipant.LogEvent logEvent) {
                 log.accept("fleet: generation=" + participant.generation() + " " + logEvent.message());
             } else if (effect instanceof ActivationParticipant.RetainTables retain) {
-                builtTables
-                        .keySet()
-                        .removeIf(versionNumber ->
-                                versionNumber != 0 && !retain.versionNumbers().contains(versionNumber));
+                tables.retain(retain.versionNumbers());
             }
         }
         publish();
     }
 
+    /** Publishes the tables of the active versions. The caller holds this object's lock. */
     private void publish() {
-        ActiveVersions activeVersions = participant.activeVersions(System.nanoTime());
-        Table<T> current = builtTables.get(activeVersions.current());
-        Table<T> next = activeVersions.next() == null ? null : builtTables.get(activeVersions.next());
-        tables.publish(activeVersions, current, next);
+        tables.publish(participant.activeVersions(System.nanoTime()));
     }
 
     /**
      * Ends the member's thread, waiting up to a second for it, then reports to the leading coordinator, if
-     * one can be reached, that this member leaves. Blocks.
+     * one can be reached, that this member leaves. Blocks for that second and one request to each coordinator
+     * at most.
      */
     @Override
     public void close() {
         closing = true;
         thread.interrupt();
         try {
-            thread.join(1000);
+            thread.join(JOIN_TIMEOUT_MILLIS);
             participant.startLeaving();
             for (int i = 0; i < coordinators.count(); i++) {
                 try {
