--- a/fleet/src/main/java/weldhitch/fleet/activation/SwitchSchedule.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/SwitchSchedule.java
@@ -16,10 +16,10 @@
     private long errorBound = Long.MAX_VALUE;
 
     /**
-     * Takes over a more precise estimate of the activation time; ignores a less precise one. Once the activation
+     * Accepts a more precise estimate of the activation time; ignores a less precise one. Once the activation
      * time has passed it is no longer moved.
      *
-     * @return whether the estimate was taken over
+     * @return whether the estimate was accepted
      */
     boolean refine(long newSwitchAt, long newErrorBound, long now) {
         if (newErrorBound >= errorBound || now >= activatesAt()) {
--- a/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
@@ -37,8 +37,8 @@
                     "member-absent",
                     members.isEmpty() ? "the membership" : members.get(0),
                     "version " + version + " had no vote in time from " + String.join(", ", members),
-                    "check that they run and reach the coordinators; for a member that is removed for good put NAME.gone"
-                            + " beside the versions, then submit the version again");
+                    "check that they run and reach the coordinators; for a member that is removed for good put"
+                            + " NAME.gone beside the versions, then submit the version again");
         }
     }
 
@@ -192,7 +192,8 @@
                     "rule-impossible",
                     member,
                     "locality rule " + rule + " has no zone left that it may send to: its requests are rejected",
-                    "bring endpoints of these zones back, or submit a version that prefers more zones or forbids fewer");
+                    "bring endpoints of these zones back, or submit a version that prefers more zones or forbids"
+                            + " fewer");
         }
     }
 
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalZoneHealth.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalZoneHealth.java
@@ -14,12 +14,12 @@
     /**
      * A zone counts as failing, with all its endpoints, after this many failures in a row, of whichever
      * endpoints, and no answer for {@code ZONE_SILENCE_NANOS}. By the count only, one call in sixty-four
-     * would declare a zone failed of which half is dead.
+     * would declare a zone failed half of whose endpoints are down.
      */
     private static final int ZONE_FAILURE_THRESHOLD = 6;
     /**
      * An endpoint counts as failing after this many failures in a row. It is no more because a failing
-     * endpoint is picked less often: a dead one of many may not get a third call.
+     * endpoint is picked less often: one of many may not get a third call.
      */
     private static final int ENDPOINT_FAILURE_THRESHOLD = 2;
     /** How long a zone must have given no answer, in nanoseconds, to count as failing. */
@@ -31,7 +31,7 @@
     private static final long ZONE_VERDICT_TTL = 3_000_000_000L;
     /**
      * The same for a failing endpoint of a zone that answers: the node picks it rarely after a failure, and
-     * after some seconds without a call it is likely to be as dead as before.
+     * after some seconds without a call it is likely to be still down.
      */
     private static final long ENDPOINT_VERDICT_TTL = 20_000_000_000L;
 
@@ -72,6 +72,15 @@
         }
     }
 
+    /** The weight of a zone's ready endpoints, summed up. */
+    private static final class ZoneWeights {
+        double listed;
+        /** Of those with a recent result. */
+        double observed;
+
+        double failing;
+    }
+
     private final double initialCapacityFraction;
     private final long slowStartDuration;
     private final Map<String, EndpointHealth> endpoints = new LinkedHashMap<>();
@@ -95,25 +104,25 @@
     void updateEndpoints(boolean complete, Iterable<ZoneEndpoint> changes) {
         if (complete) {
             Set<String> unlisted = new TreeSet<>(endpoints.keySet());
-            changes.forEach(s -> unlisted.remove(s.name()));
+            changes.forEach(endpoint -> unlisted.remove(endpoint.name()));
             endpoints.keySet().removeAll(unlisted);
         }
-        for (ZoneEndpoint s : changes) {
-            EndpointHealth known = endpoints.get(s.name());
-            if (s.removed()) {
-                endpoints.remove(s.name());
-            } else if (known == null || known.endpoint.startedAt() != s.startedAt()) {
-                endpoints.put(s.name(), new EndpointHealth());
-                endpoints.get(s.name()).endpoint = s;
+        for (ZoneEndpoint change : changes) {
+            EndpointHealth known = endpoints.get(change.name());
+            if (change.removed()) {
+                endpoints.remove(change.name());
+            } else if (known == null || known.endpoint.startedAt() != change.startedAt()) {
+                endpoints.put(change.name(), new EndpointHealth());
+                endpoints.get(change.name()).endpoint = change;
             } else {
-                known.endpoint = s;
+                known.endpoint = change;
             }
-            zoneHealth(s.zone());
+            zoneHealth(change.zone());
         }
     }
 
     private ZoneHealth zoneHealth(String name) {
-        return zones.computeIfAbsent(name, z -> new ZoneHealth());
+        return zones.computeIfAbsent(name, zone -> new ZoneHealth());
     }
 
     /** The zone of an endpoint, or null if it is not listed. */
@@ -125,9 +134,9 @@
     /** The zones that have a ready endpoint by the list. */
     Set<String> availableZones() {
         Set<String> available = new TreeSet<>();
-        endpoints.values().forEach(s -> {
-            if (s.endpoint.ready()) {
-                available.add(s.endpoint.zone());
+        endpoints.values().forEach(health -> {
+            if (health.endpoint.ready()) {
+                available.add(health.endpoint.zone());
             }
         });
         return available;
@@ -153,7 +162,7 @@
         }
         boolean failed = result == CallResult.FAILED;
         if (failed && known.lastAnswerAt > sentAt) {
-            // The endpoint has answered another attempt since this one was sent: it is late rather than dead.
+            // The endpoint has answered another attempt since this one was sent: it is late rather than down.
             failed = false;
         }
         ZoneHealth zone = zoneHealth(known.endpoint.zone());
@@ -174,11 +183,11 @@
         }
     }
 
-    private double effectiveWeight(EndpointHealth s, long now) {
-        double slowStartProgress = s.endpoint.startedAt() <= 0 || slowStartDuration <= 0
+    private double effectiveWeight(EndpointHealth health, long now) {
+        double slowStartProgress = health.endpoint.startedAt() <= 0 || slowStartDuration <= 0
                 ? 1
-                : Math.max(0, Math.min(1, (double) (now - s.endpoint.startedAt()) / slowStartDuration));
-        return s.endpoint.weight() * (initialCapacityFraction + (1 - initialCapacityFraction) * slowStartProgress);
+                : Math.max(0, Math.min(1, (double) (now - health.endpoint.startedAt()) / slowStartDuration));
+        return health.endpoint.weight() * (initialCapacityFraction + (1 - initialCapacityFraction) * slowStartProgress);
     }
 
     /**
@@ -187,30 +196,30 @@
      * @param capacityPerWeight what an endpoint of weight 1 bears, in calls per second
      */
     Map<String, ZoneLoadReport> loadReports(double capacityPerWeight, long now) {
-        Map<String, double[]> weightsByZone = new TreeMap<>();
-        zones.keySet().forEach(zone -> weightsByZone.put(zone, new double[3]));
-        for (EndpointHealth s : endpoints.values()) {
-            if (s.endpoint.ready()) {
-                double weight = effectiveWeight(s, now);
-                double[] totals = weightsByZone.get(s.endpoint.zone());
-                ZoneHealth zone = zoneHealth(s.endpoint.zone());
-                boolean failing = s.isFailing(now, zone) || zone.isFailing(now);
-                totals[0] += weight;
-                totals[1] += failing || s.hasRecentResult(now, zone) ? weight : 0;
-                totals[2] += failing ? weight : 0;
+        Map<String, ZoneWeights> weightsByZone = new TreeMap<>();
+        zones.keySet().forEach(zone -> weightsByZone.put(zone, new ZoneWeights()));
+        for (EndpointHealth health : endpoints.values()) {
+            if (health.endpoint.ready()) {
+                double weight = effectiveWeight(health, now);
+                ZoneWeights weights = weightsByZone.get(health.endpoint.zone());
+                ZoneHealth zone = zoneHealth(health.endpoint.zone());
+                boolean failing = health.isFailing(now, zone) || zone.isFailing(now);
+                weights.listed += weight;
+                weights.observed += failing || health.hasRecentResult(now, zone) ? weight : 0;
+                weights.failing += failing ? weight : 0;
             }
         }
         Map<String, ZoneLoadReport> reports = new TreeMap<>();
         zones.forEach((name, zone) -> {
-            double[] totals = weightsByZone.get(name);
+            ZoneWeights weights = weightsByZone.get(name);
             reports.put(
                     name,
                     new ZoneLoadReport(
-                            totals[0] * capacityPerWeight,
+                            weights.listed * capacityPerWeight,
                             zone.nonQuotaCalls.perSecond(now),
                             zone.quotaCalls.perSecond(now),
-                            totals[1],
-                            totals[2],
+                            weights.observed,
+                            weights.failing,
                             zone.attempts.perSecond(now),
                             zone.lateAttempts.perSecond(now)));
         });
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
@@ -71,8 +71,8 @@
      * @param maxFraction largest fraction of the rule's requests that may spill over to the next level, 0 to 1; all
      *     of them if no endpoint is left
      * @param growthPerSecond by how much that fraction grows or falls per second
-     * @param uncoordinatedFraction the largest fraction that may spill over without a view from the coordinators; at most
-     *     {@code maxFraction}
+     * @param uncoordinatedFraction the largest fraction that may spill over without a view from the coordinators;
+     *     at most {@code maxFraction}
      */
     public record SpillPolicy(
             HysteresisBand utilization,
--- a/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
@@ -17,7 +17,7 @@
     private record IssuedGrant(double callsPerSecond, long expiresAt) {}
 
     private final long grantDuration;
-    private boolean countsReplacedGrants = true;
+    private final ReplacedGrants replacedGrants;
     private final Map<String, Map<String, List<IssuedGrant>>> issuedGrants = new TreeMap<>();
     private final Map<String, Map<String, Double>> demandByZone = new TreeMap<>();
 
@@ -28,17 +28,18 @@
      *     clock
      */
     public QuotaAllocator(long grantDuration) {
-        this.grantDuration = grantDuration;
+        this(grantDuration, ReplacedGrants.COUNTED_UNTIL_EXPIRY);
     }
 
-    /** For tests that show what breaks if a replaced grant is not counted beside its replacement. */
-    void ignoreReplacedGrants() {
-        countsReplacedGrants = false;
+    /** Creates an allocator without grants, with that policy for replaced ones. */
+    QuotaAllocator(long grantDuration, ReplacedGrants replacedGrants) {
+        this.grantDuration = grantDuration;
+        this.replacedGrants = replacedGrants;
     }
 
     /** Sets what a node wants to send to a zone, in calls per second; 0 for nothing any more. */
     public void updateDemand(String node, String zone, double callsPerSecond) {
-        Map<String, Double> demandByNode = demandByZone.computeIfAbsent(zone, z -> new TreeMap<>());
+        Map<String, Double> demandByNode = demandByZone.computeIfAbsent(zone, name -> new TreeMap<>());
         if (callsPerSecond > 0) {
             demandByNode.put(node, callsPerSecond);
         } else {
@@ -59,8 +60,8 @@
      * @return calls per second, 0 for none
      */
     public double grant(String node, String zone, double headroom, long now) {
-        Map<String, List<IssuedGrant>> grantsByNode = issuedGrants.computeIfAbsent(zone, z -> new TreeMap<>());
-        grantsByNode.values().forEach(grants -> grants.removeIf(g -> now >= g.expiresAt));
+        Map<String, List<IssuedGrant>> grantsByNode = issuedGrants.computeIfAbsent(zone, name -> new TreeMap<>());
+        grantsByNode.values().forEach(grants -> grants.removeIf(grant -> now >= grant.expiresAt));
         double outstandingToOthers = 0;
         for (Map.Entry<String, List<IssuedGrant>> entry : grantsByNode.entrySet()) {
             if (!entry.getKey().equals(node)) {
@@ -69,8 +70,8 @@
         }
         double fairRate = maxMinFairRate(node, demandByZone.getOrDefault(zone, Map.of()), headroom);
         double grantedRate = Math.max(0, Math.min(fairRate, headroom - outstandingToOthers));
-        List<IssuedGrant> ownGrants = grantsByNode.computeIfAbsent(node, n -> new ArrayList<>());
-        if (!countsReplacedGrants) {
+        List<IssuedGrant> ownGrants = grantsByNode.computeIfAbsent(node, name -> new ArrayList<>());
+        if (replacedGrants == ReplacedGrants.IGNORED) {
             ownGrants.clear();
         }
         ownGrants.add(new IssuedGrant(grantedRate, now + grantDuration));
@@ -107,8 +108,8 @@
      */
     public double outstanding(String zone, long now) {
         return issuedGrants.getOrDefault(zone, Map.of()).values().stream()
-                .mapToDouble(grants ->
-                        maxRate(grants.stream().filter(g -> now < g.expiresAt).toList()))
+                .mapToDouble(grants -> maxRate(
+                        grants.stream().filter(grant -> now < grant.expiresAt).toList()))
                 .sum();
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/SpillTokens.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/SpillTokens.java
@@ -25,7 +25,7 @@
 
     /** Replaces the grant for a zone; saved tokens stay, up to the new burst size. */
     void replaceGrant(String zone, QuotaGrant grant, long now) {
-        Bucket bucket = buckets.computeIfAbsent(zone, z -> new Bucket());
+        Bucket bucket = buckets.computeIfAbsent(zone, name -> new Bucket());
         refill(bucket, now);
         bucket.grant = grant;
         bucket.tokens = Math.min(bucket.tokens, burstSize(grant));
--- a/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
@@ -15,7 +16,10 @@
     /** Factor by which the requested quota exceeds the average demand, as requests come in bursts. */
     private static final double DEMAND_MARGIN = 1.1;
 
+    /** Calls per second below which no quota is requested. */
     private static final double MIN_DEMAND = 0.01;
+    /** Keeps the division finite where everything spills. */
+    private static final double MIN_DIVISOR = 1e-12;
 
     private final LocalityRule rule;
     private final SpillTokens spillTokens;
@@ -164,7 +168,7 @@
             boolean spills = remainingDraw < spillFraction;
             remainingDraw = spills
                     ? remainingDraw / spillFraction
-                    : (remainingDraw - spillFraction) / Math.max(1e-12, 1 - spillFraction);
+                    : (remainingDraw - spillFraction) / Math.max(MIN_DIVISOR, 1 - spillFraction);
             if (!spills && !state.isUnavailable()) {
                 ZoneSelection selection = i == 0 ? selectLevel(0) : selectSpill(i, now);
                 if (selection != null) {
@@ -175,7 +179,7 @@
         if (!priorityLevels.isEmpty() && !levelStates.get(0).isUnavailable()) {
             return selectLevel(0);
         }
-        return rule.panic() ? selectAllZones() : new ZoneSelection(this, -1, List.of(), false);
+        return rule.panic() ? selectAllZones() : new ZoneSelection(this, ZoneSelection.NO_LEVEL, List.of(), false);
     }
 
     /**
@@ -188,7 +192,11 @@
         for (int i = 0; i < priorityLevels.size(); i++) {
             available.addAll(availableZones(i));
         }
-        return new ZoneSelection(this, available.isEmpty() ? -1 : priorityLevels.size(), List.copyOf(available), false);
+        return new ZoneSelection(
+                this,
+                available.isEmpty() ? ZoneSelection.NO_LEVEL : priorityLevels.size(),
+                List.copyOf(available),
+                false);
     }
 
     private ZoneSelection selectLevel(int level) {
@@ -245,23 +253,34 @@
         return levelStates.stream().mapToInt(PriorityLevelState::transitions).sum();
     }
 
-    /** Describes the state, for a log line. */
+    /** Describes the state of all priority levels, for a log line. */
     String describe(long now) {
-        StringBuilder text = new StringBuilder("rule " + rule.name());
+        StringBuilder text = new StringBuilder("priority levels changed rule=" + rule.name());
         for (int i = 0; i < priorityLevels.size(); i++) {
-            PriorityLevelState state = levelStates.get(i);
-            ZoneView view = levelView(priorityLevels.get(i));
-            text.append(String.format(
-                    java.util.Locale.ROOT,
-                    "; step %d %s %s, use %.2f, healthy %.2f, late %.2f, on %.2f",
-                    i,
-                    priorityLevels.get(i),
-                    state.isUnavailable() ? "has no server" : state.isSpilling() ? "is short" : "has room",
-                    view.utilization(),
-                    view.healthyFraction(),
-                    view.lateFraction(),
-                    state.spillFraction(now)));
+            text.append(i == 0 ? " " : "; ").append(describeLevel(i, now));
+        }
+        return text.append("; coordinated=").append(coordinated).toString();
+    }
+
+    private String describeLevel(int level, long now) {
+        PriorityLevelState state = levelStates.get(level);
+        ZoneView view = levelView(priorityLevels.get(level));
+        return String.format(
+                Locale.ROOT,
+                "level=%d zones=%s state=%s utilization=%.2f healthy=%.2f late=%.2f spill=%.2f",
+                level,
+                priorityLevels.get(level),
+                stateName(state),
+                view.utilization(),
+                view.healthyFraction(),
+                view.lateFraction(),
+                state.spillFraction(now));
+    }
+
+    private static String stateName(PriorityLevelState state) {
+        if (state.isUnavailable()) {
+            return "unavailable";
         }
-        return text.append(coordinated ? "; stewards grant" : "; alone").toString();
+        return state.isSpilling() ? "spilling" : "normal";
     }
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadAggregator.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadAggregator.java
@@ -31,7 +31,7 @@
 
     private final long grantsAllowedFrom;
     private final double maxClockDrift;
-    private final QuotaAllocator quotaAllocator = new QuotaAllocator(GRANT_DURATION);
+    private final QuotaAllocator quotaAllocator;
     private final Map<String, ReceivedReport> reportsByNode = new TreeMap<>();
     private Map<String, MergedZone> mergedZones = Map.of();
     private long mergedAt = Long.MIN_VALUE;
@@ -47,13 +47,14 @@
      * @param maxClockDrift fraction by which clocks may run fast or slow
      */
     public ZoneLoadAggregator(long leadingSince, double maxClockDrift) {
-        grantsAllowedFrom = leadingSince + GRANT_DURATION;
-        this.maxClockDrift = maxClockDrift;
+        this(leadingSince, maxClockDrift, ReplacedGrants.COUNTED_UNTIL_EXPIRY);
     }
 
-    /** For tests that show what breaks without counting replaced grants. */
-    void ignoreReplacedGrants() {
-        quotaAllocator.ignoreReplacedGrants();
+    /** Creates an aggregator without reports, with that policy for replaced grants. */
+    ZoneLoadAggregator(long leadingSince, double maxClockDrift, ReplacedGrants replacedGrants) {
+        grantsAllowedFrom = leadingSince + GRANT_DURATION;
+        this.maxClockDrift = maxClockDrift;
+        quotaAllocator = new QuotaAllocator(GRANT_DURATION, replacedGrants);
     }
 
     /** Records a node's report; null if it has none any more. */
@@ -84,7 +85,7 @@
     public FleetView viewFor(String node, int memberCount, long now) {
         merge(memberCount, now);
         Map<String, ZoneLoad> zones = new TreeMap<>();
-        mergedZones.forEach((zone, m) -> zones.put(zone, m.load));
+        mergedZones.forEach((zone, mergedZone) -> zones.put(zone, mergedZone.load));
         Map<String, Double> grants = new TreeMap<>();
         ReceivedReport lastReport = reportsByNode.get(node);
         if (lastReport != null && now >= grantsAllowedFrom && !mergedZones.isEmpty()) {
@@ -127,16 +128,16 @@
             return;
         }
         targetUtilization = reportsByNode.values().stream()
-                .mapToDouble(h -> h.report.targetUtilization())
+                .mapToDouble(received -> received.report.targetUtilization())
                 .min()
                 .orElse(1);
         maxLateFraction = reportsByNode.values().stream()
-                .mapToDouble(h -> h.report.maxLateFraction())
+                .mapToDouble(received -> received.report.maxLateFraction())
                 .min()
                 .orElse(1);
         Map<String, MergedZone> nextZones = new LinkedHashMap<>();
         reportsByNode.values().stream()
-                .flatMap(h -> h.report.zones().keySet().stream())
+                .flatMap(received -> received.report.zones().keySet().stream())
                 .distinct()
                 .sorted()
                 .forEach(zone ->
@@ -146,11 +147,11 @@
 
     private MergedZone merge(String zone, double scale, long now) {
         double[] capacities = reportsByNode.values().stream()
-                .map(h -> h.report.zones().get(zone))
-                .mapToDouble(r -> r == null ? 0 : r.capacity())
+                .map(received -> received.report.zones().get(zone))
+                .mapToDouble(report -> report == null ? 0 : report.capacity())
                 .sorted()
                 .toArray();
-        // The median: one node with a different list must not move the figure.
+        // The median: one node with a different list must not change the value.
         double capacity = capacities[capacities.length / 2];
         double observedWeight = sumOverReports(zone, ZoneLoadReport::observedWeight);
         double attemptRate = sumOverReports(zone, ZoneLoadReport::attemptRate);
@@ -165,7 +166,7 @@
                 ? 0
                 : utilization + sumOverReports(zone, ZoneLoadReport::quotaCallRate) / healthyCapacity;
         long maxReportAge = reportsByNode.values().stream()
-                .mapToLong(h -> now - h.receivedAt)
+                .mapToLong(received -> now - received.receivedAt)
                 .max()
                 .orElse(0);
         return new MergedZone(
@@ -181,8 +182,8 @@
 
     private double sumOverReports(String zone, ToDoubleFunction<ZoneLoadReport> metric) {
         return reportsByNode.values().stream()
-                .map(h -> h.report.zones().get(zone))
-                .mapToDouble(r -> r == null ? 0 : metric.applyAsDouble(r))
+                .map(received -> received.report.zones().get(zone))
+                .mapToDouble(report -> report == null ? 0 : metric.applyAsDouble(report))
                 .sum();
     }
 
@@ -190,7 +191,7 @@
     public Map<String, ZoneLoad> zoneLoads(int memberCount, long now) {
         merge(memberCount, now);
         Map<String, ZoneLoad> zones = new TreeMap<>();
-        mergedZones.forEach((zone, m) -> zones.put(zone, m.load));
+        mergedZones.forEach((zone, mergedZone) -> zones.put(zone, mergedZone.load));
         return zones;
     }
 
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadReport.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadReport.java
@@ -19,12 +19,14 @@
         double failingWeight,
         double attemptRate,
         double lateRate) {
+    private static final double MAX_VALUE = 1e9;
+
     /** Rejects values that are not from 0 to 1e9. */
     public ZoneLoadReport {
         for (double value : new double[] {
             capacity, nonQuotaCallRate, quotaCallRate, observedWeight, failingWeight, attemptRate, lateRate
         }) {
-            if (!(value >= 0 && value < 1e9)) {
+            if (!(value >= 0 && value < MAX_VALUE)) {
                 throw new IllegalArgumentException("zone load value out of range 0 to 1e9: " + value);
             }
         }
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneSelection.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneSelection.java
@@ -4,6 +4,9 @@
 
 /** The zones that a request may go to by its rule. Belongs to one request; not thread-safe. */
 public final class ZoneSelection {
+    /** The priority level of a request that may go nowhere. */
+    static final int NO_LEVEL = -1;
+
     private final Spillover spillover;
     private final int priorityLevel;
     private final List<String> zones;
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneSelector.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneSelector.java
@@ -20,6 +20,8 @@
     /** The age from which on a view of the fleet is not used any more. */
     static final long MAX_VIEW_AGE = 3_000_000_000L;
 
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
     private final String nodeName;
     private final String ownZone;
     private final int fleetSize;
@@ -96,7 +98,8 @@
         spillovers.keySet().retainAll(newRules.rules());
         for (LocalityRule rule : newRules.rules()) {
             activeSpillovers.put(
-                    rule, spillovers.computeIfAbsent(rule, r -> new Spillover(r, List.of(), spillTokens, now)));
+                    rule,
+                    spillovers.computeIfAbsent(rule, newRule -> new Spillover(newRule, List.of(), spillTokens, now)));
         }
         updatePriorityLevels(now);
         updateViews(now);
@@ -129,7 +132,7 @@
 
     /**
      * Selects the next zones for a request that has tried all endpoints of its present ones; returns {@code
-     * from} if there are no others.
+     * previous} if there are no others.
      */
     public ZoneSelection selectNext(ZoneSelection previous, long now) {
         return previous.spillover().selectNext(previous, now);
@@ -173,22 +176,32 @@
     public List<String> tick(long now) {
         List<String> logLines = new ArrayList<>();
         Map<Spillover, Integer> transitionsBefore = new LinkedHashMap<>();
-        spillovers.values().forEach(s -> transitionsBefore.put(s, s.transitions()));
+        spillovers.values().forEach(spillover -> transitionsBefore.put(spillover, spillover.transitions()));
         updateViews(now);
-        spillovers.values().forEach(s -> {
-            if (s.transitions() != transitionsBefore.get(s)) {
-                logLines.add(s.describe(now));
-            }
-            if (s.hasNoAvailableZone() != unroutableRules.contains(s.rule())) {
-                if (unroutableRules.remove(s.rule())) {
-                    logLines.add("rule " + s.rule().name() + " has a zone again that it may send to");
-                } else {
-                    unroutableRules.add(s.rule());
-                    logLines.add(
-                            new FleetError.NoPermittedZone(nodeName, s.rule().name()).message());
-                }
+        spillovers.values().forEach(spillover -> {
+            if (spillover.transitions() != transitionsBefore.get(spillover)) {
+                logLines.add(spillover.describe(now));
             }
+            logRoutability(spillover, logLines);
         });
+        logViewFreshness(now, logLines);
+        return logLines;
+    }
+
+    private void logRoutability(Spillover spillover, List<String> logLines) {
+        LocalityRule rule = spillover.rule();
+        if (spillover.hasNoAvailableZone() == unroutableRules.contains(rule)) {
+            return;
+        }
+        if (unroutableRules.remove(rule)) {
+            logLines.add("rule has a permitted zone again rule=" + rule.name());
+        } else {
+            unroutableRules.add(rule);
+            logLines.add(new FleetError.NoPermittedZone(nodeName, rule.name()).message());
+        }
+    }
+
+    private void logViewFreshness(long now, List<String> logLines) {
         boolean viewIsStale = hasCoordinators
                 && rules != null
                 && !hasFreshFleetView(now)
@@ -197,10 +210,9 @@
             staleViewReported = viewIsStale;
             logLines.add(
                     staleViewReported
-                            ? new FleetError.StaleFleetView(nodeName, MAX_VIEW_AGE / 1_000_000).message()
-                            : "goes by the fleet's view of zones");
+                            ? new FleetError.StaleFleetView(nodeName, MAX_VIEW_AGE / NANOS_PER_MILLI).message()
+                            : "fleet view fresh again reporters=" + fleetView.reporterCount());
         }
-        return logLines;
     }
 
     /** Whether there is a view of the fleet that is not stale. */
@@ -213,7 +225,7 @@
     private void updateViews(long now) {
         Map<String, ZoneView> views = zoneViews(now);
         boolean fresh = hasFreshFleetView(now);
-        spillovers.values().forEach(s -> s.updateViews(views, fresh, now));
+        spillovers.values().forEach(spillover -> spillover.updateViews(views, fresh, now));
     }
 
     /**
@@ -252,7 +264,7 @@
             return null;
         }
         Map<String, Double> spillDemand = new TreeMap<>();
-        spillovers.values().forEach(s -> s.addDemand(spillDemand, now));
+        spillovers.values().forEach(spillover -> spillover.addDemand(spillDemand, now));
         return new NodeLoadReport(
                 rules.targetUtilization(),
                 rules.maxLateFraction(),
--- a/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
@@ -201,11 +201,11 @@
             throws IOException, InterruptedException {
         NodeLoadReport loadReport = zoneLoadExchange.loadReport();
         long ownPollDelayNanos = listPoller.ownPollDelayNanos();
-        boolean wantsPollSlot = ownPollDelayNanos >= 0;
+        boolean requestsPollSlot = ownPollDelayNanos >= 0;
         long longPollMillis = loadReport == null ? LONG_POLL_MILLIS : LOCALITY_LONG_POLL_MILLIS;
         MemberResponse response = coordinators.sendHeartbeat(
-                heartbeat, wantsPollSlot ? 0 : longPollMillis, loadReport, ownPollDelayNanos);
-        if (wantsPollSlot && response.pollSlotDelayNanos() >= 0) {
+                heartbeat, requestsPollSlot ? 0 : longPollMillis, loadReport, ownPollDelayNanos);
+        if (requestsPollSlot && response.pollSlotDelayNanos() >= 0) {
             listPoller.assignPollTime(System.nanoTime() + response.pollSlotDelayNanos());
         }
         if (response.fleetView() != null) {
--- a/fleet/src/main/java/weldhitch/fleet/member/MemberJson.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/MemberJson.java
@@ -15,14 +15,14 @@
 import weldhitch.fleet.locality.ZoneLoadReport;
 
 /**
- * The JSON names of what members and coordinators send each other. They are data: half of a fleet may run another version, so they
- * stay as they are where a component in code is called otherwise. Both sides register them; a name that only one side knew would
- * be read as absent.
+ * The JSON names of the messages between members and coordinators. They are part of the wire protocol: half of a
+ * fleet may run another version, so they stay where a record component has another name. Both sides register
+ * them, as a name that only one side knows would be read as absent. Stateless and thread-safe.
  */
 public final class MemberJson {
     private MemberJson() {}
 
-    /** Teaches a mapper the names on the wire. */
+    /** Registers the JSON names with a mapper, and returns it. */
     public static ObjectMapper register(ObjectMapper mapper) {
         mapper.addMixIn(MemberRequest.class, MemberRequestNames.class);
         mapper.addMixIn(MemberResponse.class, MemberResponseNames.class);
--- a/fleet/src/main/java/weldhitch/fleet/turns/PollSlots.java
+++ b/fleet/src/main/java/weldhitch/fleet/turns/PollSlots.java
@@ -41,7 +41,7 @@
      *     more
      */
     public long assign(String node, long now, long notBefore) {
-        assignments.values().removeIf(g -> g.at < now - REASSIGN_WINDOW);
+        assignments.values().removeIf(assignment -> assignment.at < now - REASSIGN_WINDOW);
         reservedSlots.headSet(Math.floorDiv(now, SLOT_INTERVAL)).clear();
         SlotAssignment previous = assignments.get(node);
         if (previous != null && now - previous.requestedAt < REASSIGN_WINDOW && previous.at >= now + notBefore) {
--- a/fleet/src/test/java/weldhitch/fleet/activation/ActivationParticipantTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/activation/ActivationParticipantTest.java
@@ -46,12 +46,12 @@
 
     @BeforeEach
     void joinFleet() {
-        assertTrue(participant.activeVersions(0).isFencedAt(0), "nothing is served before a steward has spoken");
+        assertTrue(participant.activeVersions(0).isFencedAt(0), "nothing is served before a coordinator has responded");
         participant.onResponse(
                 0, 2 * NANOS_PER_MILLI, response(1, false, false, NANOS_PER_MILLI, RouteVersion.OWN_FILE, null, null));
         assertTrue(
                 participant.activeVersions(2 * NANOS_PER_MILLI).isFencedAt(2 * NANOS_PER_MILLI),
-                "nor before it is in the roster");
+                "nor before it is registered");
         participant.onResponse(
                 10 * NANOS_PER_MILLI,
                 12 * NANOS_PER_MILLI,
@@ -126,7 +126,8 @@
         ActiveVersions activeVersions = participant.activeVersions(1102 * NANOS_PER_MILLI);
         assertEquals(0, activeVersions.versionAt(4598 * NANOS_PER_MILLI));
         assertEquals(1, activeVersions.versionAt(4602 * NANOS_PER_MILLI));
-        assertFalse(activeVersions.isInDoubtAt(4500 * NANOS_PER_MILLI), "it knows the moment and needs no lease");
+        assertFalse(
+                activeVersions.isInDoubtAt(4500 * NANOS_PER_MILLI), "it knows the activation time and needs no lease");
         // The same versions, read much later by a process that was suspended: the new one.
         assertEquals(1, activeVersions.versionAt(9000 * NANOS_PER_MILLI));
     }
@@ -153,7 +154,7 @@
         assertEquals(
                 1,
                 participant.activeVersions(5002 * NANOS_PER_MILLI).versionAt(5002 * NANOS_PER_MILLI),
-                "settled: it is in force");
+                "the leader reports it as active");
     }
 
     @Test
@@ -246,8 +247,8 @@
                         commit(4600 * NANOS_PER_MILLI)));
         assertTrue(
                 effects.stream()
-                        .anyMatch(t -> t instanceof ActivationParticipant.LogEvent s
-                                && s.message().startsWith("clock-error-too-large: m2: ")),
+                        .anyMatch(effect -> effect instanceof ActivationParticipant.LogEvent logEvent
+                                && logEvent.message().startsWith("clock-error-too-large: m2: ")),
                 "" + effects);
         ActiveVersions activeVersions = slowMember.activeVersions(820 * NANOS_PER_MILLI);
         assertFalse(activeVersions.isInDoubtAt(4399 * NANOS_PER_MILLI));
@@ -268,7 +269,7 @@
                         commit(4600 * NANOS_PER_MILLI)));
         assertFalse(
                 slowMember.activeVersions(902 * NANOS_PER_MILLI).isInDoubtAt(4500 * NANOS_PER_MILLI),
-                "a quick answer tells it better");
+                "a faster round trip bounds the error more tightly");
         assertEquals(1, slowMember.activeVersions(902 * NANOS_PER_MILLI).versionAt(4602 * NANOS_PER_MILLI));
     }
 
@@ -306,8 +307,8 @@
         clock.addReading("a", 200, 210, 1206, 0);
         assertTrue(clock.errorBound(210) <= 6, "" + clock.errorBound(210));
         clock.addReading("a", 300, 900, 1400, 0);
-        assertTrue(clock.errorBound(900) <= 8, "a slow round trip takes nothing away: " + clock.errorBound(900));
-        assertTrue(clock.errorBound(1_000_900) >= 1900, "drift does");
+        assertTrue(clock.errorBound(900) <= 8, "a slow round trip does not widen the bound: " + clock.errorBound(900));
+        assertTrue(clock.errorBound(1_000_900) >= 1900, "drift widens the bound");
         clock.addReading("b", 2_000_000, 2_000_100, 50, 7);
         assertEquals("b", clock.clockId());
         assertEquals(57, clock.errorBound(2_000_100), 1);
--- a/fleet/src/test/java/weldhitch/fleet/activation/SwitchScheduleTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/activation/SwitchScheduleTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void onlyAMorePreciseEstimateBeforeTheActivationIsTakenOver() {
+    void onlyAMorePreciseEstimateBeforeTheActivationIsAccepted() {
         assertTrue(schedule.refine(SWITCH_AT, 10, 0));
         assertFalse(schedule.refine(SWITCH_AT + 5, 10, 0), "no more precise");
         assertTrue(schedule.refine(SWITCH_AT + 5, 9, SWITCH_AT - 1));
--- a/fleet/src/test/java/weldhitch/fleet/locality/FleetSpilloverTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/FleetSpilloverTest.java
@@ -35,7 +35,7 @@
                 uncoordinatedFraction);
         return new LocalityRules(
                 REGIONS,
-                SimulatedFleet.CAPACITY_PER_SERVER,
+                SimulatedFleet.CAPACITY_PER_ENDPOINT,
                 List.of(new LocalityRule(
                         "r",
                         Match.ALL,
@@ -152,7 +152,7 @@
         assertWithinTarget(fleet);
         assertTrue(
                 servedFractionDuringOutage > 0.97,
-                "700 fit into the others' room of 1,600: " + servedFractionDuringOutage);
+                "700 fit into the others' headroom of 1,600: " + servedFractionDuringOutage);
         assertTrue(callsInFirstSecond < 0.4 * 700, "a rush back: " + callsInFirstSecond);
         assertTrue(a.callsInLastSecond() > 650, "all of it comes back: " + a.callsInLastSecond());
     }
@@ -166,7 +166,8 @@
         SimulatedFleet fleet = overloadedFleet(5, 0.02, 0.6, 0.5);
         fleet.schedule(2 * SECOND, () -> fleet.isolatedFromCoordinators = n -> n % 2 == 1);
         fleet.runUntil(27 * SECOND);
-        System.out.println("half unheard: peaks " + fleet.peakUtilizations() + ", served " + fleet.servedFraction());
+        System.out.println(
+                "half of the reports lost: peaks " + fleet.peakUtilizations() + ", served " + fleet.servedFraction());
         assertWithinTarget(fleet);
     }
 
--- a/fleet/src/test/java/weldhitch/fleet/locality/QuotaGrantTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/QuotaGrantTest.java
@@ -7,14 +7,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
 /**
- * The safety property of quota grants: all nodes together never have permission for more than a zone had room
- * for within the last duration of a grant, whoever leads, however late, lost or duplicated messages are, and
+ * The safety property of quota grants: all nodes together never have permission for more than a zone had
+ * headroom for within the last duration of a grant, whoever leads, however late, lost or duplicated messages are, and
  * with clocks that drift apart by the stated bound. Tested with seeded schedules; each safeguard that is
  * disabled is detected.
  */
@@ -33,20 +32,15 @@
         GRANT_EXPIRY
     }
 
-    /** An action scheduled for a time; actions of one time run in the order of their numbers. */
-    private record ScheduledEvent(long at, long sequence, Runnable action) {}
-
     /** One simulated schedule of nodes, messages and leaders. */
     private static final class GrantSchedule {
         final SplittableRandom random;
         final DisabledSafeguard disabledSafeguard;
-        final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
-                (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+        final TestScheduler scheduler = new TestScheduler();
         final TreeMap<Long, Double> headroomByTime = new TreeMap<>();
         final List<SpillTokens> tokensByNode = new ArrayList<>();
         final List<Double> clockRates = new ArrayList<>();
         final double[] demand;
-        long nextSequence;
         long now;
         double ownLoad;
         ZoneLoadAggregator leader;
@@ -68,7 +62,7 @@
         }
 
         void schedule(long delay, Runnable action) {
-            events.add(new ScheduledEvent(now + delay, nextSequence++, action));
+            scheduler.schedule(now + delay, action);
         }
 
         private long randomDelay() {
@@ -85,9 +79,8 @@
                 sendReport(node);
             }
             while (now < 20_000 * NANOS_PER_MILLI && violation == null) {
-                ScheduledEvent next = events.poll();
-                now = next.at;
-                next.action.run();
+                now = scheduler.nextTime();
+                scheduler.runNext();
                 checkHeadroom();
             }
             return violation;
@@ -99,10 +92,10 @@
                     disabledSafeguard == DisabledSafeguard.NEW_LEADER_WAIT
                             ? now - ZoneLoadAggregator.GRANT_DURATION
                             : now,
-                    MAX_CLOCK_DRIFT);
-            if (disabledSafeguard == DisabledSafeguard.REPLACED_GRANTS) {
-                leader.ignoreReplacedGrants();
-            }
+                    MAX_CLOCK_DRIFT,
+                    disabledSafeguard == DisabledSafeguard.REPLACED_GRANTS
+                            ? ReplacedGrants.IGNORED
+                            : ReplacedGrants.COUNTED_UNTIL_EXPIRY);
         }
 
         void changeLoad() {
@@ -168,7 +161,7 @@
             Map.Entry<Long, Double> before = headroomByTime.floorEntry(since);
             maxHeadroom = before == null ? maxHeadroom : Math.max(maxHeadroom, before.getValue());
             if (totalRate > maxHeadroom + 1e-6) {
-                violation = "at " + now / NANOS_PER_MILLI + " ms leave for " + totalRate + ", room for " + maxHeadroom;
+                violation = "at " + now / NANOS_PER_MILLI + " ms granted " + totalRate + ", headroom " + maxHeadroom;
             }
         }
     }
@@ -229,18 +222,14 @@
     private static double maxGrantedRate(long firstDelay, long secondDelay, long deposedAt, long leaderlessFor) {
         ZoneLoadAggregator aggregator = new ZoneLoadAggregator(-ZoneLoadAggregator.GRANT_DURATION, 0);
         List<SpillTokens> tokensByNode = List.of(new SpillTokens(), new SpillTokens());
-        PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
-                (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+        TestScheduler scheduler = new TestScheduler();
         NodeLoadReport demandingReport =
                 new NodeLoadReport(1, 0.3, Map.of("z", new ZoneLoadReport(200, 0, 0, 1, 0, 1, 0)), Map.of("z", 200.0));
         NodeLoadReport idleReport =
                 new NodeLoadReport(1, 0.3, Map.of("z", new ZoneLoadReport(200, 0, 0, 1, 0, 1, 0)), Map.of());
         double maxRate = 0;
-        long sequence = 0;
         for (long now = 0; now <= 8000 * NANOS_PER_MILLI; now += 100 * NANOS_PER_MILLI) {
-            while (!events.isEmpty() && events.peek().at <= now) {
-                events.poll().action.run();
-            }
+            scheduler.runDue(now);
             if (now == deposedAt) {
                 aggregator = null;
             }
@@ -255,16 +244,15 @@
                 int node = n;
                 long sentAt = now;
                 long delay = n == 0 ? firstDelay : secondDelay;
-                events.add(new ScheduledEvent(
+                scheduler.schedule(
                         now + delay,
-                        sequence++,
                         () -> view.grants()
                                 .forEach((zone, callsPerSecond) -> tokensByNode
                                         .get(node)
                                         .replaceGrant(
                                                 zone,
                                                 new QuotaGrant(callsPerSecond, sentAt + view.grantDuration()),
-                                                sentAt + delay))));
+                                                sentAt + delay)));
             }
             double totalRate = tokensByNode.get(0).grantedRate("z", now)
                     + tokensByNode.get(1).grantedRate("z", now);
--- a/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
@@ -4,7 +4,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.DoubleUnaryOperator;
@@ -17,7 +16,7 @@
 final class SimulatedFleet {
     static final long NANOS_PER_MILLI = 1_000_000L;
     static final long SECOND = 1000 * NANOS_PER_MILLI;
-    static final double CAPACITY_PER_SERVER = 100;
+    static final double CAPACITY_PER_ENDPOINT = 100;
     private static final long TIME_STEP = 5 * NANOS_PER_MILLI;
     private static final long REPORT_INTERVAL = 200 * NANOS_PER_MILLI;
 
@@ -27,7 +26,7 @@
      */
     static final class SimulatedZone {
         final String name;
-        final int serverCount;
+        final int endpointCount;
         final int nodeCount;
         final DoubleUnaryOperator offeredLoad;
         boolean down;
@@ -38,15 +37,15 @@
         final int[] servedByStep = new int[200];
         double peakUtilization;
 
-        SimulatedZone(String name, int serverCount, int nodeCount, DoubleUnaryOperator offeredLoad) {
+        SimulatedZone(String name, int endpointCount, int nodeCount, DoubleUnaryOperator offeredLoad) {
             this.name = name;
-            this.serverCount = serverCount;
+            this.endpointCount = endpointCount;
             this.nodeCount = nodeCount;
             this.offeredLoad = offeredLoad;
         }
 
         double capacity() {
-            return serverCount * CAPACITY_PER_SERVER;
+            return endpointCount * CAPACITY_PER_ENDPOINT;
         }
 
         int callsInLastSecond() {
@@ -58,17 +57,12 @@
         }
     }
 
-    /** An action scheduled for a time; actions of one time run in the order of their numbers. */
-    private record ScheduledEvent(long at, long sequence, Runnable action) {}
-
     final Map<String, SimulatedZone> zones = new LinkedHashMap<>();
     final List<ZoneSelector> nodes = new ArrayList<>();
     private final List<SimulatedZone> homeZones = new ArrayList<>();
     private final List<Double> fractionalArrivals = new ArrayList<>();
     private final SplittableRandom random;
-    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
-            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
-    private long nextSequence;
+    private final TestScheduler scheduler = new TestScheduler();
     ZoneLoadAggregator leader = new ZoneLoadAggregator(-ZoneLoadAggregator.GRANT_DURATION, 0.002);
     /** Fraction of the calls to the coordinator, and of its responses, that are lost. */
     double messageLoss;
@@ -87,7 +81,7 @@
         List<ZoneEndpoint> endpoints = new ArrayList<>();
         for (SimulatedZone zone : simulatedZones) {
             zones.put(zone.name, zone);
-            for (int s = 0; s < zone.serverCount; s++) {
+            for (int s = 0; s < zone.endpointCount; s++) {
                 endpoints.add(new ZoneEndpoint(zone.name + s, zone.name, 1, 0, true, false));
             }
         }
@@ -105,14 +99,12 @@
     }
 
     void schedule(long time, Runnable action) {
-        events.add(new ScheduledEvent(time, nextSequence++, action));
+        scheduler.schedule(time, action);
     }
 
     void runUntil(long end) {
         for (; now < end; now += TIME_STEP) {
-            while (!events.isEmpty() && events.peek().at <= now) {
-                events.poll().action.run();
-            }
+            scheduler.runDue(now);
             int bin = (int) (now / TIME_STEP % 200);
             zones.values().forEach(z -> {
                 z.callsByStep[bin] = 0;
@@ -151,7 +143,7 @@
         for (int attempt = 0; attempt < 3 && !selection.zones().isEmpty(); attempt++) {
             SimulatedZone zone = zones.get(
                     selection.zones().get(random.nextInt(selection.zones().size())));
-            String endpoint = zone.name + random.nextInt(zone.serverCount);
+            String endpoint = zone.name + random.nextInt(zone.endpointCount);
             node.onAttemptSent(endpoint, selection, now);
             zone.callsByStep[bin]++;
             int servedInLastTenth = 0;
--- a/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
@@ -159,7 +159,7 @@
                 ZoneSelection selection = node.select(0.5, i * SECOND / 100);
                 sentCalls += selection.zones().equals(List.of("b")) ? 1 : 0;
                 paidCalls += selection.claimTokenPayment() ? 1 : 0;
-                assertFalse(selection.claimTokenPayment(), "a call is paid for once");
+                assertFalse(selection.claimTokenPayment(), "a token pays for one call");
             }
             assertTrue(panic ? sentCalls == 1000 : sentCalls > 480 && sentCalls < 520, panic + ": " + sentCalls);
             assertTrue(paidCalls > 480 && paidCalls < 520, "" + paidCalls);
@@ -226,10 +226,11 @@
         assertTrue(node.hasFreshFleetView(SECOND));
         assertEquals(0, node.zoneViews(4 * SECOND).get("a").utilization(), 1e-9);
         assertTrue(node.tick(2 * SECOND).isEmpty(), "fresh");
-        assertTrue(node.tick(4 * SECOND).stream().anyMatch(l -> l.startsWith("stale-view: n:")), "it says so");
+        assertTrue(
+                node.tick(4 * SECOND).stream().anyMatch(line -> line.startsWith("stale-view: n:")), "it is reported");
         node.onFleetView(
                 new FleetView(Map.of("a", overloaded, "b", idle), Map.of(), SECOND, 10, 10), 5 * SECOND, 5 * SECOND);
-        assertTrue(node.tick(5 * SECOND).contains("goes by the fleet's view of zones"));
+        assertTrue(node.tick(5 * SECOND).contains("fleet view fresh again reporters=10"));
         node.onFleetView(
                 new FleetView(Map.of("a", idle, "b", idle), Map.of(), SECOND, 10, 10), 10 * SECOND, 10 * SECOND);
         for (int i = 0; i < 6; i++) {
@@ -279,7 +280,7 @@
                 .anyMatch(l -> l.startsWith("rule-impossible: n: locality rule r has no zone left")));
         assertEquals(List.of(), node.select("read", null, null, 0.5, SECOND).zones());
         node.updateEndpoints(false, List.of(endpoint("a1", "a")), 2 * SECOND);
-        assertTrue(node.tick(2 * SECOND).stream().anyMatch(l -> l.contains("has a zone again")));
+        assertTrue(node.tick(2 * SECOND).stream().anyMatch(line -> line.contains("has a permitted zone again")));
         assertEquals(
                 List.of("a"), node.select("read", null, null, 0.5, 10 * SECOND).zones());
     }
