--- a/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
@@ -10,8 +10,8 @@
 import weldhitch.capture.policy.CaptureLimits;
 
 /**
- * Reads the section {@code [capture]}. Problems are reported to the {@link RouteConfigReader}, all of them in one pass.
- * Used by {@link RouteConfig} for one file; not thread-safe.
+ * Reads the section {@code [capture]}. Problems are reported to the {@link TomlValueReader}, all of them in one pass.
+ * Used by {@link RouteConfigParser} for one file; not thread-safe.
  */
 final class CaptureSectionReader {
     private static final List<String> KNOWN_KEYS =
@@ -21,19 +21,19 @@
     private static final long MAX_TOTAL_SIZE = 1L << 50;
     private static final long DAY = 24 * 3600 * CaptureLimits.NANOS_PER_SECOND;
 
-    private final RouteConfigReader reader;
+    private final TomlValueReader values;
 
-    /** Creates a section reader that reports problems to {@code reader}. */
-    CaptureSectionReader(RouteConfigReader reader) {
-        this.reader = reader;
+    /** Creates a section reader that reports problems to {@code values}. */
+    CaptureSectionReader(TomlValueReader values) {
+        this.values = values;
     }
 
     /** The settings of the section; null if there is none, or if it has errors. */
     CaptureSettings read(JsonNode capture) {
-        if (!reader.requireTable(capture, "capture")) {
+        if (!values.requireTable(capture, "capture")) {
             return null;
         }
-        boolean valid = reader.requireKnownKeys(capture, "capture", KNOWN_KEYS);
+        boolean valid = values.requireKnownKeys(capture, "capture", KNOWN_KEYS);
         Boolean enabled = readEnabled(capture.get("on"));
         Path directory = readDirectory(capture);
         Long segmentSize = readSize(
@@ -42,17 +42,17 @@
         Long segmentAge = readDuration(capture, "segment-age", DAY / 24, 7 * DAY);
         Long snapshotInterval = readDuration(capture, "snapshot-every", 60 * CaptureLimits.NANOS_PER_SECOND, DAY / 24);
         Integer queueSize = capture.has("queue")
-                ? reader.readInteger(capture.get("queue"), "capture.queue", 64, 1 << 20)
+                ? values.readInteger(capture.get("queue"), "capture.queue", 64, 1 << 20)
                 : Integer.valueOf(1 << 14);
         if (queueSize != null && Integer.bitCount(queueSize) != 1) {
-            reader.error(
+            values.error(
                     "capture.queue",
                     queueSize + " is no power of two",
                     "write " + Integer.highestOneBit(queueSize) + " or " + 2 * Integer.highestOneBit(queueSize));
             queueSize = null;
         }
         if (segmentSize != null && totalSize != null && totalSize < 2 * segmentSize) {
-            reader.error(
+            values.error(
                     capture.has("total-size") ? "capture.total-size" : "capture.segment-size",
                     "total-size is not twice segment-size",
                     "one segment is written while older ones are kept: make it " + 2 * segmentSize / (1 << 10)
@@ -76,17 +76,17 @@
 
     private Boolean readEnabled(JsonNode value) {
         if (value != null && !value.isBoolean()) {
-            reader.error("capture.on", value + " is neither true nor false", "write on = true");
+            values.error("capture.on", value + " is neither true nor false", "write on = true");
             return null;
         }
         return value == null || value.booleanValue();
     }
 
     private Path readDirectory(JsonNode capture) {
-        String text = reader.readText(capture, "capture", "directory");
+        String text = values.readText(capture, "capture", "directory");
         if (text == null) {
             if (!capture.has("directory")) {
-                reader.error("capture", "directory is missing", "name a directory for this node alone");
+                values.error("capture", "directory is missing", "name a directory for this node alone");
             }
             return null;
         }
@@ -98,13 +98,13 @@
         } catch (InvalidPathException e) {
             // Reported below, together with relative paths.
         }
-        reader.error("capture.directory", "\"" + text + "\" is no absolute path", "begin it with /");
+        values.error("capture.directory", "\"" + text + "\" is no absolute path", "begin it with /");
         return null;
     }
 
     private Long readDuration(JsonNode capture, String name, long defaultValue, long max) {
         return capture.has(name)
-                ? reader.readDuration(capture.get(name), "capture." + name, CaptureLimits.NANOS_PER_SECOND, max)
+                ? values.readDuration(capture.get(name), "capture." + name, CaptureLimits.NANOS_PER_SECOND, max)
                 : Long.valueOf(defaultValue);
     }
 
@@ -115,7 +115,7 @@
         }
         Matcher matcher = value.isTextual() ? SIZE_PATTERN.matcher(value.textValue()) : null;
         if (matcher == null || !matcher.matches()) {
-            reader.error(
+            values.error(
                     "capture." + name,
                     value + " is no size",
                     "write a whole number and KiB, MiB or GiB, such as \"64MiB\"");
@@ -123,7 +123,7 @@
         }
         long bytes = Long.parseLong(matcher.group(1)) * BYTES_PER_UNIT.get(matcher.group(2));
         if (bytes < min || bytes > max) {
-            reader.error(
+            values.error(
                     "capture." + name,
                     value + " is out of range",
                     "from " + (min >> 10) + "KiB to " + (max >> 30) + "GiB");
--- a/routeconfig/src/main/java/weldhitch/routeconfig/FleetSectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/FleetSectionReader.java
@@ -4,35 +4,34 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.regex.Pattern;
 import weldhitch.fleet.member.FleetSettings;
 
 /**
- * Reads the section {@code [fleet]}. Problems are reported to the {@link RouteConfigReader}, all of them in one pass.
- * Used by {@link RouteConfig} for one file; not thread-safe.
+ * Reads the section {@code [fleet]}. Problems are reported to the {@link TomlValueReader}, all of them in one pass.
+ * Used by {@link RouteConfigParser} for one file; not thread-safe.
  */
 final class FleetSectionReader {
     private static final List<String> KNOWN_KEYS = List.of("cluster", "stewards", "before-join", "tell-version");
-    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
 
-    private final RouteConfigReader reader;
+    private final TomlValueReader values;
 
-    /** Creates a section reader that reports problems to {@code reader}. */
-    FleetSectionReader(RouteConfigReader reader) {
-        this.reader = reader;
+    /** Creates a section reader that reports problems to {@code values}. */
+    FleetSectionReader(TomlValueReader values) {
+        this.values = values;
     }
 
     /** The settings of the section; null if there is none, or if it has errors. */
     FleetSettings read(JsonNode fleet) {
-        if (!reader.requireTable(fleet, "fleet")) {
+        if (!values.requireTable(fleet, "fleet")) {
             return null;
         }
-        boolean valid = reader.requireKnownKeys(fleet, "fleet", KNOWN_KEYS);
-        String cluster = reader.readText(fleet, "fleet", "cluster");
+        boolean valid = values.requireKnownKeys(fleet, "fleet", KNOWN_KEYS);
+        String cluster = values.readText(fleet, "fleet", "cluster");
         if (cluster == null && !fleet.has("cluster")) {
-            reader.error("fleet", "cluster is missing", "name the fleet as its stewards do");
-        } else if (cluster != null && !NAME_PATTERN.matcher(cluster).matches()) {
-            reader.error(
+            values.error("fleet", "cluster is missing", "name the fleet as its coordinators do");
+        } else if (cluster != null
+                && !TomlValueReader.NAME_PATTERN.matcher(cluster).matches()) {
+            values.error(
                     "fleet.cluster", "\"" + cluster + "\" is no name", "use 1 to 64 letters, digits, dots, - and _");
             cluster = null;
         }
@@ -46,7 +45,7 @@
 
     private List<InetSocketAddress> readCoordinators(JsonNode array) {
         if (array == null || !array.isArray() || array.isEmpty() || array.size() > 5) {
-            reader.error(
+            values.error(
                     array == null ? "fleet" : "fleet.stewards",
                     array == null ? "stewards is missing" : array + " is no list of 1 to 5 addresses",
                     "write stewards = [\"127.0.0.1:7101\"]");
@@ -62,10 +61,10 @@
                 addresses.add(address);
                 continue;
             }
-            reader.error(
+            values.error(
                     "fleet.stewards",
                     element + " is no address of loopback",
-                    "write \"127.0.0.1:PORT\", where a steward or a relay to it listens");
+                    "write \"127.0.0.1:PORT\", where a coordinator or a relay to it listens");
             return null;
         }
         return addresses;
@@ -78,13 +77,13 @@
         if (value.asText().equals("serve")) {
             return Boolean.FALSE;
         }
-        reader.error("fleet.before-join", value + " is not known", "write \"fence\" or \"serve\"");
+        values.error("fleet.before-join", value + " is not known", "write \"fence\" or \"serve\"");
         return null;
     }
 
     private Boolean readExposeVersion(JsonNode value) {
         if (value != null && !value.isBoolean()) {
-            reader.error("fleet.tell-version", value + " is neither true nor false", "write tell-version = true");
+            values.error("fleet.tell-version", value + " is neither true nor false", "write tell-version = true");
             return null;
         }
         return value != null && value.booleanValue();
--- a/routeconfig/src/main/java/weldhitch/routeconfig/LocalitySectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/LocalitySectionReader.java
@@ -2,18 +2,17 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import java.util.regex.Pattern;
 import weldhitch.decision.settings.BalancerSettings;
 import weldhitch.decision.settings.RequestClass;
 import weldhitch.decision.settings.Tenant;
 import weldhitch.fleet.locality.LocalityRule;
-import weldhitch.fleet.locality.LocalityRule.HysteresisBand;
 import weldhitch.fleet.locality.LocalityRule.Match;
 import weldhitch.fleet.locality.LocalityRule.SpillPolicy;
 import weldhitch.fleet.locality.LocalityRules;
@@ -21,7 +20,8 @@
 
 /**
  * Reads {@code [zones]} and {@code [[locality]]} and checks them against the platform. Problems are reported
- * to the {@link RouteConfigReader}, all of them in one pass. Used by {@link RouteConfig} for one file; not thread-safe.
+ * to the {@link TomlValueReader}, all of them in one pass. Used by {@link RouteConfigParser} for one file; not
+ * thread-safe.
  */
 final class LocalitySectionReader {
     private static final int MAX_RULES = 200;
@@ -31,10 +31,7 @@
             "alone", "panic");
     private static final List<String> BUILT_IN_PREFERENCES =
             List.of(LocalityRule.OWN_ZONE, LocalityRule.OWN_REGION, LocalityRule.ANY);
-    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
-    private static final long MIN_DWELL = 100_000_000L;
-
-    private final RouteConfigReader reader;
+    private final TomlValueReader values;
     private final BalancerSettings platform;
     private final Set<String> routeNames;
     /** The platform's zones; empty if they are not known, in which case names of zones are not checked. */
@@ -44,13 +41,13 @@
     private boolean valid = true;
 
     /**
-     * Creates a section reader that reports problems to {@code reader}.
+     * Creates a section reader that reports problems to {@code values}.
      *
      * @param platform the platform's settings, or null if they are not known
      * @param routeNames names of the file's routes
      */
-    LocalitySectionReader(RouteConfigReader reader, BalancerSettings platform, Set<String> routeNames) {
-        this.reader = reader;
+    LocalitySectionReader(TomlValueReader values, BalancerSettings platform, Set<String> routeNames) {
+        this.values = values;
         this.platform = platform;
         this.routeNames = routeNames;
         platformZones = platform == null ? Set.of() : new TreeSet<>(platform.zones());
@@ -69,8 +66,8 @@
                     "locality",
                     "[zones] is missing",
                     "write [zones] with rate, what a server of weight 1 bears in calls a second, and regions");
-        } else if (reader.requireTable(zonesTable, "zones")) {
-            valid &= reader.requireKnownKeys(zonesTable, "zones", ZONES_KEYS);
+        } else if (values.requireTable(zonesTable, "zones")) {
+            valid &= values.requireKnownKeys(zonesTable, "zones", ZONES_KEYS);
             if (zonesTable.has("rate")) {
                 capacityPerWeight = readNumber(zonesTable.get("rate"), "zones.rate", 0.001, 1e6);
             } else {
@@ -93,7 +90,7 @@
         if (table == null) {
             return;
         }
-        if (!reader.requireTable(table, "zones.regions")) {
+        if (!values.requireTable(table, "zones.regions")) {
             valid = false;
             return;
         }
@@ -147,7 +144,7 @@
         Map<String, String> keyByName = new LinkedHashMap<>();
         for (int i = 0; i < ruleTables.size(); i++) {
             String key = "locality[" + i + "]";
-            if (!reader.requireTable(ruleTables.get(i), key)) {
+            if (!values.requireTable(ruleTables.get(i), key)) {
                 valid = false;
                 continue;
             }
@@ -161,7 +158,7 @@
                             "give each rule a name of its own");
                 }
                 rules.stream()
-                        .filter(r -> covers(r.match(), rule.match()))
+                        .filter(earlier -> covers(earlier.match(), rule.match()))
                         .findFirst()
                         .ifPresent(covering -> error(
                                 key,
@@ -181,14 +178,31 @@
 
     private LocalityRule readRule(JsonNode table, String key) {
         boolean validBefore = valid;
-        valid = reader.requireKnownKeys(table, key, RULE_KEYS);
+        valid = values.requireKnownKeys(table, key, RULE_KEYS);
         String name = readText(table, key, "name");
-        if (name == null || !NAME_PATTERN.matcher(name).matches()) {
+        if (name == null || !TomlValueReader.NAME_PATTERN.matcher(name).matches()) {
             error(
                     name == null ? key : key + ".name",
                     name == null ? "has no name" : "\"" + name + "\" is no name",
                     "give each rule a name of its own, of letters, digits, dots, - and _");
         }
+        Match match = readMatch(table, key);
+        List<String> preferences = readPreferences(table.get("prefer"), key);
+        Set<String> forbidden = readForbidden(table.get("never"), key);
+        SpillPolicy spillPolicy = new SpillPolicyReader(values).read(table, key);
+        valid &= spillPolicy != null;
+        boolean panic = readPanic(table.get("panic"), key);
+        boolean ruleValid = valid;
+        valid &= validBefore;
+        if (!ruleValid) {
+            return null;
+        }
+        LocalityRule rule = new LocalityRule(name, match, preferences, forbidden, spillPolicy, panic);
+        checkSomeZonePermitted(rule, key);
+        return rule;
+    }
+
+    private Match readMatch(JsonNode table, String key) {
         Match match =
                 new Match(readText(table, key, "class"), readText(table, key, "tenant"), readText(table, key, "route"));
         if (match.requestClass() != null && platform != null) {
@@ -208,46 +222,7 @@
         if (match.route() != null) {
             checkKnown(match.route(), routeNames, key + ".route", "this file has no route");
         }
-        List<String> preferences = readPreferences(table.get("prefer"), key);
-        Set<String> forbidden = readForbidden(table.get("never"), key);
-        HysteresisBand utilization = readBand(table, key, "use", new HysteresisBand(0.85, 0.7), false);
-        HysteresisBand healthyFraction = readBand(table, key, "healthy", new HysteresisBand(0.5, 0.8), true);
-        HysteresisBand lateFraction = readBand(table, key, "late", new HysteresisBand(0.3, 0.1), false);
-        Long dwell = table.has("dwell")
-                ? reader.readDuration(table.get("dwell"), key + ".dwell", MIN_DWELL, 600_000_000_000L)
-                : Long.valueOf(5_000_000_000L);
-        valid &= dwell != null;
-        Double maxFraction = readFraction(table, key, "most", 1);
-        Double growthPerSecond =
-                table.has("growth") ? readNumber(table.get("growth"), key + ".growth", 0.001, 10) : Double.valueOf(0.2);
-        Double uncoordinatedFraction = readFraction(table, key, "alone", 0.02);
-        if (maxFraction != null && maxFraction == 0) {
-            error(key + ".most", "is 0, so nothing would ever spill", "leave the further steps out of prefer instead");
-        } else if (maxFraction != null && uncoordinatedFraction != null && uncoordinatedFraction > maxFraction) {
-            error(key + ".alone", "is more than most, " + maxFraction, "a node alone may spill a lesser share");
-        }
-        boolean panic = readPanic(table.get("panic"), key);
-        boolean ruleValid = valid;
-        valid &= validBefore;
-        if (!ruleValid) {
-            return null;
-        }
-        LocalityRule rule = new LocalityRule(
-                name,
-                match,
-                preferences,
-                forbidden,
-                new SpillPolicy(
-                        utilization,
-                        healthyFraction,
-                        lateFraction,
-                        dwell,
-                        maxFraction,
-                        growthPerSecond,
-                        uncoordinatedFraction),
-                panic);
-        checkSomeZonePermitted(rule, key);
-        return rule;
+        return match;
     }
 
     private List<String> readPreferences(JsonNode value, String key) {
@@ -299,47 +274,6 @@
         }
     }
 
-    /**
-     * Reads a hysteresis band.
-     *
-     * @param rising whether a level stops being short above the figure at which it begins to be, rather than
-     *     below it
-     */
-    private HysteresisBand readBand(
-            JsonNode table, String parentKey, String name, HysteresisBand defaultBand, boolean rising) {
-        JsonNode value = table.get(name);
-        if (value == null) {
-            return defaultBand;
-        }
-        String key = parentKey + "." + name;
-        if (!reader.requireMembers(
-                value,
-                key,
-                List.of("begin", "end"),
-                List.of("begin", "end"),
-                "{ begin = " + defaultBand.begin() + ", end = " + defaultBand.end() + " }")) {
-            valid = false;
-            return defaultBand;
-        }
-        Double begin = readNumber(value.get("begin"), key + ".begin", rising ? 0 : 0.001, 1);
-        Double end = readNumber(value.get("end"), key + ".end", 0, 1);
-        if (begin == null || end == null) {
-            return defaultBand;
-        }
-        if (rising ? end <= begin : end >= begin) {
-            error(
-                    key + ".end",
-                    "is not " + (rising ? "over" : "under") + " begin, " + begin + ": a step would flap",
-                    "put them apart, as { begin = " + defaultBand.begin() + ", end = " + defaultBand.end() + " }");
-            return defaultBand;
-        }
-        return new HysteresisBand(begin, end);
-    }
-
-    private Double readFraction(JsonNode table, String key, String name, double defaultValue) {
-        return table.has(name) ? readNumber(table.get(name), key + "." + name, 0, 1) : Double.valueOf(defaultValue);
-    }
-
     private boolean readPanic(JsonNode value, String key) {
         if (value != null && !value.isBoolean()) {
             error(key + ".panic", value + " is neither true nor false", "write panic = true or panic = false");
@@ -347,9 +281,7 @@
         return value == null || value.booleanValue();
     }
 
-    // ---- values ----
-
-    private void checkKnown(String name, java.util.Collection<String> knownNames, String key, String description) {
+    private void checkKnown(String name, Collection<String> knownNames, String key, String description) {
         if (!knownNames.contains(name)) {
             error(key, description + " \"" + name + "\"", SpellingSuggestions.suggest(name, knownNames));
         }
@@ -363,7 +295,9 @@
         }
         for (JsonNode element : value) {
             if (!element.isTextual()
-                    || !NAME_PATTERN.matcher(element.textValue()).matches()) {
+                    || !TomlValueReader.NAME_PATTERN
+                            .matcher(element.textValue())
+                            .matches()) {
                 error(key, element + " is no name", "write " + example);
             } else if (!names.add(element.textValue())) {
                 error(key, "\"" + element.textValue() + "\" stands twice", "name it once");
@@ -373,19 +307,19 @@
     }
 
     private String readText(JsonNode table, String parentKey, String name) {
-        String text = reader.readText(table, parentKey, name);
+        String text = values.readText(table, parentKey, name);
         valid &= text != null || !table.has(name);
         return text;
     }
 
     private Double readNumber(JsonNode value, String key, double min, double max) {
-        Double number = reader.readNumber(value, key, min, max);
+        Double number = values.readNumber(value, key, min, max);
         valid &= number != null;
         return number;
     }
 
     private void error(String key, String description, String remedy) {
         valid = false;
-        reader.error(key, description, remedy);
+        values.error(key, description, remedy);
     }
 }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigValidator.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigValidator.java
@@ -5,6 +5,8 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
+import java.util.TreeSet;
+import java.util.function.Function;
 import java.util.stream.Collectors;
 import weldhitch.decision.endpoint.AttemptOutcome;
 import weldhitch.decision.routing.RoutePattern;
@@ -22,7 +24,7 @@
 
 /**
  * Validates sections against the platform, the product's invariants, and each other. Used by {@link
- * RouteConfig} for one file; not thread-safe.
+ * RouteConfigParser} for one file; not thread-safe.
  */
 final class RouteConfigValidator {
     /** A hedge percentile that needs more than this many seconds of traffic is warned of. */
@@ -47,7 +49,7 @@
         this.problems = problems;
         classByName = platform == null
                 ? Map.of()
-                : platform.classes().stream().collect(Collectors.toMap(RequestClass::name, c -> c));
+                : platform.classes().stream().collect(Collectors.toMap(RequestClass::name, Function.identity()));
     }
 
     /** Checks each section by itself, and routes for ambiguity. */
@@ -63,8 +65,9 @@
             }
             checkSection(section);
         }
-        List<RuleSection> routes =
-                sections.stream().filter(s -> s.kind() == Kind.ROUTE).toList();
+        List<RuleSection> routes = sections.stream()
+                .filter(section -> section.kind() == Kind.ROUTE)
+                .toList();
         for (int i = 0; i < routes.size(); i++) {
             for (int j = 0; j < i; j++) {
                 checkAmbiguity(routes.get(j), routes.get(i));
@@ -104,12 +107,20 @@
     /** Reports settings of a section that are invalid for its classes, whatever other sections set. */
     private void checkSection(RuleSection section) {
         Idempotency idempotency = idempotencyOf(section.pattern().requestClass());
+        checkRetryOn(section, idempotency);
+        checkHedgingAllowed(section, idempotency);
+        checkAttempts(section);
+        checkRetryAfter(section);
+        checkTenants(section);
+    }
+
+    private void checkRetryOn(RuleSection section, Idempotency idempotency) {
         Setting retryOn = section.settings().get(RuleKey.RETRY_ON);
         if (section.kind() != Kind.DEFAULTS && idempotency == Idempotency.NON_IDEMPOTENT && retryOn != null) {
             Set<String> possiblyExecuted = outcomesOf(retryOn).stream()
-                    .filter(o -> !o.notExecuted)
+                    .filter(outcome -> !outcome.notExecuted)
                     .map(OutcomeNames::nameOf)
-                    .collect(Collectors.toCollection(java.util.TreeSet::new));
+                    .collect(Collectors.toCollection(TreeSet::new));
             if (!possiblyExecuted.isEmpty()) {
                 error(
                         retryOn.key(),
@@ -119,17 +130,24 @@
                         "keep to connect-failed and full");
             }
         }
+    }
+
+    private void checkHedgingAllowed(RuleSection section, Idempotency idempotency) {
         Setting hedge = section.settings().get(RuleKey.HEDGE);
         if (hedge != null && !(hedge.value() instanceof HedgingDisabled)) {
             if (section.kind() != Kind.DEFAULTS && idempotency != null && idempotency != Idempotency.IDEMPOTENT) {
                 error(
                         hedge.key(),
-                        "class " + section.pattern().requestClass() + " is not safe: a second copy could run it twice",
+                        "class " + section.pattern().requestClass()
+                                + " is not safe: a hedged request could run it twice",
                         "leave hedge out or write hedge = \"off\"");
             } else if (platform != null && !platform.limits().hedgingAllowed()) {
-                error(hedge.key(), "the platform allows no second copies", "leave hedge out");
+                error(hedge.key(), "the platform allows no hedged requests", "leave hedge out");
             }
         }
+    }
+
+    private void checkAttempts(RuleSection section) {
         Setting attempts = section.settings().get(RuleKey.ATTEMPTS);
         if (platform != null
                 && attempts != null
@@ -141,6 +159,9 @@
                     "a route can only narrow it: write 1 to "
                             + platform.limits().maxAttempts());
         }
+    }
+
+    private void checkRetryAfter(RuleSection section) {
         Setting retryAfter = section.settings().get(RuleKey.RETRY_AFTER);
         if (platform != null && retryAfter != null) {
             if (!platform.limits().retryAfterAllowed()) {
@@ -154,6 +175,9 @@
                         "make it as long or shorter");
             }
         }
+    }
+
+    private void checkTenants(RuleSection section) {
         Setting tenants = section.settings().get(RuleKey.TENANTS);
         if (platform != null && !platform.tenants().isEmpty() && tenants != null) {
             Set<String> tenantNames =
@@ -175,26 +199,7 @@
      * allow.
      */
     Map<RuleKey, Setting> effectiveSettings(Map<RuleKey, Setting> merged, RuleSection section, String requestClass) {
-        Map<RuleKey, Setting> settings = new EnumMap<>(RuleKey.class);
-        settings.putAll(merged);
-        Idempotency idempotency = idempotencyOf(requestClass);
-        Setting hedge = settings.get(RuleKey.HEDGE);
-        if (hedge != null && idempotency != null && idempotency != Idempotency.IDEMPOTENT) {
-            settings.remove(RuleKey.HEDGE);
-            hedge = null;
-        }
-        Setting retryOn = settings.get(RuleKey.RETRY_ON);
-        if (retryOn != null && idempotency == Idempotency.NON_IDEMPOTENT) {
-            settings.put(
-                    RuleKey.RETRY_ON,
-                    new Setting(
-                            outcomesOf(retryOn).stream()
-                                    .filter(o -> o.notExecuted)
-                                    .collect(Collectors.toSet()),
-                            retryOn.key(),
-                            retryOn.line(),
-                            retryOn.source()));
-        }
+        Map<RuleKey, Setting> settings = applicableTo(merged, idempotencyOf(requestClass));
         RequestClass classSettings = requestClass == null ? null : classByName.get(requestClass);
         Setting deadlineSetting = settings.get(RuleKey.DEADLINE);
         long platformDeadline = classSettings == null ? 0 : classSettings.deadline();
@@ -217,10 +222,7 @@
                             + deadlineText + ValueFormat.formatDuration(deadline),
                     "make it shorter than the deadline");
         } else if (deadline > 0 && maxAttempts > 1 && (attemptTimeout != null || backoff != null)) {
-            long worstCaseTime = attemptTimeout == null ? 0 : maxAttempts * (long) attemptTimeout.value();
-            for (int retry = 1; backoff != null && retry < maxAttempts; retry++) {
-                worstCaseTime += ((Backoff) backoff.value()).ceiling(retry);
-            }
+            long worstCaseTime = worstCaseTime(maxAttempts, attemptTimeout, backoff);
             if (worstCaseTime > deadline) {
                 error(
                         problemKey(section, attempts, attemptTimeout, backoff, deadlineSetting),
@@ -233,12 +235,45 @@
                         "lower attempts, attempt-timeout or backoff");
             }
         }
+        Setting hedge = settings.get(RuleKey.HEDGE);
         if (hedge != null && !(hedge.value() instanceof HedgingDisabled)) {
             checkHedging(section, settings, hedge, deadline, maxAttempts);
         }
         return settings;
     }
 
+    /** Drops hedging and the retries that a class does not allow. */
+    private static Map<RuleKey, Setting> applicableTo(Map<RuleKey, Setting> merged, Idempotency idempotency) {
+        Map<RuleKey, Setting> settings = new EnumMap<>(RuleKey.class);
+        settings.putAll(merged);
+        Setting hedge = settings.get(RuleKey.HEDGE);
+        if (hedge != null && idempotency != null && idempotency != Idempotency.IDEMPOTENT) {
+            settings.remove(RuleKey.HEDGE);
+        }
+        Setting retryOn = settings.get(RuleKey.RETRY_ON);
+        if (retryOn != null && idempotency == Idempotency.NON_IDEMPOTENT) {
+            settings.put(
+                    RuleKey.RETRY_ON,
+                    new Setting(
+                            outcomesOf(retryOn).stream()
+                                    .filter(outcome -> outcome.notExecuted)
+                                    .collect(Collectors.toSet()),
+                            retryOn.key(),
+                            retryOn.line(),
+                            retryOn.source()));
+        }
+        return settings;
+    }
+
+    /** How long all attempts take if each reaches its time-out, with the longest back-off between them. */
+    private static long worstCaseTime(int maxAttempts, Setting attemptTimeout, Setting backoff) {
+        long worstCaseTime = attemptTimeout == null ? 0 : maxAttempts * (long) attemptTimeout.value();
+        for (int retry = 1; backoff != null && retry < maxAttempts; retry++) {
+            worstCaseTime += ((Backoff) backoff.value()).ceiling(retry);
+        }
+        return worstCaseTime;
+    }
+
     private void checkHedging(
             RuleSection section, Map<RuleKey, Setting> settings, Setting hedge, long deadline, int maxAttempts) {
         Setting attemptTimeout = settings.get(RuleKey.ATTEMPT_TIMEOUT);
--- /dev/null
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/SpillPolicyReader.java
@@ -0,0 +1,119 @@
+package weldhitch.routeconfig;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import weldhitch.fleet.locality.LocalityRule.HysteresisBand;
+import weldhitch.fleet.locality.LocalityRule.SpillPolicy;
+
+/**
+ * Reads when and how much one rule of {@code [[locality]]} spills over. Used by {@link LocalitySectionReader}, a new
+ * one for each rule; not thread-safe.
+ */
+final class SpillPolicyReader {
+    private static final long MIN_DWELL = 100_000_000L;
+    private static final long MAX_DWELL = 600_000_000_000L;
+    private static final long DEFAULT_DWELL = 5_000_000_000L;
+    private static final HysteresisBand DEFAULT_UTILIZATION = new HysteresisBand(0.85, 0.7);
+    private static final HysteresisBand DEFAULT_HEALTHY_FRACTION = new HysteresisBand(0.5, 0.8);
+    private static final HysteresisBand DEFAULT_LATE_FRACTION = new HysteresisBand(0.3, 0.1);
+    private static final double DEFAULT_MAX_FRACTION = 1;
+    private static final double DEFAULT_GROWTH_PER_SECOND = 0.2;
+    private static final double DEFAULT_UNCOORDINATED_FRACTION = 0.02;
+
+    private final TomlValueReader values;
+    private boolean valid = true;
+
+    /** Creates a reader that reads and reports by {@code values}. */
+    SpillPolicyReader(TomlValueReader values) {
+        this.values = values;
+    }
+
+    /** When and how much the rule at {@code key} spills over; null, with a problem, if a setting is invalid. */
+    SpillPolicy read(JsonNode table, String key) {
+        HysteresisBand utilization = readBand(table, key, "use", DEFAULT_UTILIZATION, false);
+        HysteresisBand healthyFraction = readBand(table, key, "healthy", DEFAULT_HEALTHY_FRACTION, true);
+        HysteresisBand lateFraction = readBand(table, key, "late", DEFAULT_LATE_FRACTION, false);
+        Long dwell = table.has("dwell")
+                ? values.readDuration(table.get("dwell"), key + ".dwell", MIN_DWELL, MAX_DWELL)
+                : Long.valueOf(DEFAULT_DWELL);
+        valid &= dwell != null;
+        Double maxFraction = readFraction(table, key, "most", DEFAULT_MAX_FRACTION);
+        Double growthPerSecond = table.has("growth")
+                ? readNumber(table.get("growth"), key + ".growth", 0.001, 10)
+                : Double.valueOf(DEFAULT_GROWTH_PER_SECOND);
+        Double uncoordinatedFraction = readFraction(table, key, "alone", DEFAULT_UNCOORDINATED_FRACTION);
+        if (maxFraction != null && maxFraction == 0) {
+            error(
+                    key + ".most",
+                    "is 0, so nothing would ever spill",
+                    "leave the further preferences out of prefer instead");
+        } else if (maxFraction != null && uncoordinatedFraction != null && uncoordinatedFraction > maxFraction) {
+            error(
+                    key + ".alone",
+                    "is more than most, " + maxFraction,
+                    "a node without a quota may spill a smaller fraction");
+        }
+        return valid
+                ? new SpillPolicy(
+                        utilization,
+                        healthyFraction,
+                        lateFraction,
+                        dwell,
+                        maxFraction,
+                        growthPerSecond,
+                        uncoordinatedFraction)
+                : null;
+    }
+
+    /**
+     * Reads a hysteresis band.
+     *
+     * @param rising whether a level stops being short above the figure at which it begins to be, rather than
+     *     below it
+     */
+    private HysteresisBand readBand(
+            JsonNode table, String parentKey, String name, HysteresisBand defaultBand, boolean rising) {
+        JsonNode value = table.get(name);
+        if (value == null) {
+            return defaultBand;
+        }
+        String key = parentKey + "." + name;
+        if (!values.requireMembers(
+                value,
+                key,
+                List.of("begin", "end"),
+                List.of("begin", "end"),
+                "{ begin = " + defaultBand.begin() + ", end = " + defaultBand.end() + " }")) {
+            valid = false;
+            return defaultBand;
+        }
+        Double begin = readNumber(value.get("begin"), key + ".begin", rising ? 0 : 0.001, 1);
+        Double end = readNumber(value.get("end"), key + ".end", 0, 1);
+        if (begin == null || end == null) {
+            return defaultBand;
+        }
+        if (rising ? end <= begin : end >= begin) {
+            error(
+                    key + ".end",
+                    "is not " + (rising ? "over" : "under") + " begin, " + begin + ": a priority level would flap",
+                    "put them apart, as { begin = " + defaultBand.begin() + ", end = " + defaultBand.end() + " }");
+            return defaultBand;
+        }
+        return new HysteresisBand(begin, end);
+    }
+
+    private Double readFraction(JsonNode table, String key, String name, double defaultValue) {
+        return table.has(name) ? readNumber(table.get(name), key + "." + name, 0, 1) : Double.valueOf(defaultValue);
+    }
+
+    private Double readNumber(JsonNode value, String key, double min, double max) {
+        Double number = values.readNumber(value, key, min, max);
+        valid &= number != null;
+        return number;
+    }
+
+    private void error(String key, String description, String remedy) {
+        valid = false;
+        values.error(key, description, remedy);
+    }
+}
--- a/routeconfig/src/test/java/weldhitch/routeconfig/InvalidFilesTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/InvalidFilesTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void thereAreAtLeastFortyFiles() throws IOException {
+    void fortyOrMoreFilesAreTested() throws IOException {
         assertTrue(files().size() >= 40);
     }
 
--- a/routeconfig/src/test/java/weldhitch/routeconfig/LocalityConfigTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/LocalityConfigTest.java
@@ -80,9 +80,12 @@
                 "rate = 40.0 | rate = 0 | 3 | zones.rate | not a number",
                 "rate = 40.0 | | 2 | zones | rate is missing",
                 "rate = 40.0 | rate = 40.0\\nrates = 1 | 4 | zones.rates | no key that is known",
-                "centre = [\"kigali\", \"huye\"] | centre = [\"kigali\", \"huyé\"] | 5 | zones.regions.centre | is no name",
-                "centre = [\"kigali\", \"huye\"] | centre = [\"kigali\", \"butare\"] | 5 | zones.regions.centre | knows no zone \"butare\"",
-                "west = [\"rusizi\"] | west = [\"rusizi\", \"huye\"] | 6 | zones.regions.west | zone huye is in region centre too",
+                "centre = [\"kigali\", \"huye\"] | centre = [\"kigali\", \"huyé\"] | 5 | "
+                        + "zones.regions.centre | is no name",
+                "centre = [\"kigali\", \"huye\"] | centre = [\"kigali\", \"butare\"] | 5 | "
+                        + "zones.regions.centre | knows no zone \"butare\"",
+                "west = [\"rusizi\"] | west = [\"rusizi\", \"huye\"] | 6 | zones.regions.west | "
+                        + "zone huye is in region centre too",
                 "west = [\"rusizi\"] | any = [\"rusizi\"] | 6 | zones.regions.any | is the name of a step too",
                 "name = \"records\" | name = \"all\" | 14 | locality[1].name | name of another rule",
                 "name = \"records\" | | 7 | locality[0] | has no name",
@@ -91,14 +94,19 @@
                 "class = \"book\" | route = \"cancle\" | 9 | locality[0].route | no route \"cancle\"",
                 "class = \"book\" | | 13 | locality[1] | never holds: rule \"records\" before it",
                 "prefer = [\"own-zone\", \"own-region\", \"any\"] | | 7 | locality[0] | prefer is missing",
-                "prefer = [\"own-zone\", \"own-region\", \"any\"] | prefer = [\"own-zone\", \"north\"] | 10 | locality[0].prefer | no step or region \"north\"",
-                "prefer = [\"own-zone\", \"own-region\", \"any\"] | prefer = [\"any\", \"own-zone\"] | 10 | locality[0].prefer | comes after \"any\"",
-                "prefer = [\"own-zone\", \"own-region\", \"any\"] | prefer = [\"own-zone\", \"own-zone\"] | 10 | locality[0].prefer | stands twice",
+                "prefer = [\"own-zone\", \"own-region\", \"any\"] | prefer = [\"own-zone\", \"north\"] | 10 | "
+                        + "locality[0].prefer | no step or region \"north\"",
+                "prefer = [\"own-zone\", \"own-region\", \"any\"] | prefer = [\"any\", \"own-zone\"] | 10 | "
+                        + "locality[0].prefer | comes after \"any\"",
+                "prefer = [\"own-zone\", \"own-region\", \"any\"] | prefer = [\"own-zone\", \"own-zone\"] | "
+                        + "10 | locality[0].prefer | stands twice",
                 "never = [\"west\"] | never = [\"wset\"] | 11 | locality[0].never | no region or zone \"wset\"",
-                "never = [\"west\"] | never = [\"musanze\", \"centre\", \"rusizi\"] | 11 | locality[0].never | leaves requests that come in zone",
+                "never = [\"west\"] | never = [\"musanze\", \"centre\", \"rusizi\"] | 11 | "
+                        + "locality[0].never | leaves requests that come in zone",
                 "panic = false | panic = \"no\" | 12 | locality[0].panic | neither true nor false",
                 "end = 0.6 } | end = 0.9 } | 16 | locality[1].use.end | is not under begin",
-                "use = { begin = 0.9, end = 0.6 } | healthy = { begin = 0.9, end = 0.6 } | 16 | locality[1].healthy.end | is not over begin",
+                "use = { begin = 0.9, end = 0.6 } | healthy = { begin = 0.9, end = 0.6 } | 16 | "
+                        + "locality[1].healthy.end | is not over begin",
                 "use = { begin = 0.9, end = 0.6 } | late = { begin = 0.9 } | 16 | locality[1].late | end is missing",
                 "dwell = \"2s\" | dwell = 2 | 17 | locality[1].dwell | has no unit",
                 "most = 0.5 | most = 0 | 18 | locality[1].most | nothing would ever spill",
