--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorServer.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorServer.java
@@ -38,7 +38,9 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import weldhitch.consensus.AcceptorState;
+import weldhitch.coordinator.core.CoordinatorConfig;
 import weldhitch.coordinator.core.CoordinatorCore;
+import weldhitch.coordinator.core.Effect;
 import weldhitch.coordinator.core.FleetState;
 import weldhitch.fleet.activation.MemberHeartbeat;
 import weldhitch.fleet.activation.MemberHeartbeatResponse;
@@ -117,7 +119,7 @@
         }
         String incarnation = UUID.randomUUID().toString().substring(0, 8);
         core = new CoordinatorCore(
-                new CoordinatorCore.Config(
+                new CoordinatorConfig(
                         settings.name(),
                         incarnation,
                         List.copyOf(settings.coordinators().keySet()),
@@ -230,11 +232,11 @@
     }
 
     /** Handles an event, writes the new state to disk, and only then executes the effects. */
-    private void handleEvent(Supplier<List<CoordinatorCore.Effect>> decision) {
+    private void handleEvent(Supplier<List<Effect>> decision) {
         try {
             AcceptorState previousState = core.acceptorState();
             long generation = core.generation();
-            List<CoordinatorCore.Effect> effects = decision.get();
+            List<Effect> effects = decision.get();
             if (!core.acceptorState().equals(previousState)) {
                 try {
                     stateLog.write(CoordinatorJson.JSON.writeValueAsBytes(core.acceptorState()));
@@ -246,7 +248,7 @@
                     return;
                 }
             }
-            for (CoordinatorCore.Effect effect : effects) {
+            for (Effect effect : effects) {
                 execute(effect);
             }
             if (core.generation() != generation) {
@@ -258,15 +260,15 @@
         }
     }
 
-    private void execute(CoordinatorCore.Effect effect) {
-        if (effect instanceof CoordinatorCore.Send send) {
+    private void execute(Effect effect) {
+        if (effect instanceof Effect.Send send) {
             peers.send(send.to(), send.message());
-        } else if (effect instanceof CoordinatorCore.LogEvent logEvent) {
+        } else if (effect instanceof Effect.LogEvent logEvent) {
             log.accept("steward=" + settings.name() + " generation=" + core.generation() + " event=\""
                     + logEvent.event() + "\"");
-        } else if (effect instanceof CoordinatorCore.ReportError reportError) {
+        } else if (effect instanceof Effect.ReportError reportError) {
             log.accept(reportError.error().message());
-        } else if (effect instanceof CoordinatorCore.Submitted submitted) {
+        } else if (effect instanceof Effect.Submitted submitted) {
             Path file = submittedFiles.remove(submitted.submissionId());
             if (file != null) {
                 submissions.markAccepted(file, submitted.versionNumber());
--- a/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
@@ -179,17 +179,17 @@
                     ? localTime() - timing.leaderLease()
                     : localTime();
             core = new CoordinatorCore(
-                    new CoordinatorCore.Config(
+                    new CoordinatorConfig(
                             name, incarnation(true), coordinatorNames, coordinatorTiming, missingMemberPolicy),
                     persisted,
                     true,
                     startedAt,
-                    name.hashCode() + 31L * startCount);
-            core.setSafeguards(
-                    disabledSafeguard != DisabledSafeguard.COMMIT_AFTER_LEASE_EXPIRY,
-                    disabledSafeguard != DisabledSafeguard.LEADERSHIP_CONFIRMED_FIRST,
-                    disabledSafeguard != DisabledSafeguard.LEASES_WITHHELD_DURING_COMMIT,
-                    disabledSafeguard != DisabledSafeguard.EVERY_VOTE);
+                    name.hashCode() + 31L * startCount,
+                    new Safeguards(
+                            disabledSafeguard != DisabledSafeguard.COMMIT_AFTER_LEASE_EXPIRY,
+                            disabledSafeguard != DisabledSafeguard.LEADERSHIP_CONFIRMED_FIRST,
+                            disabledSafeguard != DisabledSafeguard.LEASES_WITHHELD_DURING_COMMIT,
+                            disabledSafeguard != DisabledSafeguard.EVERY_VOTE));
             lastTick = localTime() - TICK_INTERVAL;
             scheduleTick(startCount);
         }
@@ -211,11 +211,11 @@
 
         /** An event for the coordinator's core. */
         private interface Decision {
-            List<CoordinatorCore.Effect> run();
+            List<Effect> run();
         }
 
         void handleEvent(String event, Decision decision) {
-            List<CoordinatorCore.Effect> effects = decision.run();
+            List<Effect> effects = decision.run();
             int crash = faultModel.crash(name, event, now);
             if (crash == 1) {
                 kill();
@@ -229,8 +229,8 @@
                 kill();
                 return;
             }
-            for (CoordinatorCore.Effect effect : effects) {
-                if (effect instanceof CoordinatorCore.Send send) {
+            for (Effect effect : effects) {
+                if (effect instanceof Effect.Send send) {
                     send(name, send.to(), () -> {
                         SimulatedCoordinator receiver = coordinators.get(send.to());
                         if (receiver.running) {
@@ -239,7 +239,7 @@
                                     () -> receiver.core.onMessage(receiver.localTime(), name, send.message())));
                         }
                     });
-                } else if (effect instanceof CoordinatorCore.LogEvent logEvent) {
+                } else if (effect instanceof Effect.LogEvent logEvent) {
                     logEvent(name + ": " + logEvent.event());
                 }
             }
