--- a/decision/src/main/java/weldhitch/decision/balancing/PickTraceBuilder.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/PickTraceBuilder.java
@@ -47,7 +47,7 @@
                     endpoint.sampleCount == 0 ? 0 : endpoint.meanLatency(),
                     exclusion == ExclusionReason.NONE ? endpoint.pickMean : 0,
                     endpoint.healthFactor(now),
-                    endpoints.slowStartFactor(endpoint, now),
+                    endpoints.slowStart.slowStartFactor(endpoint, now),
                     endpoint.slowStartCredit,
                     endpoint.outstanding.size(),
                     index < 0 ? 0 : weights[index]));
--- a/decision/src/main/java/weldhitch/decision/balancing/RatioBalancer.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RatioBalancer.java
@@ -213,7 +213,7 @@
                 ? request.rank
                 : state.meanRank + ClassLatencyModel.SMOOTHING_FACTOR * (request.rank - state.meanRank);
         state.retryTokens = Math.min(BalancerState.MAX_RETRY_TOKENS, state.retryTokens + RETRY_TOKENS_PER_REQUEST);
-        state.endpoints.recordArrival(now);
+        state.endpoints.slowStart.recordArrival(now);
         admitOrEnqueue(request);
     }
 
@@ -481,7 +481,7 @@
         if (request.route != null) {
             request.route.recordLatency(latency);
         }
-        state.endpoints.recordServed(endpoint, now);
+        state.endpoints.slowStart.recordServed(endpoint, now);
     }
 
     private void onResponseStarted(ResponseStarted started) {
--- a/decision/src/main/java/weldhitch/decision/balancing/SnapshotBuilder.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/SnapshotBuilder.java
@@ -113,8 +113,9 @@
         List<TokenBucketSnapshot> tenantQuotas = new ArrayList<>();
         state.tenantQuotas.forEach((tenant, quota) -> tenantQuotas.add(tokenBucket(tenant, quota)));
         AdaptiveConcurrencyLimit admissionLimit = state.admissionLimit;
-        List<Integer> warmingUp =
-                state.endpoints.warmingUp.stream().map(snapshot::indexOf).toList();
+        List<Integer> warmingUp = state.endpoints.slowStart.warmingUp.stream()
+                .map(snapshot::indexOf)
+                .toList();
         List<RouteTable.Route> routes = activeRoutes == null ? null : activeRoutes.routes();
         List<RetryBudgetSnapshot> retryBudgetSnapshots = budgets.map(budget -> new RetryBudgetSnapshot(
                 budget.settings, budget.requests.clone(), budget.retries.clone(), budget.latestSecond));
@@ -134,8 +135,8 @@
                 admissionLimit.slowAnswerExcess,
                 admissionLimit.endpointWeight);
         byte[] randomState = state.random.save();
-        double servedRate = state.endpoints.servedRate;
-        long servedRateAt = state.endpoints.servedRateAt;
+        double servedRate = state.endpoints.slowStart.servedRate;
+        long servedRateAt = state.endpoints.slowStart.servedRateAt;
         long timerArmedAt = state.timers.armedAt;
         long nextSequence = state.timers.nextSequence;
         double meanRank = state.meanRank;
@@ -288,9 +289,10 @@
                     "each once in the list");
         }
         state.endpoints.rebuildReady();
-        snapshot.warmingUp().forEach(index -> state.endpoints.warmingUp.add(elementAt("cold", endpoints, index)));
-        state.endpoints.servedRate = snapshot.servedRate();
-        state.endpoints.servedRateAt = snapshot.servedRateAt();
+        snapshot.warmingUp()
+                .forEach(index -> state.endpoints.slowStart.warmingUp.add(elementAt("cold", endpoints, index)));
+        state.endpoints.slowStart.servedRate = snapshot.servedRate();
+        state.endpoints.slowStart.servedRateAt = snapshot.servedRateAt();
         restoreClassModels(state, snapshot.classes());
         List<RouteState> routeStates = restoreRoutes(state, snapshot);
         List<RequestState> requests = new ArrayList<>();
--- a/decision/src/main/java/weldhitch/decision/balancing/WeightedEndpointPicker.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/WeightedEndpointPicker.java
@@ -43,7 +43,7 @@
      * credit.
      */
     Endpoint pickEndpoint(RequestState request, long now, DecisionListener listener) {
-        endpoints.accrueCreditByTime(now);
+        endpoints.slowStart.accrueCreditByTime(now);
         List<Endpoint> ready = endpoints.ready;
         int windowStart =
                 ready.isEmpty() ? 0 : (int) ((long) settings.nodeIndex() * ready.size() / settings.nodeCount());
@@ -98,7 +98,7 @@
 
     /** Whether an endpoint in the request's allowed zones that it has not tried may take it. */
     boolean hasUnattempted(RequestState request, long now) {
-        endpoints.accrueCreditByTime(now);
+        endpoints.slowStart.accrueCreditByTime(now);
         for (Endpoint endpoint : endpoints.ready) {
             if (request.allows(endpoint) && !request.hasAttempted(endpoint) && isEligible(request, endpoint, now)) {
                 return true;
@@ -123,7 +123,7 @@
                 // f_i = t_b / t_i (section 3.2), times slow start (ours) and the failure factor (section 3.4).
                 weights[i] = lowestMean
                         / endpoint.pickMean
-                        * endpoints.slowStartFactor(endpoint, now)
+                        * endpoints.slowStart.slowStartFactor(endpoint, now)
                         * endpoint.healthFactor(now);
                 totalWeight += weights[i];
             }
@@ -149,7 +149,7 @@
 
     /** Whether the endpoint has slow-start credit where it needs it, and is in the deduplication scope. */
     private boolean isEligible(RequestState request, Endpoint endpoint, long now) {
-        if (endpoint.warmingUp && endpoint.slowStartCredit < 1 && endpoints.updateWarmingUp(endpoint, now)) {
+        if (endpoint.warmingUp && endpoint.slowStartCredit < 1 && endpoints.slowStart.updateWarmingUp(endpoint, now)) {
             return false;
         }
         return request.firstPossiblyExecuted == null
