--- /dev/null
+++ b/node/src/main/java/weldhitch/node/ByteObserver.java
@@ -0,0 +1,33 @@
+package weldhitch.node;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.util.ReferenceCountUtil;
+
+/**
+ * Observes a client's bytes before they are parsed, as a head that trickles in shows nowhere else, and releases
+ * them once input is discarded. Owned by a {@link ClientConnection}; not thread-safe, confined to the event loop.
+ */
+final class ByteObserver extends ChannelInboundHandlerAdapter {
+    private final PipelinedInput pipelined;
+    private final ConnectionDeadlines deadlines;
+    private final Runnable onBytes;
+
+    ByteObserver(PipelinedInput pipelined, ConnectionDeadlines deadlines, Runnable onBytes) {
+        this.pipelined = pipelined;
+        this.deadlines = deadlines;
+        this.onBytes = onBytes;
+    }
+
+    @Override
+    public void channelRead(ChannelHandlerContext context, Object message) {
+        if (pipelined.isDiscarding()) {
+            ReferenceCountUtil.release(message);
+            return;
+        }
+        deadlines.bytesReceived(message instanceof ByteBuf bytes ? bytes.readableBytes() : 0);
+        onBytes.run();
+        context.fireChannelRead(message);
+    }
+}
--- a/node/src/main/java/weldhitch/node/ClientConnectionManager.java
+++ b/node/src/main/java/weldhitch/node/ClientConnectionManager.java
@@ -35,7 +35,7 @@
  * Accepts and tracks client connections: limits their number by evicting idle ones, sweeps them for timeouts,
  * and runs the graceful shutdown that {@link GracefulShutdown} schedules. Not thread-safe, confined to the event loop.
  */
-final class ClientConnectionManager implements ClientConnection.Owner {
+final class ClientConnectionManager implements ClientConnection.Owner, ClientPolicy {
     private static final int BACKLOG = 4096;
     private static final int MAX_REQUEST_LINE_BYTES = 8 * 1024;
     /**
@@ -100,8 +100,13 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        ClientConnection connection =
-                                new ClientConnection(ClientConnectionManager.this, dispatcher, clock, limits, channel);
+                        ClientConnection connection = new ClientConnection(
+                                ClientConnectionManager.this,
+                                ClientConnectionManager.this,
+                                dispatcher,
+                                clock,
+                                limits,
+                                channel);
                         channel.pipeline()
                                 .addLast(
                                         connection.byteObserver(),
--- /dev/null
+++ b/node/src/main/java/weldhitch/node/ClientResponseWriter.java
@@ -0,0 +1,155 @@
+package weldhitch.node;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelOption;
+import io.netty.handler.codec.http.DefaultFullHttpResponse;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.DefaultHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import java.util.function.BooleanSupplier;
+
+/**
+ * Encodes and writes the responses of one downstream connection, complete or streamed, and decides whether the
+ * connection persists after them. Owned by a {@link ClientConnection}, which changes its state after each call:
+ * a write may call back into the connection before it returns. Not thread-safe, confined to the event loop.
+ */
+final class ClientResponseWriter {
+    private final Channel channel;
+    private final Clock clock;
+    private final ConnectionDeadlines deadlines;
+    /** Whether the connection must close after the response written now; evaluated once for each response. */
+    private final BooleanSupplier closeRequired;
+
+    private final BooleanSupplier reportsVersion;
+    private HttpVersion httpVersion = HttpVersion.HTTP_1_1;
+    private boolean keepAlive;
+
+    ClientResponseWriter(
+            Channel channel,
+            Clock clock,
+            ConnectionDeadlines deadlines,
+            BooleanSupplier closeRequired,
+            BooleanSupplier reportsVersion) {
+        this.channel = channel;
+        this.clock = clock;
+        this.deadlines = deadlines;
+        this.closeRequired = closeRequired;
+        this.reportsVersion = reportsVersion;
+    }
+
+    /** Responses are written in the version of the request, if it is an HTTP/1 one. */
+    void requestVersion(HttpVersion version) {
+        httpVersion = version.majorVersion() == 1 ? version : HttpVersion.HTTP_1_1;
+    }
+
+    /** Whether the connection persists after the current response. */
+    boolean keepAlive() {
+        return keepAlive;
+    }
+
+    /** Sets whether the client wants the connection to persist. */
+    void keepAlive(boolean requested) {
+        keepAlive = requested;
+    }
+
+    /** Writes an interim response that asks the client for the body. */
+    void writeContinue() {
+        channel.writeAndFlush(
+                new DefaultFullHttpResponse(httpVersion, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
+    }
+
+    /** Writes a server's complete response; {@code inFlight} is the request it answers. */
+    void writeServed(ServerResponse serverResponse, InFlightRequest inFlight) {
+        ByteBuf body =
+                serverResponse.body().size() > 0 ? serverResponse.body().asSingleBuffer() : Unpooled.EMPTY_BUFFER;
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(httpVersion, HttpResponseStatus.OK, body);
+        if (serverResponse.contentType() != null) {
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, serverResponse.contentType());
+        }
+        write(response, inFlight);
+    }
+
+    /**
+     * Writes a response without a body.
+     *
+     * @param retryAfter nanoseconds, or 0 for no {@code Retry-After}
+     * @param inFlight the request it answers; null if none was accepted
+     */
+    void writeStatus(HttpResponseStatus status, long retryAfter, InFlightRequest inFlight) {
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(httpVersion, status, Unpooled.EMPTY_BUFFER);
+        if (retryAfter > 0) {
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, Headers.formatSeconds(retryAfter));
+        }
+        write(response, inFlight);
+    }
+
+    private void write(DefaultFullHttpResponse response, InFlightRequest inFlight) {
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+        addRouteVersion(response, inFlight);
+        HttpUtil.setKeepAlive(response, updateKeepAlive());
+        trackWrite(channel.writeAndFlush(response));
+    }
+
+    private void addRouteVersion(HttpResponse response, InFlightRequest inFlight) {
+        if (inFlight != null && inFlight.routeTable != null && reportsVersion.getAsBoolean()) {
+            response.headers().set(Headers.ROUTE_VERSION, inFlight.routeTable.version());
+        }
+    }
+
+    private boolean updateKeepAlive() {
+        keepAlive &= !closeRequired.getAsBoolean();
+        return keepAlive;
+    }
+
+    private void trackWrite(ChannelFuture write) {
+        deadlines.writeStarted(clock.now());
+        write.addListener(f -> deadlines.writeCompleted());
+    }
+
+    /** Writes the head of a response whose body follows in parts. */
+    void startStream(ServerResponse serverResponse, InFlightRequest inFlight) {
+        HttpResponse response = new DefaultHttpResponse(httpVersion, HttpResponseStatus.OK);
+        if (serverResponse.contentType() != null) {
+            response.headers().set(HttpHeaderNames.CONTENT_TYPE, serverResponse.contentType());
+        }
+        if (serverResponse.length() >= 0) {
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, serverResponse.length());
+        } else if (httpVersion.isKeepAliveDefault()) {
+            HttpUtil.setTransferEncodingChunked(response, true);
+        } else {
+            keepAlive = false;
+        }
+        addRouteVersion(response, inFlight);
+        HttpUtil.setKeepAlive(response, updateKeepAlive());
+        channel.write(response);
+    }
+
+    /** Writes a part of a streamed body; takes ownership of the buffer. */
+    void streamData(ByteBuf bytes) {
+        deadlines.writeProgressed(clock.now());
+        channel.writeAndFlush(new DefaultHttpContent(bytes));
+    }
+
+    /** Completes a streamed response. */
+    void endStream() {
+        trackWrite(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT));
+    }
+
+    /**
+     * Breaks off a streamed response by a reset, so that the client can tell that it is incomplete, whatever
+     * its framing.
+     */
+    void resetStream() {
+        channel.config().setOption(ChannelOption.SO_LINGER, 0);
+        channel.close();
+    }
+}
--- /dev/null
+++ b/node/src/main/java/weldhitch/node/ConnectionDeadlines.java
@@ -0,0 +1,132 @@
+package weldhitch.node;
+
+/**
+ * The timeouts of one downstream connection: on a request's head and body, between requests, on responses that
+ * the client does not read, and on closing. Decides by the times that its {@link ClientConnection} records, and
+ * acts on nothing itself; not thread-safe, confined to the event loop. Times are of {@link Clock}.
+ */
+final class ConnectionDeadlines {
+    /** A timeout that has expired, or none. */
+    enum Expiry {
+        NONE,
+        /** The head of a request is incomplete. */
+        HEAD,
+        /** No request has been started. */
+        IDLE,
+        /** The body of a request arrives too slowly. */
+        BODY,
+        /** The client has not closed its side after the last response. */
+        LINGER
+    }
+
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+    /**
+     * A client that stalls within a request is answered within 3 s; the sweep interval takes its part of them.
+     */
+    static final long HEAD_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
+
+    static final long BODY_GRACE_NANOS = 2 * NANOS_PER_SECOND;
+    static final long MIN_BODY_BYTES_PER_SECOND = 32 * 1024;
+    static final long IDLE_TIMEOUT_NANOS = 60 * NANOS_PER_SECOND;
+    /**
+     * Clients open a connection for a request that waits; one that never sends anything is closed this soon.
+     */
+    static final long FIRST_REQUEST_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
+    /** How long a client may leave a response unread. */
+    static final long WRITE_TIMEOUT_NANOS = 30 * NANOS_PER_SECOND;
+
+    static final long LINGER_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
+
+    private long stateSince;
+    /** When the first byte of a still incomplete head arrived; 0 if there is none. */
+    private long headStartedAt;
+
+    private long bytesReceived;
+    /** Whether a request has ever started on this connection. */
+    private boolean requestSeen;
+
+    private long pendingWriteSince;
+    private int pendingWrites;
+
+    ConnectionDeadlines(long now) {
+        stateSince = now;
+    }
+
+    /** The connection has entered another state. */
+    void stateChanged(long now) {
+        stateSince = now;
+        headStartedAt = 0;
+    }
+
+    long timeInState(long now) {
+        return now - stateSince;
+    }
+
+    void bytesReceived(int count) {
+        bytesReceived += count;
+    }
+
+    /** The first byte of a request's head has arrived. */
+    void headStarted(long now) {
+        headStartedAt = now;
+    }
+
+    /** Whether a part of a request's head has arrived, but not all of it. */
+    boolean isReadingHead() {
+        return headStartedAt != 0;
+    }
+
+    /** The head of a request has been read; the bytes of its body are counted from here. */
+    void requestStarted() {
+        requestSeen = true;
+        bytesReceived = 0;
+    }
+
+    /** A write that ends a response is pending from now on. */
+    void writeStarted(long now) {
+        pendingWrites++;
+        pendingWriteSince = now;
+    }
+
+    /** A part of a streamed response has been passed to the channel. */
+    void writeProgressed(long now) {
+        pendingWriteSince = now;
+    }
+
+    void writeCompleted() {
+        pendingWrites--;
+    }
+
+    boolean hasPendingWrites() {
+        return pendingWrites > 0;
+    }
+
+    /** The timeout that has expired in this state. */
+    Expiry expiry(ClientConnectionState state, long now) {
+        long elapsed = now - stateSince;
+        return switch (state) {
+            case IDLE -> idleExpiry(elapsed, now);
+            case RECEIVING, DISCARDING_BODY ->
+                elapsed > BODY_GRACE_NANOS + bytesReceived * NANOS_PER_SECOND / MIN_BODY_BYTES_PER_SECOND
+                        ? Expiry.BODY
+                        : Expiry.NONE;
+            case CLOSING -> elapsed > LINGER_TIMEOUT_NANOS && pendingWrites == 0 ? Expiry.LINGER : Expiry.NONE;
+            case WAITING, STREAMING -> Expiry.NONE;
+        };
+    }
+
+    private Expiry idleExpiry(long elapsed, long now) {
+        if (headStartedAt > 0 && now - headStartedAt > HEAD_TIMEOUT_NANOS) {
+            return Expiry.HEAD;
+        }
+        if (headStartedAt == 0 && elapsed > (requestSeen ? IDLE_TIMEOUT_NANOS : FIRST_REQUEST_TIMEOUT_NANOS)) {
+            return Expiry.IDLE;
+        }
+        return Expiry.NONE;
+    }
+
+    /** Whether the client has left a response unread for too long. */
+    boolean writeStalled(long now, boolean writable) {
+        return (pendingWrites > 0 || !writable) && now - pendingWriteSince > WRITE_TIMEOUT_NANOS;
+    }
+}
--- /dev/null
+++ b/node/src/main/java/weldhitch/node/PipelinedInput.java
@@ -0,0 +1,86 @@
+package weldhitch.node;
+
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.util.ReferenceCountUtil;
+import java.util.ArrayDeque;
+
+/**
+ * The queue of decoded input that a client sent ahead, while an earlier request of its connection is in flight.
+ * Input is read on even then, as nothing else shows that the client has disconnected; what exceeds the limits
+ * is discarded, and with it all that follows. Owned by a {@link ClientConnection}; not thread-safe, confined to
+ * the event loop.
+ */
+final class PipelinedInput {
+    /** Memory that the pipelined input of one connection may use. */
+    static final int MAX_BYTES = 512 * 1024;
+    /** Estimated memory of a pipelined head, and of a body chunk in addition to its bytes. */
+    static final int HEAD_BYTES = 2 * 1024;
+
+    static final int CONTENT_OVERHEAD_BYTES = 128;
+
+    private final ResourceLimits limits;
+    private final ArrayDeque<Object> messages = new ArrayDeque<>();
+    private int bytes;
+    private boolean discarding;
+
+    PipelinedInput(ResourceLimits limits) {
+        this.limits = limits;
+    }
+
+    boolean isEmpty() {
+        return messages.isEmpty();
+    }
+
+    /** Whether input has been discarded: nothing after it is read any more. */
+    boolean isDiscarding() {
+        return discarding;
+    }
+
+    /** Whether input has been discarded and all that was queued before it is processed. */
+    boolean isExhausted() {
+        return discarding && messages.isEmpty();
+    }
+
+    /**
+     * Queues a message, or discards it if a limit is reached; owns the message either way. A body chunk is
+     * copied out of its read buffer, which even one byte of it would pin.
+     */
+    void enqueue(Object message) {
+        Object queued = message;
+        if (message instanceof HttpContent content && content.content().isReadable()) {
+            queued = content.replace(Unpooled.copiedBuffer(content.content()));
+            content.release();
+        }
+        int cost = memoryCost(queued);
+        if (bytes + cost > MAX_BYTES || !limits.tryReserve(cost, 0)) {
+            ReferenceCountUtil.release(queued);
+            discarding = true;
+            return;
+        }
+        bytes += cost;
+        messages.add(queued);
+    }
+
+    private static int memoryCost(Object message) {
+        return message instanceof HttpContent content
+                ? CONTENT_OVERHEAD_BYTES + content.content().readableBytes()
+                : HEAD_BYTES;
+    }
+
+    /** Removes the oldest message, which the caller then owns; the queue must not be empty. */
+    Object poll() {
+        Object next = messages.poll();
+        int cost = memoryCost(next);
+        bytes -= cost;
+        limits.release(cost);
+        return next;
+    }
+
+    /** Releases all queued messages. */
+    void release() {
+        while (!messages.isEmpty()) {
+            ReferenceCountUtil.release(poll());
+        }
+    }
+}
--- /dev/null
+++ b/node/src/test/java/weldhitch/node/ConnectionDeadlinesTest.java
@@ -0,0 +1,83 @@
+package weldhitch.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static weldhitch.node.ClientConnectionState.CLOSING;
+import static weldhitch.node.ClientConnectionState.DISCARDING_BODY;
+import static weldhitch.node.ClientConnectionState.IDLE;
+import static weldhitch.node.ClientConnectionState.RECEIVING;
+import static weldhitch.node.ClientConnectionState.STREAMING;
+import static weldhitch.node.ClientConnectionState.WAITING;
+
+import org.junit.jupiter.api.Test;
+import weldhitch.node.ConnectionDeadlines.Expiry;
+
+/** Each timeout of {@link ConnectionDeadlines}, on its boundary. */
+class ConnectionDeadlinesTest {
+    private static final long START = 1_000_000_000_000L;
+
+    private final ConnectionDeadlines deadlines = new ConnectionDeadlines(START);
+
+    private void assertExpiresAfter(long timeout, Expiry expiry, ClientConnectionState state, long since) {
+        assertEquals(Expiry.NONE, deadlines.expiry(state, since + timeout));
+        assertEquals(expiry, deadlines.expiry(state, since + timeout + 1));
+    }
+
+    @Test
+    void idle_timeoutIsShortBeforeTheFirstRequestAndLongAfterIt() {
+        assertExpiresAfter(ConnectionDeadlines.FIRST_REQUEST_TIMEOUT_NANOS, Expiry.IDLE, IDLE, START);
+        deadlines.requestStarted();
+        assertExpiresAfter(ConnectionDeadlines.IDLE_TIMEOUT_NANOS, Expiry.IDLE, IDLE, START);
+    }
+
+    @Test
+    void head_timeoutRunsFromItsFirstByteUntilTheStateChanges() {
+        deadlines.headStarted(START + 7);
+        assertTrue(deadlines.isReadingHead());
+        assertExpiresAfter(ConnectionDeadlines.HEAD_TIMEOUT_NANOS, Expiry.HEAD, IDLE, START + 7);
+        deadlines.stateChanged(START + 9);
+        assertFalse(deadlines.isReadingHead());
+        assertEquals(5, deadlines.timeInState(START + 14));
+    }
+
+    @Test
+    void body_timeoutGrowsWithTheBytesReceivedSinceTheHead() {
+        deadlines.bytesReceived(1_000_000);
+        deadlines.requestStarted();
+        assertExpiresAfter(ConnectionDeadlines.BODY_GRACE_NANOS, Expiry.BODY, RECEIVING, START);
+        deadlines.bytesReceived((int) ConnectionDeadlines.MIN_BODY_BYTES_PER_SECOND);
+        long grown = ConnectionDeadlines.BODY_GRACE_NANOS + 1_000_000_000L;
+        assertExpiresAfter(grown, Expiry.BODY, RECEIVING, START);
+        assertExpiresAfter(grown, Expiry.BODY, DISCARDING_BODY, START);
+    }
+
+    @Test
+    void linger_timeoutWaitsForPendingWrites() {
+        deadlines.writeStarted(START);
+        assertTrue(deadlines.hasPendingWrites());
+        assertEquals(Expiry.NONE, deadlines.expiry(CLOSING, START + ConnectionDeadlines.LINGER_TIMEOUT_NANOS + 1));
+        deadlines.writeCompleted();
+        assertFalse(deadlines.hasPendingWrites());
+        assertExpiresAfter(ConnectionDeadlines.LINGER_TIMEOUT_NANOS, Expiry.LINGER, CLOSING, START);
+    }
+
+    @Test
+    void expiry_whileTheRequestIsWithTheDispatcher_isNone() {
+        assertEquals(Expiry.NONE, deadlines.expiry(WAITING, Long.MAX_VALUE));
+        assertEquals(Expiry.NONE, deadlines.expiry(STREAMING, Long.MAX_VALUE));
+    }
+
+    @Test
+    void writeStalled_countsFromTheLatestProgressWhileAWriteIsPendingOrTheChannelIsFull() {
+        long timeout = ConnectionDeadlines.WRITE_TIMEOUT_NANOS;
+        deadlines.writeStarted(START);
+        assertFalse(deadlines.writeStalled(START + timeout, true));
+        assertTrue(deadlines.writeStalled(START + timeout + 1, true));
+        deadlines.writeProgressed(START + 5);
+        assertFalse(deadlines.writeStalled(START + timeout + 5, false));
+        assertTrue(deadlines.writeStalled(START + timeout + 6, false));
+        deadlines.writeCompleted();
+        assertFalse(deadlines.writeStalled(START + timeout + 6, true));
+    }
+}
--- /dev/null
+++ b/node/src/test/java/weldhitch/node/PipelinedInputTest.java
@@ -0,0 +1,86 @@
+package weldhitch.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultHttpContent;
+import io.netty.handler.codec.http.DefaultHttpRequest;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpVersion;
+import org.junit.jupiter.api.Test;
+
+/** The limits of {@link PipelinedInput} and the release of what it reserves. */
+class PipelinedInputTest {
+    private final ResourceLimits limits = new ResourceLimits(1024, 64L << 20);
+    private final PipelinedInput input = new PipelinedInput(limits);
+
+    private static DefaultHttpRequest head() {
+        return new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
+    }
+
+    private static ByteBuf buffer(int size) {
+        return Unpooled.buffer(size).writeZero(size);
+    }
+
+    @Test
+    void poll_returnsMessagesInOrderAndReleasesTheirMemory() {
+        DefaultHttpRequest first = head();
+        DefaultHttpRequest second = head();
+        input.enqueue(first);
+        input.enqueue(second);
+        assertEquals(2 * PipelinedInput.HEAD_BYTES, limits.reservedBytes());
+
+        assertSame(first, input.poll());
+        assertEquals(PipelinedInput.HEAD_BYTES, limits.reservedBytes());
+        assertSame(second, input.poll());
+        assertEquals(0, limits.reservedBytes());
+        assertTrue(input.isEmpty());
+        assertFalse(input.isExhausted());
+    }
+
+    @Test
+    void enqueue_bodyChunk_isCopiedOutOfItsReadBuffer() {
+        ByteBuf readBuffer = buffer(1000);
+        input.enqueue(new DefaultHttpContent(readBuffer));
+
+        assertEquals(0, readBuffer.refCnt());
+        assertEquals(PipelinedInput.CONTENT_OVERHEAD_BYTES + 1000, limits.reservedBytes());
+        HttpContent queued = (HttpContent) input.poll();
+        assertEquals(1000, queued.content().readableBytes());
+        queued.release();
+    }
+
+    @Test
+    void enqueue_aboveTheLimit_discardsTheMessageAndKeepsTheEarlierOnes() {
+        int fitting = PipelinedInput.MAX_BYTES / PipelinedInput.HEAD_BYTES;
+        for (int i = 0; i < fitting; i++) {
+            input.enqueue(head());
+        }
+        assertFalse(input.isDiscarding());
+
+        ByteBuf readBuffer = buffer(1);
+        input.enqueue(new DefaultHttpContent(readBuffer));
+        assertEquals(0, readBuffer.refCnt());
+        assertTrue(input.isDiscarding());
+        assertFalse(input.isExhausted());
+        assertEquals(PipelinedInput.MAX_BYTES, limits.reservedBytes());
+
+        input.release();
+        assertTrue(input.isExhausted());
+        assertEquals(0, limits.reservedBytes());
+    }
+
+    @Test
+    void enqueue_whenTheNodesMemoryIsReserved_discards() {
+        ResourceLimits exhausted = new ResourceLimits(1024, 0);
+        PipelinedInput rejecting = new PipelinedInput(exhausted);
+        rejecting.enqueue(head());
+        assertTrue(rejecting.isExhausted());
+        assertEquals(0, exhausted.reservedBytes());
+    }
+}
--- a/node/src/test/java/weldhitch/node/RequestTokenTest.java
+++ b/node/src/test/java/weldhitch/node/RequestTokenTest.java
@@ -21,10 +21,10 @@
                 text.append(letters.charAt(from > 12 ? random.nextInt(letters.length()) : random.nextInt(12)));
             }
             String token = text.toString();
-            assertEquals(token.matches("[!-~]{1,64}"), ClientConnection.isRequestId(token), token);
-            assertEquals(token.matches("[0-9]{1,18}(\\.[0-9]{0,18})?"), ClientConnection.isDecimal(token), token);
+            assertEquals(token.matches("[!-~]{1,64}"), ClientRequestParser.isRequestId(token), token);
+            assertEquals(token.matches("[0-9]{1,18}(\\.[0-9]{0,18})?"), ClientRequestParser.isDecimal(token), token);
         }
-        assertEquals(true, ClientConnection.isDecimal("123456789012345678.123456789012345678"));
-        assertEquals(false, ClientConnection.isDecimal("1.1234567890123456789"));
+        assertEquals(true, ClientRequestParser.isDecimal("123456789012345678.123456789012345678"));
+        assertEquals(false, ClientRequestParser.isDecimal("1.1234567890123456789"));
     }
 }
