--- /dev/null
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/SpillPolicyReaderTest.java
@@ -0,0 +1,45 @@
+package weldhitch.routeconfig;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.dataformat.toml.TomlMapper;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import weldhitch.fleet.locality.LocalityRule.HysteresisBand;
+import weldhitch.fleet.locality.LocalityRule.SpillPolicy;
+
+/** Tests the defaults of a spill policy, and that one invalid setting leaves out the policy. */
+class SpillPolicyReaderTest {
+    private final List<ConfigProblem> problems = new ArrayList<>();
+
+    private SpillPolicy read(String text) throws JsonProcessingException {
+        TomlValueReader values = new TomlValueReader("f.toml", new TomlLineIndex(text), problems);
+        return new SpillPolicyReader(values).read(new TomlMapper().readTree(text), "locality[0]");
+    }
+
+    @Test
+    void defaultsApplyWhereNothingIsSet() throws JsonProcessingException {
+        assertEquals(
+                new SpillPolicy(
+                        new HysteresisBand(0.85, 0.7),
+                        new HysteresisBand(0.5, 0.8),
+                        new HysteresisBand(0.3, 0.1),
+                        5_000_000_000L,
+                        1,
+                        0.2,
+                        0.02),
+                read(""));
+        assertEquals(List.of(), problems);
+    }
+
+    @Test
+    void oneInvalidSettingLeavesOutThePolicy() throws JsonProcessingException {
+        assertNull(read("dwell = \"2s\"\nmost = 0\n"));
+        assertEquals(
+                List.of("locality[0].most"),
+                problems.stream().map(ConfigProblem::key).toList());
+    }
+}
