--- a/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
@@ -21,14 +21,18 @@
     /** Keeps the division finite where everything spills. */
     private static final double MIN_DIVISOR = 1e-12;
 
+    /**
+     * A priority level with its state.
+     *
+     * @param zones its zones
+     * @param zoneList the same as a list, for requests that may go to all of them
+     */
+    private record PriorityLevel(Set<String> zones, List<String> zoneList, PriorityLevelState state) {}
+
     private final LocalityRule rule;
     private final SpillTokens spillTokens;
     private final DecayingRate arrivalRate = new DecayingRate();
-    private List<Set<String>> priorityLevels = List.of();
-    /** The zones of each level as lists, for requests that may go to all of them. */
-    private List<List<String>> zonesByLevel = List.of();
-
-    private final List<PriorityLevelState> levelStates = new ArrayList<>();
+    private List<PriorityLevel> levels = List.of();
     private Map<String, ZoneView> zoneViews = Map.of();
     /** Whether the coordinators grant quotas now. */
     private boolean coordinated;
@@ -55,21 +59,22 @@
      * Replaces the priority levels after zones came or went; the state of a level that remains is retained.
      */
     final void updatePriorityLevels(List<Set<String>> newLevels, long now) {
-        if (newLevels.equals(priorityLevels)) {
+        if (newLevels.equals(levels.stream().map(PriorityLevel::zones).toList())) {
             return;
         }
-        List<PriorityLevelState> newStates = new ArrayList<>();
-        for (Set<String> level : newLevels) {
-            int previousIndex = priorityLevels.indexOf(level);
-            newStates.add(
-                    previousIndex >= 0
-                            ? levelStates.get(previousIndex)
-                            : new PriorityLevelState(rule.spillPolicy(), now));
+        List<PriorityLevel> replaced = new ArrayList<>();
+        for (Set<String> zones : newLevels) {
+            replaced.add(new PriorityLevel(zones, List.copyOf(zones), retainedState(zones, now)));
         }
-        priorityLevels = List.copyOf(newLevels);
-        zonesByLevel = newLevels.stream().map(List::copyOf).toList();
-        levelStates.clear();
-        levelStates.addAll(newStates);
+        levels = replaced;
+    }
+
+    private PriorityLevelState retainedState(Set<String> zones, long now) {
+        return levels.stream()
+                .filter(level -> level.zones.equals(zones))
+                .findFirst()
+                .map(PriorityLevel::state)
+                .orElseGet(() -> new PriorityLevelState(rule.spillPolicy(), now));
     }
 
     /**
@@ -80,8 +85,8 @@
     void updateViews(Map<String, ZoneView> newViews, boolean hasCoordinators, long now) {
         zoneViews = newViews;
         coordinated = hasCoordinators;
-        for (int i = 0; i < priorityLevels.size(); i++) {
-            levelStates.get(i).update(levelView(priorityLevels.get(i)), now);
+        for (PriorityLevel level : levels) {
+            level.state.update(levelView(level.zones), now);
         }
     }
 
@@ -89,12 +94,12 @@
      * The view of a priority level: its zones together. A level without any known zone, as no list has named
      * an endpoint of it, counts as unavailable.
      */
-    private ZoneView levelView(Set<String> level) {
+    private ZoneView levelView(Set<String> zones) {
         double capacity = 0;
         double healthyCapacity = 0;
         double usedCapacity = 0;
         double lateCapacity = 0;
-        for (String zone : level) {
+        for (String zone : zones) {
             ZoneView view = zoneViews.get(zone);
             if (view != null) {
                 capacity += view.capacity();
@@ -120,8 +125,8 @@
         return view != null && view.healthyFraction() >= PriorityLevelState.MIN_HEALTHY_FRACTION;
     }
 
-    private Set<String> availableZones(int level) {
-        Set<String> available = new TreeSet<>(priorityLevels.get(level));
+    private Set<String> availableZones(PriorityLevel level) {
+        Set<String> available = new TreeSet<>(level.zones);
         available.removeIf(zone -> !isAvailable(zone));
         return available;
     }
@@ -130,13 +135,13 @@
      * Adds the load that this node would send beyond its first priority level, in calls per second by zone.
      */
     void addDemand(Map<String, Double> demandByZone, long now) {
-        double remainingRate = levelStates.isEmpty()
+        double remainingRate = levels.isEmpty()
                 ? 0
                 : DEMAND_MARGIN
                         * arrivalRate.perSecond(now)
-                        * levelStates.get(0).spillFraction(now);
-        for (int i = 1; i < priorityLevels.size() && remainingRate > MIN_DEMAND; i++) {
-            Set<String> available = availableZones(i);
+                        * levels.get(0).state.spillFraction(now);
+        for (int i = 1; i < levels.size() && remainingRate > MIN_DEMAND; i++) {
+            Set<String> available = availableZones(levels.get(i));
             boolean allGrantsKnown = true;
             double grantedRate = 0;
             for (String zone : available) {
@@ -162,9 +167,9 @@
         uncoordinatedCredit =
                 Math.min(1, uncoordinatedCredit + rule.spillPolicy().uncoordinatedFraction());
         double remainingDraw = uniformDraw;
-        for (int i = 0; i < priorityLevels.size(); i++) {
-            PriorityLevelState state = levelStates.get(i);
-            double spillFraction = i == priorityLevels.size() - 1 ? 0 : state.spillFraction(now);
+        for (int i = 0; i < levels.size(); i++) {
+            PriorityLevelState state = levels.get(i).state;
+            double spillFraction = i == levels.size() - 1 ? 0 : state.spillFraction(now);
             boolean spills = remainingDraw < spillFraction;
             remainingDraw = spills
                     ? remainingDraw / spillFraction
@@ -176,7 +181,7 @@
                 }
             }
         }
-        if (!priorityLevels.isEmpty() && !levelStates.get(0).isUnavailable()) {
+        if (!levels.isEmpty() && !levels.get(0).state.isUnavailable()) {
             return selectLevel(0);
         }
         return rule.panic() ? selectAllZones() : new ZoneSelection(this, ZoneSelection.NO_LEVEL, List.of(), false);
@@ -189,25 +194,22 @@
      */
     private ZoneSelection selectAllZones() {
         Set<String> available = new TreeSet<>();
-        for (int i = 0; i < priorityLevels.size(); i++) {
-            available.addAll(availableZones(i));
+        for (PriorityLevel level : levels) {
+            available.addAll(availableZones(level));
         }
         return new ZoneSelection(
-                this,
-                available.isEmpty() ? ZoneSelection.NO_LEVEL : priorityLevels.size(),
-                List.copyOf(available),
-                false);
+                this, available.isEmpty() ? ZoneSelection.NO_LEVEL : levels.size(), List.copyOf(available), false);
     }
 
     private ZoneSelection selectLevel(int level) {
-        return new ZoneSelection(this, level, zonesByLevel.get(level), false);
+        return new ZoneSelection(this, level, levels.get(level).zoneList, false);
     }
 
     /**
      * Selects a zone of that level by a token, or by the uncoordinated fraction; null if there is neither.
      */
     private ZoneSelection selectSpill(int level, long now) {
-        Set<String> available = availableZones(level);
+        Set<String> available = availableZones(levels.get(level));
         String zone = spillTokens.takeToken(available, now);
         if (zone != null) {
             return new ZoneSelection(this, level, List.of(zone), true);
@@ -224,20 +226,20 @@
      * there are no others.
      */
     ZoneSelection selectNext(ZoneSelection previous, long now) {
-        for (int i = previous.priorityLevel() + 1; i < priorityLevels.size(); i++) {
-            ZoneSelection selection = levelStates.get(i).isUnavailable() ? null : selectSpill(i, now);
+        for (int i = previous.priorityLevel() + 1; i < levels.size(); i++) {
+            ZoneSelection selection = levels.get(i).state.isUnavailable() ? null : selectSpill(i, now);
             if (selection != null) {
                 return selection;
             }
         }
         if (previous.priorityLevel() != 0
-                && !priorityLevels.isEmpty()
-                && !levelStates.get(0).isUnavailable()) {
+                && !levels.isEmpty()
+                && !levels.get(0).state.isUnavailable()) {
             return selectLevel(0);
         }
         ZoneSelection fallback = rule.panic()
-                        && previous.priorityLevel() < priorityLevels.size()
-                        && levelStates.get(0).isUnavailable()
+                        && previous.priorityLevel() < levels.size()
+                        && levels.get(0).state.isUnavailable()
                 ? selectAllZones()
                 : previous;
         return fallback.zones().isEmpty() ? previous : fallback;
@@ -245,31 +247,31 @@
 
     /** Whether no priority level has a responding endpoint. */
     boolean hasNoAvailableZone() {
-        return levelStates.stream().allMatch(PriorityLevelState::isUnavailable);
+        return levels.stream().allMatch(level -> level.state.isUnavailable());
     }
 
     /** How often any priority level has begun or ceased to spill over. */
     int transitions() {
-        return levelStates.stream().mapToInt(PriorityLevelState::transitions).sum();
+        return levels.stream().mapToInt(level -> level.state.transitions()).sum();
     }
 
     /** Describes the state of all priority levels, for a log line. */
     String describe(long now) {
         StringBuilder text = new StringBuilder("priority levels changed rule=" + rule.name());
-        for (int i = 0; i < priorityLevels.size(); i++) {
+        for (int i = 0; i < levels.size(); i++) {
             text.append(i == 0 ? " " : "; ").append(describeLevel(i, now));
         }
         return text.append("; coordinated=").append(coordinated).toString();
     }
 
     private String describeLevel(int level, long now) {
-        PriorityLevelState state = levelStates.get(level);
-        ZoneView view = levelView(priorityLevels.get(level));
+        PriorityLevelState state = levels.get(level).state;
+        ZoneView view = levelView(levels.get(level).zones);
         return String.format(
                 Locale.ROOT,
                 "level=%d zones=%s state=%s utilization=%.2f healthy=%.2f late=%.2f spill=%.2f",
                 level,
-                priorityLevels.get(level),
+                levels.get(level).zones,
                 stateName(state),
                 view.utilization(),
                 view.healthyFraction(),
