--- a/consensus/src/main/java/weldhitch/consensus/Acceptor.java
+++ b/consensus/src/main/java/weldhitch/consensus/Acceptor.java
@@ -15,7 +15,7 @@
  * and discards an instance when the next one starts. A proposer of a generation has seen the previous one
  * committed, so nothing is lost by that.
  *
- * <p>A reply is valid only once the {@link AcceptorState} state is on disk: write first, then reply.
+ * <p>A reply is valid only once the {@link AcceptorState} is on disk: write first, then reply.
  *
  * <p>Not thread-safe.
  */
@@ -59,21 +59,20 @@
             return new Superseded(name, state.generation());
         }
         if (generation > state.generation()) {
-            state = new AcceptorState(state.committed(), generation, null, null, null);
+            state = state.atGeneration(generation);
         }
         if (message instanceof Prepare prepare) {
             if (isBelowPromise(prepare.ballot())) {
                 return new Preempted(name, prepare.ballot(), state.promised());
             }
-            state = new AcceptorState(
-                    state.committed(), generation, prepare.ballot(), state.acceptedBallot(), state.accepted());
+            state = state.withPromise(prepare.ballot());
             return new Promise(name, prepare.ballot(), state.acceptedBallot(), state.accepted());
         }
         Accept accept = (Accept) message;
         if (isBelowPromise(accept.ballot())) {
             return new Preempted(name, accept.ballot(), state.promised());
         }
-        state = new AcceptorState(state.committed(), generation, accept.ballot(), accept.ballot(), accept.state());
+        state = state.withAccepted(accept.ballot(), accept.state());
         return new Accepted(name, accept.ballot());
     }
 
@@ -84,10 +83,7 @@
     /** Adopts a state that another acceptor knows to be committed. */
     public void learn(CommittedState learned) {
         if (learned.generation() > state.committed().generation()) {
-            state = learned.generation() >= state.generation()
-                    ? new AcceptorState(learned, learned.generation() + 1, null, null, null)
-                    : new AcceptorState(
-                            learned, state.generation(), state.promised(), state.acceptedBallot(), state.accepted());
+            state = state.withCommitted(learned);
         }
     }
 
--- a/consensus/src/main/java/weldhitch/rollout/CapacityGuard.java
+++ b/consensus/src/main/java/weldhitch/rollout/CapacityGuard.java
@@ -54,6 +54,21 @@
         return shortages;
     }
 
+    /** Counts the instances of one site or tier. */
+    private static final class GroupCount {
+        private int instances;
+        private int readyNow;
+        private int readyAfter;
+
+        void add(Instance instance, Set<String> removed) {
+            instances++;
+            if (instance.ready()) {
+                readyNow++;
+                readyAfter += removed.contains(instance.name()) ? 0 : 1;
+            }
+        }
+    }
+
     /** Returns how many of that number of instances must stay ready. */
     int requiredReady(int instances) {
         return (int) Math.ceil(minReadyFraction * instances - 1e-9);
@@ -64,17 +79,15 @@
             Set<String> removed,
             Function<Instance, String> groupOf,
             List<Shortage> shortages) {
-        Map<String, int[]> counts = new TreeMap<>();
+        Map<String, GroupCount> counts = new TreeMap<>();
         for (Instance instance : instances) {
-            int[] count = counts.computeIfAbsent(groupOf.apply(instance), newGroup -> new int[3]);
-            count[0]++;
-            count[1] += instance.ready() ? 1 : 0;
-            count[2] += instance.ready() && !removed.contains(instance.name()) ? 1 : 0;
+            counts.computeIfAbsent(groupOf.apply(instance), newGroup -> new GroupCount())
+                    .add(instance, removed);
         }
         counts.forEach((name, count) -> {
-            int required = requiredReady(count[0]);
-            if (count[2] < required && count[2] < count[1]) {
-                shortages.add(new Shortage(name, count[0], count[1], count[2], required));
+            int required = requiredReady(count.instances);
+            if (count.readyAfter < required && count.readyAfter < count.readyNow) {
+                shortages.add(new Shortage(name, count.instances, count.readyNow, count.readyAfter, required));
             }
         });
     }
--- a/consensus/src/main/java/weldhitch/rollout/RestartBackoff.java
+++ b/consensus/src/main/java/weldhitch/rollout/RestartBackoff.java
@@ -11,6 +11,12 @@
  * <p>Not thread-safe.
  */
 public final class RestartBackoff {
+    /** The result of {@link #onExited} when the instance is not to be restarted. */
+    public static final long CRASH_LOOP = -1;
+
+    /** Doublings after which the delay is at its maximum in any case, and a shift could overflow. */
+    private static final int MAX_DOUBLINGS = 40;
+
     private final long initialDelay;
     private final long maxDelay;
     private final long resetAfter;
@@ -46,7 +52,7 @@
     }
 
     /**
-     * Records an exit that nobody requested. Returns the delay before the next restart, or -1 for a crash loop.
+     * Records an exit that nobody requested. Returns the delay before the next restart, or {@link #CRASH_LOOP}.
      */
     public long onExited(long now) {
         consecutiveExits = now - startedAt >= resetAfter ? 1 : consecutiveExits + 1;
@@ -55,10 +61,10 @@
             exitTimes.removeFirst();
         }
         if (exitTimes.size() >= maxExits) {
-            return -1;
+            return CRASH_LOOP;
         }
         int doublings = consecutiveExits - 1;
-        return doublings > 40 || initialDelay > maxDelay >> doublings ? maxDelay : initialDelay << doublings;
+        return doublings > MAX_DOUBLINGS || initialDelay > maxDelay >> doublings ? maxDelay : initialDelay << doublings;
     }
 
     /** Resets all counts, because an operator requests another attempt. */
--- a/consensus/src/main/java/weldhitch/rollout/Rollout.java
+++ b/consensus/src/main/java/weldhitch/rollout/Rollout.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.Deque;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -36,8 +37,8 @@
      *
      * @param fleet all instances: the fraction refers to these, not to the targets
      * @param targets names of the instances to update
-     * @param maxUnavailableFraction fraction of a site's instances, above 0 and up to 1, that may be unavailable at once; one
-     *     instance always may
+     * @param maxUnavailableFraction fraction of a site's instances, above 0 and up to 1, that may be unavailable at
+     *     once; one instance always may
      */
     public Rollout(List<Instance> fleet, Set<String> targets, double maxUnavailableFraction) {
         if (!(maxUnavailableFraction > 0 && maxUnavailableFraction <= 1)) {
@@ -126,7 +127,7 @@
      */
     public List<String> rollbackOrder() {
         List<String> reversed = new ArrayList<>(updated);
-        java.util.Collections.reverse(reversed);
+        Collections.reverse(reversed);
         return state == State.FAILED ? reversed : List.of();
     }
 }
--- a/consensus/src/main/java/weldhitch/statelog/StateLog.java
+++ b/consensus/src/main/java/weldhitch/statelog/StateLog.java
@@ -239,6 +239,7 @@
         }
     }
 
+    /** Writes the whole record at {@code offset}, in as many writes as it takes. */
     public static void append(FileChannel target, ByteBuffer record, long offset) throws IOException {
         long position = offset;
         while (record.hasRemaining()) {
--- a/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorCore.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorCore.java
@@ -253,7 +253,7 @@
             leases.clear();
             membership.clear();
             elections.onLeadershipExpired(now);
-            effects.add(new LogEvent("does not lead any more: its authority has run out"));
+            effects.add(new LogEvent("leadership lost: the lease has expired"));
         }
     }
 
--- a/coordinator/src/main/java/weldhitch/coordinator/core/FleetStateChanges.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/FleetStateChanges.java
@@ -52,6 +52,6 @@
 
     /** Returns the event of a change of membership. */
     static LogEvent membershipEvent(FleetState current) {
-        return new LogEvent("the roster holds " + current.members().size() + " members");
+        return new LogEvent("membership changed members=" + current.members().size());
     }
 }
--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorLoop.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorLoop.java
@@ -152,7 +152,7 @@
         errors.forEach(this::logError);
         submissions.removedMembers().forEach((member, file) -> {
             if (core.removeMember(System.nanoTime(), member)) {
-                log.accept("an operator says that " + member + " is gone");
+                log.accept("coordinator member removed by operator name=" + settings.name() + " member=" + member);
                 submissions.markAccepted(file, core.generation());
             }
         });
@@ -179,8 +179,8 @@
                 memberCalls.answerAll(System.nanoTime());
             }
         } catch (RuntimeException e) {
-            log.accept("steward " + settings.name() + " failed on an event, and goes on: " + e
-                    + (e.getStackTrace().length > 0 ? " at " + e.getStackTrace()[0] : ""));
+            log.accept("coordinator event failed, continues name=" + settings.name() + " error=" + e
+                    + (e.getStackTrace().length > 0 ? " at=" + e.getStackTrace()[0] : ""));
         }
     }
 
--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorServer.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorServer.java
@@ -24,8 +24,8 @@
 import weldhitch.fleet.error.FleetException;
 
 /**
- * A coordinator process: it owns the event loop that serves sockets ({@link HttpRequestHandler}) and the decision thread
- * ({@link CoordinatorLoop}), and wires them up.
+ * A coordinator process: it owns the event loop that serves sockets ({@link HttpRequestHandler}) and the decision
+ * thread ({@link CoordinatorLoop}), and wires them up.
  *
  * <p>The public methods may be called from any thread.
  */
--- a/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
@@ -16,7 +16,7 @@
 import weldhitch.fleet.activation.MemberHeartbeatResponse;
 
 /**
- * Coordinators and members in virtual time, each with a clock of its own, over a network that an {@link FaultModel}
+ * Coordinators and members in virtual time, each with a clock of its own, over a network that a {@link FaultModel}
  * controls. It knows the true time, and checks the versions that members serve against each other.
  *
  * <p>Single-threaded.
@@ -483,7 +483,7 @@
                         && coordinator.core.isLeader(coordinator.localTime()))
                 .count();
         if (leaders > 1) {
-            violations.add("two stewards lead at " + now / MILLI + " ms");
+            violations.add("two coordinators lead at " + now / MILLI + " ms");
         }
     }
 
@@ -501,7 +501,7 @@
                     && acceptedCounts.merge(
                                     acceptorState.generation() + " " + acceptorState.acceptedBallot(), 1, Integer::sum)
                             > coordinatorNames.size() / 2) {
-                violations.add(leader.name + " gave a lease at " + now / MILLI + " ms that does not tell of a commit");
+                violations.add(leader.name + " granted a lease at " + now / MILLI + " ms without a decided commit");
             }
         }
     }
@@ -571,7 +571,7 @@
                 .distinct()
                 .count();
         if (generationCount != 1) {
-            return "stewards know different decisions";
+            return "coordinators know different committed states";
         }
         if (coordinators.values().stream()
                 .anyMatch(coordinator -> coordinator.core.fleetState().pendingVersion() != null)) {
@@ -586,7 +586,7 @@
         for (SimulatedMember member : members.values()) {
             // A member that cannot serve the active version serves nothing.
             if (member.servedVersion() != (member.rejectsAllVersions && activeVersion > 0 ? -1 : activeVersion)) {
-                return member.name + " serves by " + member.servedVersion() + ", " + activeVersion + " is in force";
+                return member.name + " serves version " + member.servedVersion() + ", active is " + activeVersion;
             }
         }
         return null;
--- a/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
@@ -248,7 +248,7 @@
                     + cluster.maxSwitchError / MILLI + " ms";
         }
         if (violation == null && cluster.whyNotConverged() != null) {
-            violation = "does not come to rest: " + cluster.whyNotConverged();
+            violation = "does not converge: " + cluster.whyNotConverged();
         }
         return new RunResult(cluster, violation);
     }
@@ -397,7 +397,7 @@
                 IntStream.range(0, 8000)
                         .parallel()
                         .anyMatch(seed -> runSchedule(seed, disabledSafeguard).violation != null),
-                disabledSafeguard + " is not missed in any schedule");
+                disabledSafeguard + " is not necessary in any schedule");
     }
 
     /**
--- a/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorSettingsTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorSettingsTest.java
@@ -15,7 +15,8 @@
 /** Invalid files are rejected with file, line, key and the expected value, all errors at once. */
 class CoordinatorSettingsTest {
     private static final String VALID = "version = 1\nname = \"s1\"\ncluster = \"kigali\"\nlisten = \"127.0.0.1:0\"\n"
-            + "directory = \"/tmp/s1\"\n[stewards]\ns1 = \"127.0.0.1:7101\"\ns2 = \"127.0.0.1:7102\"\ns3 = \"127.0.0.1:7103\"\n";
+            + "directory = \"/tmp/s1\"\n[stewards]\ns1 = \"127.0.0.1:7101\"\n"
+            + "s2 = \"127.0.0.1:7102\"\ns3 = \"127.0.0.1:7103\"\n";
 
     @TempDir
     Path directory;
