--- /dev/null
+++ b/node/src/main/java/weldhitch/node/BalancerDriver.java
@@ -0,0 +1,92 @@
+package weldhitch.node;
+
+import java.util.ArrayDeque;
+import java.util.List;
+import java.util.function.Consumer;
+import weldhitch.capture.live.CaptureRecorder;
+import weldhitch.decision.action.BalancerAction;
+import weldhitch.decision.balancing.IncrementalSnapshot;
+import weldhitch.decision.balancing.RatioBalancer;
+import weldhitch.decision.balancing.RouteStates;
+import weldhitch.decision.event.BalancerEvent;
+
+/**
+ * Delivers events to the balancer one at a time, has its actions executed, and records both if the node is
+ * captured. Events that are submitted while actions are executed are queued behind. Owned by
+ * {@link Dispatcher}; not thread-safe, confined to the event loop.
+ */
+final class BalancerDriver {
+    private final Clock clock;
+    private final RatioBalancer balancer;
+    private final Consumer<BalancerAction> executor;
+    private final ArrayDeque<BalancerEvent> eventQueue = new ArrayDeque<>();
+    private boolean delivering;
+    /** Records all events that the balancer handles; null if nothing is captured. */
+    private CaptureRecorder capture;
+
+    BalancerDriver(Clock clock, RatioBalancer balancer, Consumer<BalancerAction> executor) {
+        this.clock = clock;
+        this.balancer = balancer;
+        this.executor = executor;
+    }
+
+    /** Records every event from the next one on; null stops recording. */
+    void capture(CaptureRecorder next) {
+        if (capture != null) {
+            capture.completeSnapshot();
+        }
+        capture = next;
+    }
+
+    IncrementalSnapshot snapshot() {
+        return balancer.beginSnapshot();
+    }
+
+    /** The active routes, from which their successors are built. */
+    RouteStates activeRoutes() {
+        return balancer.routes();
+    }
+
+    /** Delivers the event, or queues it if another is being delivered. */
+    void submit(BalancerEvent event) {
+        eventQueue.add(event);
+        if (delivering) {
+            return;
+        }
+        delivering = true;
+        try {
+            for (BalancerEvent next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
+                deliver(next);
+            }
+        } finally {
+            delivering = false;
+        }
+    }
+
+    private void deliver(BalancerEvent event) {
+        try {
+            long now = clock.now();
+            for (BalancerAction action : capture == null ? balancer.handle(now, event) : handleCaptured(now, event)) {
+                executor.accept(action);
+            }
+        } catch (RuntimeException e) {
+            // A fault in the balancer costs the request at hand, which its watchdog ends, and never the
+            // process.
+            Log.failure("balancer failed event=" + event.getClass().getSimpleName(), e);
+        }
+    }
+
+    private List<BalancerAction> handleCaptured(long now, BalancerEvent event) {
+        capture.beforeEvent(now);
+        List<BalancerAction> actions = null;
+        try {
+            actions = balancer.handle(now, event);
+            capture.afterEvent(now, event, actions);
+            return actions;
+        } finally {
+            if (actions == null) {
+                capture.onEventFailed(now);
+            }
+        }
+    }
+}
--- a/node/src/main/java/weldhitch/node/Dispatcher.java
+++ b/node/src/main/java/weldhitch/node/Dispatcher.java
@@ -1,12 +1,10 @@
 package weldhitch.node;
 
 import io.netty.channel.EventLoop;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
 import weldhitch.capture.live.CaptureRecorder;
 import weldhitch.decision.action.BalancerAction;
 import weldhitch.decision.action.CancelAttempt;
@@ -33,16 +31,13 @@
 import weldhitch.decision.event.TimerFired;
 import weldhitch.decision.event.ZonesAssigned;
 import weldhitch.decision.routing.RouteTable;
-import weldhitch.decision.settings.Idempotency;
 import weldhitch.decision.settings.PlatformLimits;
-import weldhitch.decision.settings.RequestClass;
 import weldhitch.fleet.locality.LocalityRules;
-import weldhitch.fleet.table.VersionedTables.Table;
 
 /**
  * Connects the balancer to the sockets: turns requests, attempt outcomes, endpoint updates and timers into
- * events for the balancer and executes the actions that it returns. Owns the in-flight requests; not
- * thread-safe, confined to the event loop.
+ * events for the balancer and executes the actions that it returns. Owns the in-flight requests and their
+ * attempts; not thread-safe, confined to the event loop.
  */
 final class Dispatcher implements AttemptListener {
     private static final long WATCHDOG_SLACK_NANOS = 8_000_000L;
@@ -54,28 +49,19 @@
 
     private final Clock clock;
     private final EventLoop loop;
-    private final RatioBalancer balancer;
+    private final BalancerDriver driver;
     private final PlatformLimits limits;
-    private final Map<String, InFlightRequest> inFlightById = new HashMap<>();
-    private final ArrayDeque<BalancerEvent> eventQueue = new ArrayDeque<>();
+    private final InFlightRequests requests = new InFlightRequests();
+    private final RouteTableSelector routeSelector = new RouteTableSelector();
     private ServerConnectionPool connectionPool;
     private Runnable onSubscribe = () -> {};
-    /** Records all events that the balancer handles; null if nothing is captured. */
-    private CaptureRecorder capture;
-
-    private boolean delivering;
-    private int unanswered;
-    /** Decides which routes are active at each moment; null if the node's own route configuration does. */
-    private RouteVersionGate versionGate;
-
-    private Table<RoutingRules> activeRoutes;
     /** Selects the zones that requests may go to; null if the node has no route configuration. */
     private ZoneRouter zoneRouter;
 
     Dispatcher(Clock clock, EventLoop loop, RatioBalancer balancer, PlatformLimits limits) {
         this.clock = clock;
         this.loop = loop;
-        this.balancer = balancer;
+        driver = new BalancerDriver(clock, balancer, this::execute);
         this.limits = limits;
     }
 
@@ -86,50 +72,44 @@
 
     /** Records every event from the next one on; null stops recording. */
     void capture(CaptureRecorder next) {
-        if (capture != null) {
-            capture.completeSnapshot();
-        }
-        capture = next;
+        driver.capture(next);
     }
 
     IncrementalSnapshot snapshot() {
-        return balancer.beginSnapshot();
+        return driver.snapshot();
     }
 
     /** Number of requests that still wait for their final answer. */
     int unanswered() {
-        return unanswered;
+        return requests.unanswered();
     }
 
     boolean isInFlight(String id) {
-        return inFlightById.containsKey(id);
+        return requests.contains(id);
     }
 
-    // ---- what happens ----
-
     /** A request has been received completely; its timeout counts from here. */
     void dispatch(InFlightRequest inFlight) {
         long now = clock.now();
         inFlight.deadline = now + inFlight.timeout;
-        inFlightById.put(inFlight.request.id(), inFlight);
-        unanswered++;
+        requests.add(inFlight);
         // Covers a request that the balancer has lost, or that a fault in the balancer left unanswered.
         inFlight.watchdog = loop.schedule(
                 () -> watchdogExpired(inFlight), inFlight.timeout + WATCHDOG_SLACK_NANOS, TimeUnit.NANOSECONDS);
         ClientRequest clientRequest = inFlight.request;
-        if (versionGate != null && !acquireRoutes(inFlight)) {
+        if (routeSelector.managesVersions() && !acquireRoutes(inFlight)) {
             return;
         }
         inFlight.zoneSelection = zoneRouter == null
                 ? null
-                : zoneRouter.selectZones(clientRequest, balancer.routes().routes());
+                : zoneRouter.selectZones(clientRequest, driver.activeRoutes().routes());
         submit(new RequestArrived(
                 clientRequest.id(),
                 clientRequest.requestClass().name(),
                 inFlight.deadline,
                 Headers.tenant(clientRequest),
-                hintedCost(clientRequest),
-                "1".equals(clientRequest.headers().get("X-Second-Try")),
+                Headers.hintedCost(clientRequest),
+                Headers.isRetry(clientRequest),
                 clientRequest.method().name(),
                 clientRequest.uri(),
                 inFlight.zoneSelection == null ? null : inFlight.zoneSelection.zones()));
@@ -137,32 +117,30 @@
 
     /** Activates the table that applies to a request arriving now; false if the request is rejected instead. */
     private boolean acquireRoutes(InFlightRequest inFlight) {
-        inFlight.routeTable = versionGate.acquire(inFlight.request);
+        inFlight.routeTable = routeSelector.acquire(inFlight.request);
         if (inFlight.routeTable == null) {
-            markFinished(inFlight);
+            requests.markFinished(inFlight);
             inFlight.client.rejected(
                     limits.retryAfterAllowed() ? Math.min(REJECTION_RETRY_AFTER_NANOS, limits.maxRetryAfter()) : 0);
             removeIfComplete(inFlight);
             return false;
         }
-        if (inFlight.routeTable != activeRoutes) {
-            activeRoutes = inFlight.routeTable;
-            submit(new RoutesChanged(
-                    activeRoutes.content().routes().routes(),
-                    activeRoutes.content().routes()));
-            zoneRouter.applyRules(activeRoutes.content().locality());
+        if (routeSelector.activate(inFlight.routeTable)) {
+            RoutingRules rules = inFlight.routeTable.content();
+            submit(new RoutesChanged(rules.routes().routes(), rules.routes()));
+            zoneRouter.applyRules(rules.locality());
         }
         return true;
     }
 
     /** From now on this gate decides which routes are active. */
     void versionGate(RouteVersionGate next) {
-        versionGate = next;
+        routeSelector.versionGate(next);
     }
 
     /** The active routes, from which their successors are built. */
     RouteStates activeRoutes() {
-        return balancer.routes();
+        return driver.activeRoutes();
     }
 
     /** Requests that arrive from now on use these routes and locality rules; null for none. */
@@ -176,24 +154,13 @@
         zoneRouter = next;
     }
 
-    /** The client's cost hint, sent in microseconds, as seconds; 0 if it is missing or invalid. */
-    private static double hintedCost(ClientRequest request) {
-        String hint = request.headers().get("X-Size-Hint");
-        try {
-            double cost = hint == null ? 0 : Double.parseDouble(hint) / 1e6;
-            return cost > 0 && cost < 1e6 ? cost : 0;
-        } catch (NumberFormatException e) {
-            return 0;
-        }
-    }
-
     /** Whether responses report the route version that decided their request. */
     boolean reportsVersion() {
-        return versionGate != null && versionGate.reportsVersion();
+        return routeSelector.reportsVersion();
     }
 
     void clientDisconnected(InFlightRequest inFlight) {
-        if (markFinished(inFlight)) {
+        if (requests.markFinished(inFlight)) {
             abandonRequest(inFlight);
         }
     }
@@ -204,11 +171,11 @@
         removeIfComplete(inFlight);
     }
 
-    /** From here on the client has its final answer. */
+    /** From here on the client receives its final answer. */
     @Override
     public StreamSink openStream(Attempt attempt) {
-        InFlightRequest inFlight = inFlightById.get(attempt.request.id());
-        if (!markFinished(inFlight)) {
+        InFlightRequest inFlight = requests.get(attempt.request.id());
+        if (!requests.markFinished(inFlight)) {
             return null;
         }
         attempt.streaming = true;
@@ -228,7 +195,7 @@
         attempt.notExecuted = outcome.notExecuted;
         attempt.transport = null;
         stopTimer(attempt);
-        InFlightRequest inFlight = inFlightById.get(attempt.request.id());
+        InFlightRequest inFlight = requests.get(attempt.request.id());
         inFlight.attemptsInFlight--;
         if (zoneRouter != null) {
             zoneRouter.attemptEnded(
@@ -237,7 +204,7 @@
                     attempt.sentAt,
                     attempt.request.requestClass().latencyObjective());
         }
-        if (outcome == AttemptOutcome.OK && response != null && markFinished(inFlight)) {
+        if (outcome == AttemptOutcome.OK && response != null && requests.markFinished(inFlight)) {
             inFlight.client.served(response);
         }
         // Load reports are not forwarded: the balancer does not use them.
@@ -261,8 +228,8 @@
     }
 
     private void watchdogExpired(InFlightRequest inFlight) {
-        if (markFinished(inFlight)) {
-            Log.line("request " + inFlight.request.id() + " was left unanswered until its deadline");
+        if (requests.markFinished(inFlight)) {
+            Log.line("request watchdog expired id=" + inFlight.request.id());
             inFlight.client.failed(true);
             abandonRequest(inFlight);
         }
@@ -274,8 +241,8 @@
      */
     void answerAll() {
         List<InFlightRequest> answered = new ArrayList<>();
-        for (InFlightRequest inFlight : inFlightById.values()) {
-            if (markFinished(inFlight)) {
+        for (InFlightRequest inFlight : requests.all()) {
+            if (requests.markFinished(inFlight)) {
                 answered.add(inFlight);
                 if (inFlight.attempts.isEmpty()) {
                     inFlight.client.rejected(0);
@@ -299,48 +266,8 @@
         }
     }
 
-    // ---- the module ----
-
     private void submit(BalancerEvent event) {
-        eventQueue.add(event);
-        if (delivering) {
-            return;
-        }
-        delivering = true;
-        try {
-            for (BalancerEvent next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
-                deliver(next);
-            }
-        } finally {
-            delivering = false;
-        }
-    }
-
-    private void deliver(BalancerEvent event) {
-        try {
-            long now = clock.now();
-            for (BalancerAction action : capture == null ? balancer.handle(now, event) : handleCaptured(now, event)) {
-                execute(action);
-            }
-        } catch (RuntimeException e) {
-            // A fault in the balancer costs the request at hand, which its watchdog ends, and never the
-            // process.
-            Log.failure("the module failed on " + event.getClass().getSimpleName(), e);
-        }
-    }
-
-    private List<BalancerAction> handleCaptured(long now, BalancerEvent event) {
-        capture.beforeEvent(now);
-        List<BalancerAction> actions = null;
-        try {
-            actions = balancer.handle(now, event);
-            capture.afterEvent(now, event, actions);
-            return actions;
-        } finally {
-            if (actions == null) {
-                capture.onEventFailed(now);
-            }
-        }
+        driver.submit(event);
     }
 
     private void execute(BalancerAction action) {
@@ -351,23 +278,14 @@
         } else if (action instanceof CancelAttempt cancel) {
             cancel(cancel);
         } else if (action instanceof RejectRequest reject) {
-            InFlightRequest inFlight = inFlightById.get(reject.requestId());
-            if (inFlight != null && markFinished(inFlight)) {
-                inFlight.client.rejected(reject.retryAfter());
-                removeIfComplete(inFlight);
-            }
+            answer(reject.requestId(), inFlight -> inFlight.client.rejected(reject.retryAfter()));
         } else if (action instanceof FailRequest fail) {
-            InFlightRequest inFlight = inFlightById.get(fail.requestId());
-            if (inFlight != null && markFinished(inFlight)) {
-                inFlight.client.failed(fail.routeDeadlineExceeded() || clock.now() >= inFlight.deadline);
-                removeIfComplete(inFlight);
-            }
+            answer(
+                    fail.requestId(),
+                    inFlight ->
+                            inFlight.client.failed(fail.routeDeadlineExceeded() || clock.now() >= inFlight.deadline));
         } else if (action instanceof RequestZones zoneRequest) {
-            InFlightRequest inFlight = inFlightById.get(zoneRequest.requestId());
-            if (inFlight != null && !inFlight.finished) {
-                inFlight.zoneSelection = zoneRouter.selectNextZones(inFlight.zoneSelection);
-                submit(new ZonesAssigned(zoneRequest.requestId(), inFlight.zoneSelection.zones()));
-            }
+            assignZones(zoneRequest);
         } else if (action instanceof SubscribeToEndpoints) {
             onSubscribe.run();
         } else if (action instanceof LogMessage report) {
@@ -375,8 +293,25 @@
         }
     }
 
+    /** Answers the request, unless it has been answered or is not in flight any more. */
+    private void answer(String requestId, Consumer<InFlightRequest> response) {
+        InFlightRequest inFlight = requests.get(requestId);
+        if (inFlight != null && requests.markFinished(inFlight)) {
+            response.accept(inFlight);
+            removeIfComplete(inFlight);
+        }
+    }
+
+    private void assignZones(RequestZones zoneRequest) {
+        InFlightRequest inFlight = requests.get(zoneRequest.requestId());
+        if (inFlight != null && !inFlight.finished) {
+            inFlight.zoneSelection = zoneRouter.selectNextZones(inFlight.zoneSelection);
+            submit(new ZonesAssigned(zoneRequest.requestId(), inFlight.zoneSelection.zones()));
+        }
+    }
+
     private void send(SendAttempt send) {
-        InFlightRequest inFlight = inFlightById.get(send.requestId());
+        InFlightRequest inFlight = requests.get(send.requestId());
         if (inFlight == null) {
             return;
         }
@@ -389,7 +324,7 @@
                 send.endpointId(),
                 now,
                 attemptDeadline,
-                deduplicatedUntil(inFlight));
+                inFlight.deduplicatedUntil());
         inFlight.attempts.add(attempt);
         inFlight.attemptsInFlight++;
         if (inFlight.finished || now >= attemptDeadline || attempt.number >= limits.maxAttempts()) {
@@ -404,24 +339,8 @@
         connectionPool.send(attempt);
     }
 
-    /**
-     * Until when endpoints deduplicate a repeat of an attempt that may have run. Counted from the decision to
-     * send that attempt, which precedes the first byte from which the endpoints remember it.
-     */
-    private static long deduplicatedUntil(InFlightRequest inFlight) {
-        RequestClass requestClass = inFlight.request.requestClass();
-        if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-            for (Attempt attempt : inFlight.attempts) {
-                if (!attempt.notExecuted) {
-                    return attempt.sentAt + requestClass.deduplicationWindow();
-                }
-            }
-        }
-        return Long.MAX_VALUE;
-    }
-
     private void cancel(CancelAttempt cancel) {
-        InFlightRequest inFlight = inFlightById.get(cancel.requestId());
+        InFlightRequest inFlight = requests.get(cancel.requestId());
         if (inFlight == null || cancel.attempt() < 0 || cancel.attempt() >= inFlight.attempts.size()) {
             return;
         }
@@ -432,19 +351,6 @@
         }
     }
 
-    // ---- ends ----
-
-    /** Marks the request as answered; false if it already was. */
-    private boolean markFinished(InFlightRequest inFlight) {
-        if (inFlight.finished) {
-            return false;
-        }
-        inFlight.finished = true;
-        inFlight.watchdog.cancel(false);
-        unanswered--;
-        return true;
-    }
-
     /**
      * Cancels the unwritten attempts of an answered request where the settings do not let the balancer cancel:
      * an attempt whose last byte has not been written does not exist yet for its endpoint, and must not come
@@ -464,13 +370,8 @@
         if (inFlight.finished && !limits.cancellationAllowed()) {
             cancelUnwrittenAttempts(inFlight);
         }
-        if (inFlight.finished
-                && inFlight.attemptsInFlight == 0
-                && inFlightById.remove(inFlight.request.id(), inFlight)) {
-            inFlight.request.body().release();
-            if (inFlight.routeTable != null) {
-                versionGate.release(inFlight.routeTable);
-            }
+        if (requests.removeIfComplete(inFlight) && inFlight.routeTable != null) {
+            routeSelector.release(inFlight.routeTable);
         }
     }
 
--- a/node/src/main/java/weldhitch/node/Headers.java
+++ b/node/src/main/java/weldhitch/node/Headers.java
@@ -17,7 +17,14 @@
     static final String REQUEST_CLASS = "X-Qos";
     static final String EXPIRES_IN = "X-Expires-In";
     static final String ROUTE_VERSION = "X-Route-Version";
+    /** Set by a server that rejected a request without executing any of it. */
+    static final String NEVER_RAN = "X-Never-Ran";
+
     private static final String TENANT = "X-Customer";
+    private static final String RETRY = "X-Second-Try";
+    private static final String COST_HINT = "X-Size-Hint";
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double MAX_HINTED_COST_SECONDS = 1e6;
     private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "keep-alive",
@@ -40,6 +47,22 @@
         return request.headers().get(TENANT);
     }
 
+    /** Whether the client states that this is a retry of its own. */
+    static boolean isRetry(ClientRequest request) {
+        return "1".equals(request.headers().get(RETRY));
+    }
+
+    /** The client's cost hint, sent in microseconds, as seconds; 0 if it is missing or invalid. */
+    static double hintedCost(ClientRequest request) {
+        String hint = request.headers().get(COST_HINT);
+        try {
+            double cost = hint == null ? 0 : Double.parseDouble(hint) / MICROS_PER_SECOND;
+            return cost > 0 && cost < MAX_HINTED_COST_SECONDS ? cost : 0;
+        } catch (NumberFormatException e) {
+            return 0;
+        }
+    }
+
     static HttpHeaders forwardedHeaders(ClientRequest request, long nanosLeft) {
         HttpHeaders headers =
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
--- a/node/src/main/java/weldhitch/node/InFlightRequest.java
+++ b/node/src/main/java/weldhitch/node/InFlightRequest.java
@@ -3,6 +3,8 @@
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
 import java.util.List;
+import weldhitch.decision.settings.Idempotency;
+import weldhitch.decision.settings.RequestClass;
 import weldhitch.fleet.locality.ZoneSelection;
 import weldhitch.fleet.table.VersionedTables.Table;
 
@@ -36,4 +38,20 @@
         this.timeout = timeout;
         this.client = client;
     }
+
+    /**
+     * Until when endpoints deduplicate a repeat of an attempt that may have run. Counted from the decision to
+     * send that attempt, which precedes the first byte from which the endpoints remember it.
+     */
+    long deduplicatedUntil() {
+        RequestClass requestClass = request.requestClass();
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+            for (Attempt attempt : attempts) {
+                if (!attempt.notExecuted) {
+                    return attempt.sentAt + requestClass.deduplicationWindow();
+                }
+            }
+        }
+        return Long.MAX_VALUE;
+    }
 }
--- /dev/null
+++ b/node/src/main/java/weldhitch/node/InFlightRequests.java
@@ -0,0 +1,59 @@
+package weldhitch.node;
+
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * The in-flight requests of a node by id, and how many of them have no final answer yet. Owned by
+ * {@link Dispatcher}; not thread-safe, confined to the event loop.
+ */
+final class InFlightRequests {
+    /** Its iteration order is the order in which requests are answered when the process ends. */
+    private final Map<String, InFlightRequest> byId = new HashMap<>();
+
+    private int unanswered;
+
+    void add(InFlightRequest inFlight) {
+        byId.put(inFlight.request.id(), inFlight);
+        unanswered++;
+    }
+
+    /** The request of this id; null if it is not in flight. */
+    InFlightRequest get(String id) {
+        return byId.get(id);
+    }
+
+    boolean contains(String id) {
+        return byId.containsKey(id);
+    }
+
+    Collection<InFlightRequest> all() {
+        return byId.values();
+    }
+
+    /** Number of requests that still wait for their final answer. */
+    int unanswered() {
+        return unanswered;
+    }
+
+    /** Marks the request as answered; false if it already was. */
+    boolean markFinished(InFlightRequest inFlight) {
+        if (inFlight.finished) {
+            return false;
+        }
+        inFlight.finished = true;
+        inFlight.watchdog.cancel(false);
+        unanswered--;
+        return true;
+    }
+
+    /** Removes a finished request without outstanding attempts and releases its body; false if it must stay. */
+    boolean removeIfComplete(InFlightRequest inFlight) {
+        if (inFlight.finished && inFlight.attemptsInFlight == 0 && byId.remove(inFlight.request.id(), inFlight)) {
+            inFlight.request.body().release();
+            return true;
+        }
+        return false;
+    }
+}
--- a/node/src/main/java/weldhitch/node/ServerConnection.java
+++ b/node/src/main/java/weldhitch/node/ServerConnection.java
@@ -6,26 +6,21 @@
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelPromise;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.DefaultHttpContent;
-import io.netty.handler.codec.http.DefaultHttpRequest;
-import io.netty.handler.codec.http.EmptyHttpHeaders;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import weldhitch.decision.endpoint.AttemptOutcome;
 
 /**
- * One upstream HTTP/1.1 connection: writes one attempt at a time, buffers or streams the response, and reports
- * the outcome to the {@link AttemptListener}. Pooled by {@link ServerConnectionPool}; not thread-safe, confined to
+ * One upstream HTTP/1.1 connection: runs one attempt at a time, receives and streams its response, and
+ * reports the outcome to the {@link AttemptListener}. Pooled by {@link ServerConnectionPool}; not thread-safe, confined to
  * the event loop.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter implements StreamSource, Attempt.Transport {
@@ -47,19 +42,7 @@
         void reuseFailed();
     }
 
-    /**
-     * Responses up to this size are buffered completely, so that an attempt with a truncated one can be
-     * retried. Longer ones are streamed if their class allows it; for other classes no body is longer, and one
-     * that claims to be is an error.
-     */
-    static final int MAX_BUFFERED_BYTES = 64 * 1024;
-    /**
-     * A response without a stated length is buffered only for this time and up to this size: if it turns out to
-     * be long, its client's latency is measured to the first bytes, and a slow server takes a second for 64
-     * KiB.
-     */
-    private static final int MAX_BUFFERED_UNSIZED_BYTES = 16 * 1024;
-
+    /** How long a response without a stated length is buffered. */
     private static final long MAX_UNSIZED_BUFFERING_NANOS = 100_000_000L;
     /** Servers pause within a response for 0.1 s at most; one that is silent for this long has broken off. */
     private static final long STREAM_IDLE_TIMEOUT_NANOS = 5_000_000_000L;
@@ -81,22 +64,20 @@
     private final Clock clock;
     private final ResourceLimits limits;
     private final HeaderValidator headerValidator = new HeaderValidator();
+    private final RequestWriter requestWriter;
     /** The attempt that waits for its outcome, or null. */
     private Attempt attempt;
 
     private boolean busy;
-    private boolean requestWritten;
-    /** The request body is written chunk by chunk as the socket has room; a small one is written at once. */
-    private boolean writesInChunks;
-
-    private int nextChunk;
     private boolean informational;
     private boolean responseStarted;
     private boolean keepAlive;
     private int discardedBytes;
-    private ServerResponse serverResponse;
-    private boolean forward;
+    /** The response that is being received; null if there is none, or if it is of no use. */
+    private ResponseBuffer responseBuffer;
+    /** The client that the response is streamed to; null if it is not streamed. */
     private StreamSink sink;
+
     private long lastProgressAt;
 
     ServerConnection(
@@ -114,6 +95,24 @@
         this.endpointId = endpointId;
         this.incarnation = incarnation;
         this.channel = channel;
+        requestWriter = new RequestWriter(channel, new WriteListener());
+    }
+
+    private final class WriteListener implements RequestWriter.Listener {
+        @Override
+        public boolean isPending(Attempt written) {
+            return attempt == written;
+        }
+
+        @Override
+        public void progressed() {
+            lastProgressAt = clock.now();
+        }
+
+        @Override
+        public void writeFailed() {
+            connectionLost();
+        }
     }
 
     /** Validates a response's head before it is parsed. */
@@ -139,90 +138,28 @@
         channel.close();
     }
 
-    // ---- the request ----
-
     void start(Attempt next) {
         attempt = next;
         next.transport = this;
         busy = true;
-        requestWritten = false;
+        requestWriter.reset();
         responseStarted = false;
         keepAlive = false;
         discardedBytes = 0;
-        nextChunk = 0;
         lastProgressAt = clock.now();
         requestStartedAt = lastProgressAt;
         headerValidator.expectResponse();
         requestCount++;
-        ClientRequest request = next.request;
-        HttpHeaders headers = Headers.forwardedHeaders(request, next.deadline - lastProgressAt);
-        if (request.body().size() <= MAX_BUFFERED_BYTES) {
-            writesInChunks = false;
-            ByteBuf body = request.body().size() == 0
-                    ? Unpooled.EMPTY_BUFFER
-                    : request.body().asSingleBuffer();
-            channel.writeAndFlush(
-                    new DefaultFullHttpRequest(
-                            HttpVersion.HTTP_1_1,
-                            request.method(),
-                            request.uri(),
-                            body,
-                            headers,
-                            EmptyHttpHeaders.INSTANCE),
-                    writePromise(next));
-        } else {
-            writesInChunks = true;
-            channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(), headers));
-            writeChunks();
-        }
-    }
-
-    private void writeChunks() {
-        Attempt current = attempt;
-        while (current != null
-                && attempt == current
-                && nextChunk < current.request.body().chunks()
-                && channel.isWritable()) {
-            int index = nextChunk++;
-            boolean last = nextChunk == current.request.body().chunks();
-            lastProgressAt = clock.now();
-            channel.writeAndFlush(new DefaultHttpContent(current.request.body().chunk(index)));
-            if (last) {
-                channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT, writePromise(current));
-            }
-        }
-    }
-
-    /**
-     * Completes as the write happens, so that whatever else happens within the write, such as the buffer
-     * becoming writable again, finds the attempt already written. A listener added after the call has returned
-     * would run later than all that.
-     */
-    private ChannelPromise writePromise(Attempt writtenAttempt) {
-        ChannelPromise promise = channel.newPromise();
-        promise.addListener(f -> writeCompleted(writtenAttempt, f.isSuccess()));
-        return promise;
-    }
-
-    private void writeCompleted(Attempt writtenAttempt, boolean success) {
-        if (success && attempt == writtenAttempt) {
-            writtenAttempt.requestWritten = true;
-            requestWritten = true;
-            lastProgressAt = clock.now();
-        } else if (!success) {
-            connectionLost();
-        }
+        requestWriter.write(next, Headers.forwardedHeaders(next.request, next.deadline - lastProgressAt));
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        if (writesInChunks && attempt != null && !attempt.requestWritten) {
-            writeChunks();
+        if (attempt != null) {
+            requestWriter.resume(attempt);
         }
     }
 
-    // ---- the answer ----
-
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
@@ -264,40 +201,39 @@
         }
         responseStarted = true;
         keepAlive = HttpUtil.isKeepAlive(response);
-        if (status == 200) {
-            long length = HttpUtil.getContentLength(response, -1L);
-            if (length > MAX_BUFFERED_BYTES
-                    && attempt != null
-                    && !attempt.request.requestClass().streamed()) {
-                failResponse();
-                return;
-            }
-            serverResponse = new ServerResponse(
-                    response.headers().get(HttpHeaderNames.CONTENT_TYPE), length, new BufferedBody(limits, length));
-            forward = false;
-            if (length < 0 && attempt != null && attempt.request.requestClass().streamed()) {
-                ServerResponse buffered = serverResponse;
-                channel.eventLoop()
-                        .schedule(
-                                () -> bufferingTimeElapsed(buffered),
-                                MAX_UNSIZED_BUFFERING_NANOS,
-                                TimeUnit.NANOSECONDS);
-            }
+        if (status == HttpResponseStatus.OK.code()) {
+            startResponse(response);
             return;
         }
         // A rejection counts as not executed only if the server states so; a bare 503 may have run.
         boolean notExecuted = (status == 503 || status == 504)
-                && "1".equals(response.headers().get("X-Never-Ran"));
+                && "1".equals(response.headers().get(Headers.NEVER_RAN));
         endAttempt(notExecuted ? AttemptOutcome.FULL : AttemptOutcome.ERROR);
     }
 
+    private void startResponse(HttpResponse response) {
+        long length = HttpUtil.getContentLength(response, -1L);
+        boolean streamed = attempt != null && attempt.request.requestClass().streamed();
+        if (length > ResponseBuffer.MAX_BUFFERED_BYTES && attempt != null && !streamed) {
+            failResponse();
+            return;
+        }
+        ResponseBuffer buffer = new ResponseBuffer(new ServerResponse(
+                response.headers().get(HttpHeaderNames.CONTENT_TYPE), length, new BufferedBody(limits, length)));
+        responseBuffer = buffer;
+        if (length < 0 && streamed) {
+            channel.eventLoop()
+                    .schedule(() -> bufferingTimeElapsed(buffer), MAX_UNSIZED_BUFFERING_NANOS, TimeUnit.NANOSECONDS);
+        }
+    }
+
     private void handleContent(HttpContent content) {
         if (sink != null) {
             sink.streamData(content.content().retain());
             if (!sink.isWritable()) {
                 channel.config().setAutoRead(false);
             }
-        } else if (serverResponse != null && attempt != null) {
+        } else if (responseBuffer != null && attempt != null) {
             buffer(content.content());
         } else {
             discardedBytes += content.content().readableBytes();
@@ -311,32 +247,24 @@
     }
 
     private void buffer(ByteBuf bytes) {
-        if (!attempt.request.requestClass().streamed()) {
-            if (serverResponse.body().size() + bytes.readableBytes() > MAX_BUFFERED_BYTES
-                    || !serverResponse.body().add(bytes)) {
-                failResponse();
-            }
-            return;
-        }
-        int maxBytes = serverResponse.length() < 0 ? MAX_BUFFERED_UNSIZED_BYTES : MAX_BUFFERED_BYTES;
-        boolean fits = serverResponse.length() <= MAX_BUFFERED_BYTES
-                && serverResponse.body().size() + bytes.readableBytes() <= maxBytes;
-        if (!fits || forward || !serverResponse.body().add(bytes)) {
-            forward(bytes);
+        switch (responseBuffer.add(bytes, attempt.request.requestClass().streamed())) {
+            case FORWARD -> forward(bytes);
+            case UNUSABLE -> failResponse();
+            case BUFFERED -> {}
         }
     }
 
-    private void bufferingTimeElapsed(ServerResponse buffered) {
-        if (serverResponse == buffered && attempt != null && sink == null) {
-            forward = true;
-            if (buffered.body().size() > 0) {
+    private void bufferingTimeElapsed(ResponseBuffer buffer) {
+        if (responseBuffer == buffer && attempt != null && sink == null) {
+            buffer.stopBuffering();
+            if (!buffer.isEmpty()) {
                 forward(Unpooled.EMPTY_BUFFER);
             }
         }
     }
 
     private void forward(ByteBuf bytes) {
-        if (!bytes.isReadable() && serverResponse.body().size() == 0) {
+        if (!bytes.isReadable() && responseBuffer.isEmpty()) {
             return;
         }
         StreamSink target = listener.openStream(attempt);
@@ -344,10 +272,10 @@
             return;
         }
         sink = target;
-        sink.streamStarted(this, serverResponse);
-        if (serverResponse.body().size() > 0) {
-            sink.streamData(serverResponse.body().asSingleBuffer());
-            serverResponse.body().release();
+        sink.streamStarted(this, responseBuffer.response());
+        if (!responseBuffer.isEmpty()) {
+            sink.streamData(responseBuffer.response().body().asSingleBuffer());
+            responseBuffer.release();
         }
         if (bytes.isReadable()) {
             sink.streamData(bytes.retain());
@@ -372,7 +300,7 @@
         endAttempt(AttemptOutcome.OK);
         busy = false;
         responseStarted = false;
-        if (keepAlive && requestWritten && channel.isActive()) {
+        if (keepAlive && requestWriter.requestWritten() && channel.isActive()) {
             channel.config().setAutoRead(true);
             owner.release(this);
         } else {
@@ -383,19 +311,19 @@
     /** Ends the attempt, if it is still pending, and releases what was buffered of the response. */
     private void endAttempt(AttemptOutcome outcome) {
         Attempt current = attempt;
-        ServerResponse buffered = serverResponse;
+        ResponseBuffer buffer = responseBuffer;
         StreamSink target = sink;
         attempt = null;
-        serverResponse = null;
+        responseBuffer = null;
         sink = null;
         if (target != null) {
             target.streamEnded(false);
         }
         if (current != null) {
-            listener.ended(current, outcome, current.streaming ? null : buffered);
+            listener.ended(current, outcome, current.streaming || buffer == null ? null : buffer.response());
         }
-        if (buffered != null) {
-            buffered.body().release();
+        if (buffer != null) {
+            buffer.release();
         }
     }
 
@@ -458,7 +386,8 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        if (!(cause instanceof java.io.IOException)) {
+        // An IOException is the server's reset: the attempt's outcome tells it.
+        if (!(cause instanceof IOException)) {
             Log.failure("connection to server " + endpointId, cause);
         }
         connectionLost();
--- a/node/src/test/java/weldhitch/node/StreamTest.java
+++ b/node/src/test/java/weldhitch/node/StreamTest.java
@@ -42,9 +42,9 @@
 
     @Test
     void longResponsesAreStreamedUnchanged() throws Exception {
-        for (int size : new int[] {
-            ServerConnection.MAX_BUFFERED_BYTES, ServerConnection.MAX_BUFFERED_BYTES + 1, 5_000_000, 32 << 20
-        }) {
+        for (int size :
+                new int[] {ResponseBuffer.MAX_BUFFERED_BYTES, ResponseBuffer.MAX_BUFFERED_BYTES + 1, 5_000_000, 32 << 20
+                }) {
             byte[] body = randomBytes(size);
             assertServed("HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n\r\n", body, body);
         }
