--- a/node/src/main/java/weldhitch/node/CaptureControl.java
+++ b/node/src/main/java/weldhitch/node/CaptureControl.java
@@ -38,7 +38,7 @@
             attach(null);
             capture.close();
             capture = null;
-            Log.line("capture: off");
+            Log.line("capture stopped");
         }
         if (requested != null && requested.enabled()) {
             String build = "weldhitch 0.1.0, Java " + Runtime.version();
@@ -51,7 +51,7 @@
                     dispatcher::snapshot,
                     Log::line);
             attach(capture);
-            Log.line("capture: on, to " + requested.directory());
+            Log.line("capture started directory=" + requested.directory());
         }
     }
 
--- a/node/src/main/java/weldhitch/node/ClientConnection.java
+++ b/node/src/main/java/weldhitch/node/ClientConnection.java
@@ -391,7 +391,7 @@
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         // An IOException is the client's reset: its request is cancelled like on any other close.
         if (!(cause instanceof IOException)) {
-            Log.failure("connection from a client", cause);
+            Log.failure("client connection failed", cause);
         }
         close();
     }
--- a/node/src/main/java/weldhitch/node/ClientConnectionManager.java
+++ b/node/src/main/java/weldhitch/node/ClientConnectionManager.java
@@ -262,7 +262,7 @@
         long now = clock.now();
         if (listener.isOpen() && !shutdown.acceptsConnections(now, lastAcceptedAt, connections.size())) {
             acceptBacklog();
-            Log.line("draining: no new connections from now on, " + connections.size() + " open");
+            Log.line("draining listener closed connections=" + connections.size());
             listener.close();
         }
         if (shutdown.sendsConnectionClose(now)) {
--- a/node/src/main/java/weldhitch/node/Discovery.java
+++ b/node/src/main/java/weldhitch/node/Discovery.java
@@ -167,7 +167,7 @@
         if (newAddress.equals(address)) {
             return;
         }
-        Log.line("discovery: moves to " + newAddress);
+        Log.line("discovery moved address=" + newAddress);
         address = newAddress;
         long delayNanos = polling.onServiceChanged();
         cancelTimeout();
@@ -200,7 +200,7 @@
         connectFuture.addListener(f -> {
             if (!f.isSuccess()) {
                 connectFuture.channel().close();
-                pollFailed(connectFuture.channel(), PollFailure.CONNECTION_FAILED, "cannot connect");
+                pollFailed(connectFuture.channel(), PollFailure.CONNECTION_FAILED, "connect-failed");
             } else if (channel == connectFuture.channel()) {
                 sendRequest();
             }
@@ -220,7 +220,7 @@
         Channel pollChannel = channel;
         responseExpectedAt = System.nanoTime() + waitNanos;
         timeout = loop.schedule(
-                () -> pollFailed(pollChannel, PollFailure.TIMED_OUT, "no answer"),
+                () -> pollFailed(pollChannel, PollFailure.TIMED_OUT, "timeout"),
                 waitNanos + polling.responseTimeout(),
                 TimeUnit.NANOSECONDS);
         pollChannel.writeAndFlush(request);
@@ -231,7 +231,7 @@
         pollFailed(pollChannel, failure, description, 0);
     }
 
-    private void pollFailed(Channel pollChannel, PollFailure failure, String description, long retryAfter) {
+    private void pollFailed(Channel pollChannel, PollFailure failure, String cause, long retryAfter) {
         if (!pollActive || pollChannel != channel) {
             return;
         }
@@ -240,7 +240,7 @@
         pollChannel.close();
         long delayNanos = polling.recordFailure(failure, retryAfter);
         if (polling.consecutiveFailures() == 1) {
-            Log.line("discovery: " + description);
+            Log.line("discovery poll failed cause=" + cause);
         }
         String staleWarning = staleness.warning(System.nanoTime());
         if (staleWarning != null) {
@@ -273,30 +273,30 @@
             pollFailed(
                     pollChannel,
                     PollFailure.REJECTED,
-                    "answered " + response.status().code(),
+                    "status status=" + response.status().code(),
                     Headers.parseRetryAfter(response.headers()));
             return;
         }
         if (response.decoderResult().isFailure()) {
-            pollFailed(pollChannel, PollFailure.CONNECTION_FAILED, "broke off its answer");
+            pollFailed(pollChannel, PollFailure.CONNECTION_FAILED, "truncated-response");
             return;
         }
         EndpointList endpoints;
         try {
             endpoints = EndpointList.parse(ByteBufUtil.getBytes(response.content()));
         } catch (IOException e) {
-            pollFailed(pollChannel, PollFailure.MALFORMED, "not a list");
+            pollFailed(pollChannel, PollFailure.MALFORMED, "malformed-list");
             return;
         }
         if (polling.needsFullList() ? !endpoints.full() : endpoints.seq() < seq) {
             // A list older than the current one, or changes relative to another, carries no information; only a
             // complete list that was requested does.
-            pollFailed(pollChannel, PollFailure.STALE, "a list older than the one held, or changes to another one");
+            pollFailed(pollChannel, PollFailure.STALE, "stale-list");
             return;
         }
         cancelTimeout();
         if (polling.consecutiveFailures() > 0) {
-            Log.line("discovery: answers again after " + polling.consecutiveFailures() + " failed calls");
+            Log.line("discovery recovered failures=" + polling.consecutiveFailures());
         }
         long now = System.nanoTime();
         polling.recordSuccess(now - responseExpectedAt);
@@ -323,7 +323,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             if (timeout != null) {
-                pollFailed(context.channel(), PollFailure.CONNECTION_FAILED, "connection broke");
+                pollFailed(context.channel(), PollFailure.CONNECTION_FAILED, "connection-closed");
             }
         }
 
--- a/node/src/main/java/weldhitch/node/EndpointList.java
+++ b/node/src/main/java/weldhitch/node/EndpointList.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -41,7 +42,7 @@
             parser.nextToken();
             EndpointList list = read(parser);
             if (parser.nextToken() != null) {
-                throw new IOException("list: more than one document");
+                throw new MalformedListException("more than one document");
             }
             return list;
         }
@@ -63,7 +64,7 @@
             }
         }
         if (seq < 0 || endpoints == null) {
-            throw new IOException("list: no seq or no hosts");
+            throw new MalformedListException("no seq or no hosts");
         }
         return new EndpointList(seq, full, List.copyOf(endpoints));
     }
@@ -101,17 +102,25 @@
             }
         }
         if (id == null || id.isEmpty() || state == null || dialAddress == null && state != EndpointState.REMOVED) {
-            throw new IOException("list: an entry lacks host, dial or health");
+            throw new MalformedListException("an entry lacks host, dial or health");
         }
         return new ListedEndpoint(
                 new EndpointEntry(id, zone, cell, state, weight, Clock.ofMillis(startedAtMillis)),
-                dialAddress == null ? null : address(dialAddress));
+                dialAddress == null ? null : dialAddress(dialAddress));
+    }
+
+    private static InetSocketAddress dialAddress(String text) throws MalformedListException {
+        try {
+            return address(text);
+        } catch (MalformedAddressException e) {
+            throw new MalformedListException(e.getMessage(), e);
+        }
     }
 
     /**
      * Parses a numeric address and port; names are not resolved, as there is no DNS and a lookup would block.
      */
-    static InetSocketAddress address(String text) throws IOException {
+    static InetSocketAddress address(String text) throws MalformedAddressException {
         int colon = text.lastIndexOf(':');
         String host = text.substring(0, Math.max(0, colon)).replaceAll("^\\[|\\]$", "");
         byte[] addressBytes = NetUtil.createByteArrayFromIpAddressString(host);
@@ -122,14 +131,18 @@
             port = -1;
         }
         if (addressBytes == null || port < 0 || port > 65535) {
-            throw new IOException("not an address and port: " + text);
+            throw new MalformedAddressException(text);
+        }
+        try {
+            return new InetSocketAddress(InetAddress.getByAddress(addressBytes), port);
+        } catch (UnknownHostException e) {
+            throw new IllegalStateException("the address has an illegal length: " + text, e);
         }
-        return new InetSocketAddress(InetAddress.getByAddress(addressBytes), port);
     }
 
     private static void expectToken(JsonParser parser, JsonToken token) throws IOException {
         if (parser.currentToken() != token) {
-            throw new IOException("list: expected " + token + ", not " + parser.currentToken());
+            throw new MalformedListException("expected " + token + ", found " + parser.currentToken());
         }
     }
 }
--- a/node/src/main/java/weldhitch/node/Log.java
+++ b/node/src/main/java/weldhitch/node/Log.java
@@ -30,7 +30,7 @@
             currentSecond = now;
             linesThisSecond = 0;
             if (droppedLines > 0) {
-                QUEUE.offer(droppedLines + " lines left out");
+                QUEUE.offer("log lines dropped count=" + droppedLines);
                 droppedLines = 0;
             }
         }
--- /dev/null
+++ b/node/src/main/java/weldhitch/node/MalformedAddressException.java
@@ -0,0 +1,12 @@
+package weldhitch.node;
+
+import java.io.IOException;
+
+/** A text that is not a numeric address and port. */
+final class MalformedAddressException extends IOException {
+    private static final long serialVersionUID = 1L;
+
+    MalformedAddressException(String text) {
+        super("not an address and port: " + text);
+    }
+}
--- a/node/src/main/java/weldhitch/node/Node.java
+++ b/node/src/main/java/weldhitch/node/Node.java
@@ -74,7 +74,7 @@
     public static BalancerSettings platformSettings(Path config) {
         try {
             return NodeConfig.load(Map.of("GW_CONFIG", config.toString())).settings();
-        } catch (NodeConfig.InvalidConfigException e) {
+        } catch (InvalidConfigException e) {
             throw new IllegalArgumentException(e.getMessage(), e);
         }
     }
@@ -276,14 +276,14 @@
         try {
             NodeConfig config = NodeConfig.reload(environment);
             group.next().execute(() -> discovery.moveTo(config.discovery()));
-        } catch (NodeConfig.InvalidConfigException e) {
-            Log.line("the new configuration is not taken up: " + e.getMessage());
+        } catch (InvalidConfigException e) {
+            Log.line("config reload rejected: " + e.getMessage());
         }
     }
 
     /** Shuts down gracefully: returns once all received requests are answered, or after 10 s. */
     void drain() {
-        Log.line("draining");
+        Log.line("draining started");
         group.next().execute(() -> clientConnections.drain(drained::countDown));
         try {
             drained.await(MAX_DRAIN_SECONDS, TimeUnit.SECONDS);
--- a/node/src/main/java/weldhitch/node/NodeConfig.java
+++ b/node/src/main/java/weldhitch/node/NodeConfig.java
@@ -5,9 +5,11 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
+import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import weldhitch.decision.settings.BalancerSettings;
 import weldhitch.decision.settings.FlatSettingsParser;
@@ -31,15 +33,9 @@
         BalancerSettings settings,
         long keepalive) {
     private static final long DEFAULT_KEEP_ALIVE_NANOS = 5_000_000_000L;
-
-    /** A setting that is missing or invalid; the message is one line and names it. */
-    static final class InvalidConfigException extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        InvalidConfigException(String message) {
-            super(message.lines().findFirst().orElse(""));
-        }
-    }
+    private static final int MIN_SOCKETS = 100;
+    private static final String VARIABLE_PREFIX = "GW_";
+    private static final String SETTINGS_PREFIX = "settings.";
 
     static NodeConfig load(Map<String, String> environment) throws InvalidConfigException {
         String file = environment.get("GW_CONFIG");
@@ -49,14 +45,13 @@
         byte[] json;
         try {
             json = Files.readAllBytes(Path.of(file));
-        } catch (IOException | java.nio.file.InvalidPathException e) {
-            throw new InvalidConfigException("GW_CONFIG: cannot read " + file + ": " + e);
+        } catch (IOException | InvalidPathException e) {
+            throw InvalidConfigException.unreadable("cannot read " + file + ": " + e, e);
         }
         try {
             return parse(json, environment);
         } catch (InvalidConfigException e) {
-            throw new InvalidConfigException(
-                    "GW_CONFIG " + file + ": " + e.getMessage().replaceFirst("^GW_CONFIG: ", ""));
+            throw e.inFile(file);
         }
     }
 
@@ -76,7 +71,7 @@
         EndpointList knownEndpoints = new EndpointList(0, true, List.of());
         try (JsonParser parser = EndpointList.JSON_FACTORY.createParser(json)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new InvalidConfigException("GW_CONFIG: not a JSON object");
+                throw InvalidConfigException.unreadable("not a JSON object", null);
             }
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
@@ -84,33 +79,29 @@
                 if (name.equals("known") && parser.currentToken() == JsonToken.START_OBJECT) {
                     knownEndpoints = EndpointList.read(parser);
                 } else {
-                    flatten(parser, name, flat);
+                    ConfigFlattener.flatten(parser, name, flat);
                 }
             }
         } catch (IOException e) {
-            throw new InvalidConfigException("GW_CONFIG: " + e.getMessage());
+            throw InvalidConfigException.unreadable(e.getMessage(), e);
         }
         environment.forEach((variable, value) -> {
-            if (variable.startsWith("GW_") && !value.isEmpty()) {
-                flat.put(variable.substring(3).toLowerCase(java.util.Locale.ROOT), value);
-            }
-        });
-        Map<String, String> settingPairs = new HashMap<>();
-        flat.forEach((path, value) -> {
-            if (path.startsWith("settings.")) {
-                settingPairs.put(path.substring("settings.".length()), value);
+            if (variable.startsWith(VARIABLE_PREFIX) && !value.isEmpty()) {
+                flat.put(variable.substring(VARIABLE_PREFIX.length()).toLowerCase(Locale.ROOT), value);
             }
         });
-        if (settingPairs.isEmpty()) {
-            throw new InvalidConfigException(
-                    "settings: found none, expected the object that the platform's page describes");
-        }
+        return of(flat, knownEndpoints);
+    }
+
+    private static NodeConfig of(Map<String, String> flat, EndpointList knownEndpoints) throws InvalidConfigException {
+        Map<String, String> settingPairs = settingPairs(flat);
         try {
             FlatSettingsParser flatSettings = new FlatSettingsParser(settingPairs);
             BalancerSettings settings = flatSettings.settings();
             if (settings.classes().stream().anyMatch(c -> c.name().isEmpty())) {
                 // Requests name their class, so no request could ever use this one.
-                throw new InvalidConfigException("settings: classes.name: found none, expected the name of a class");
+                throw InvalidConfigException.invalidValue(
+                        "settings: classes.name", "none", "the name of a class", null);
             }
             long keepalive = flatSettings.durationNanos("limits.keepaliveS");
             return new NodeConfig(
@@ -123,17 +114,31 @@
                     settings,
                     keepalive > 0 ? keepalive : DEFAULT_KEEP_ALIVE_NANOS);
         } catch (IllegalArgumentException e) {
-            throw new InvalidConfigException("settings: " + e.getMessage());
+            throw new InvalidConfigException("settings: " + e.getMessage(), e);
+        }
+    }
+
+    private static Map<String, String> settingPairs(Map<String, String> flat) throws InvalidConfigException {
+        Map<String, String> settingPairs = new HashMap<>();
+        flat.forEach((path, value) -> {
+            if (path.startsWith(SETTINGS_PREFIX)) {
+                settingPairs.put(path.substring(SETTINGS_PREFIX.length()), value);
+            }
+        });
+        if (settingPairs.isEmpty()) {
+            throw InvalidConfigException.invalidValue(
+                    "settings", "none", "the object that the platform's page describes", null);
         }
+        return settingPairs;
     }
 
     private static InetSocketAddress address(Map<String, String> flat, String name) throws InvalidConfigException {
         String text = flat.getOrDefault(name, "");
         try {
             return EndpointList.address(text);
-        } catch (IOException e) {
-            throw new InvalidConfigException(name + ": found " + (text.isEmpty() ? "none" : text)
-                    + ", expected an address in digits and a port");
+        } catch (MalformedAddressException e) {
+            throw InvalidConfigException.invalidValue(
+                    name, text.isEmpty() ? "none" : text, "an address in digits and a port", e);
         }
     }
 
@@ -141,8 +146,8 @@
         try {
             return Long.parseUnsignedLong(flat.getOrDefault("seed", ""), 16);
         } catch (NumberFormatException e) {
-            throw new InvalidConfigException(
-                    "seed: found " + flat.getOrDefault("seed", "none") + ", expected up to 16 hex digits");
+            throw InvalidConfigException.invalidValue(
+                    "seed", flat.getOrDefault("seed", "none"), "up to 16 hex digits", e);
         }
     }
 
@@ -150,47 +155,13 @@
         String text = flat.getOrDefault("limits.sockets", "");
         try {
             int sockets = (int) Double.parseDouble(text);
-            if (sockets >= 100) {
+            if (sockets >= MIN_SOCKETS) {
                 return sockets;
             }
         } catch (NumberFormatException e) {
-            // reported below, like a number that is too small
-        }
-        throw new InvalidConfigException(
-                "limits.sockets: found " + (text.isEmpty() ? "none" : text) + ", expected a number of 100 or more");
-    }
-
-    private static void flatten(JsonParser parser, String path, Map<String, String> flat) throws IOException {
-        switch (parser.currentToken()) {
-            case START_OBJECT -> {
-                while (parser.nextToken() != JsonToken.END_OBJECT) {
-                    String name = parser.currentName();
-                    parser.nextToken();
-                    flatten(parser, path + "." + name, flat);
-                }
-            }
-            case START_ARRAY -> {
-                StringBuilder joined = new StringBuilder();
-                int count = 0;
-                boolean containsObjects = false;
-                while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    if (parser.currentToken().isScalarValue()) {
-                        joined.append(count == 0 ? "" : ",")
-                                .append(parser.getText().replace(',', '_'));
-                    } else {
-                        containsObjects = true;
-                        flatten(parser, path + "." + count, flat);
-                    }
-                    count++;
-                }
-                if (containsObjects) {
-                    flat.put(path + ".count", Integer.toString(count));
-                } else {
-                    flat.put(path, joined.toString());
-                }
-            }
-            case VALUE_NULL -> {}
-            default -> flat.put(path, parser.getText());
+            // Reported below, like a number that is too small.
         }
+        throw InvalidConfigException.invalidValue(
+                "limits.sockets", text.isEmpty() ? "none" : text, "a number of " + MIN_SOCKETS + " or more", null);
     }
 }
--- a/node/src/main/java/weldhitch/node/NodeService.java
+++ b/node/src/main/java/weldhitch/node/NodeService.java
@@ -36,11 +36,11 @@
     public static void main(Path operatorFile) {
         try {
             new NodeService(System.getenv(), Signals.ofProcess()).start(operatorFile);
-        } catch (NodeConfig.InvalidConfigException e) {
+        } catch (InvalidConfigException e) {
             System.err.println("weldhitch: " + e.getMessage());
             System.exit(EXIT_CONFIG);
         } catch (Exception e) {
-            System.err.println("weldhitch: cannot start: " + e);
+            System.err.println("weldhitch: start failed: " + e);
             System.exit(1);
         }
     }
@@ -71,7 +71,7 @@
             try {
                 node.reload(environment);
             } catch (RuntimeException e) {
-                Log.failure("reading the configuration again", e);
+                Log.failure("config reload failed", e);
             }
         }
     }
--- a/node/src/main/java/weldhitch/node/RouteConfigLoader.java
+++ b/node/src/main/java/weldhitch/node/RouteConfigLoader.java
@@ -58,13 +58,13 @@
     /**
      * Reads the file at start.
      *
-     * @throws NodeConfig.InvalidConfigException if the file has errors; all of them are logged
+     * @throws InvalidConfigException if the file has errors; all of them are logged
      */
-    LoadedRules load() throws NodeConfig.InvalidConfigException {
+    LoadedRules load() throws InvalidConfigException {
         RouteConfig parsed = RouteConfig.read(file, platformSettings);
         parsed.problems().forEach(problem -> Log.line(problem.toString()));
         if (!parsed.isUsable()) {
-            throw new NodeConfig.InvalidConfigException(summary(parsed));
+            throw new InvalidConfigException(summary(parsed));
         }
         capture = parsed.capture();
         fleet = parsed.fleet();
@@ -75,19 +75,19 @@
     LoadedRules reload() {
         RouteConfig parsed = RouteConfig.read(file, platformSettings);
         if (!parsed.isUsable()) {
-            Log.line("the operator file is not taken up, the last good one stays in force: " + summary(parsed));
+            Log.line("route config rejected, keeping last valid: " + summary(parsed));
             return null;
         }
         capture = parsed.capture();
         if (!java.util.Objects.equals(fleet, parsed.fleet())) {
-            Log.line("operator file: [fleet] is that of the start until the node is started anew");
+            Log.line("route config section ignored until restart section=fleet");
         }
         parsed.problems().forEach(problem -> Log.line(problem.toString()));
-        Log.line("operator file " + file + " is in force: "
-                + parsed.routeTable().routes().size() + " routes"
+        Log.line("route config active file=" + file + " routes="
+                + parsed.routeTable().routes().size()
                 + (parsed.locality() == null
                         ? ""
-                        : ", " + parsed.locality().rules().size() + " locality rules"));
+                        : " locality_rules=" + parsed.locality().rules().size()));
         return LoadedRules.of(parsed);
     }
 
--- a/node/src/main/java/weldhitch/node/ServerConnection.java
+++ b/node/src/main/java/weldhitch/node/ServerConnection.java
@@ -20,8 +20,8 @@
 
 /**
  * One upstream HTTP/1.1 connection: runs one attempt at a time, receives and streams its response, and
- * reports the outcome to the {@link AttemptListener}. Pooled by {@link ServerConnectionPool}; not thread-safe, confined to
- * the event loop.
+ * reports the outcome to the {@link AttemptListener}. Pooled by {@link ServerConnectionPool}; not thread-safe,
+ * confined to the event loop.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter implements StreamSource, Attempt.Transport {
     /** The pool that owns the connection. All of its methods are called on the event loop. */
@@ -371,9 +371,9 @@
             if (requestCount > 1 && !responseStarted && clock.now() - requestStartedAt < REUSE_FAILURE_WINDOW_NANOS) {
                 owner.reuseFailed();
             }
-            Log.line("server " + endpointId + " broke off request " + requestCount + " of a connection, "
-                    + (clock.now() - requestStartedAt) / NANOS_PER_MILLI + " ms after its start, idle before for "
-                    + (requestCount > 1 ? (requestStartedAt - idleSince) / NANOS_PER_MILLI : 0) + " ms");
+            Log.line("upstream connection broke server=" + endpointId + " request=" + requestCount + " elapsed_ms="
+                    + (clock.now() - requestStartedAt) / NANOS_PER_MILLI + " idle_ms="
+                    + (requestCount > 1 ? (requestStartedAt - idleSince) / NANOS_PER_MILLI : 0));
         }
         endAttempt(attempt != null && !attempt.requestWritten ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET);
     }
@@ -388,7 +388,7 @@
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         // An IOException is the server's reset: the attempt's outcome tells it.
         if (!(cause instanceof IOException)) {
-            Log.failure("connection to server " + endpointId, cause);
+            Log.failure("upstream connection failed server=" + endpointId, cause);
         }
         connectionLost();
     }
--- a/node/src/main/java/weldhitch/node/ZoneRouter.java
+++ b/node/src/main/java/weldhitch/node/ZoneRouter.java
@@ -93,7 +93,7 @@
 
     private void refresh() {
         long now = clock.now();
-        locality.tick(now).forEach(line -> Log.line("locality: " + line));
+        locality.tick(now).forEach(line -> Log.line("locality " + line));
         report = locality.loadReport(now);
     }
 
