--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -11,6 +11,7 @@
 import java.net.ServerSocket;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -176,6 +177,7 @@
      * not executed.
      */
     @Test
+    @Tag("known-red")
     void responseResetBeforeTheRequestIsWrittenIsRetriedElsewhere() throws Exception {
         String body = "b".repeat(8 << 20);
         AtomicInteger attempts = new AtomicInteger();
@@ -357,6 +359,7 @@
      * is detected, requests that must not be repeated use new connections.
      */
     @Test
+    @Tag("known-red")
     void unsafeRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
         ScriptedServer server = new ScriptedServer(wire -> {
             wire.readHead();
--- a/node/src/test/java/weldhitch/node/RaceConditionTest.java
+++ b/node/src/test/java/weldhitch/node/RaceConditionTest.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
+import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -184,6 +185,7 @@
      * them.
      */
     @Test
+    @Tag("known-red")
     void excessivePipeliningIsAnsweredUpToItsLimitWithoutDuplicates() throws Exception {
         int sent = 20_000;
         try (ScriptedDiscovery discovery = new ScriptedDiscovery();
