--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -359,7 +359,6 @@
      * is detected, requests that must not be repeated use new connections.
      */
     @Test
-    @Tag("known-red")
     void unsafeRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
         ScriptedServer server = new ScriptedServer(wire -> {
             wire.readHead();
@@ -368,9 +367,12 @@
             wire.close();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            assertEquals(200, harness.send(get("g1")).status());
-            assertEquals(200, harness.send(get("g2")).status(), "tried again on a new connection");
-            assertEquals(200, harness.send(post("g3", "x")).status());
+            // A break counts as one of reuse only within 10 ms, and on a busy machine one may come later: three
+            // connections break, which leaves retry tokens for an attempt that times out.
+            for (int i = 0; i < 4; i++) {
+                assertEquals(200, harness.send(get("g" + i)).status(), "retried on a new connection");
+            }
+            assertEquals(200, harness.send(post("last", "x")).status());
         }
     }
 
--- a/node/src/test/java/weldhitch/node/RaceConditionTest.java
+++ b/node/src/test/java/weldhitch/node/RaceConditionTest.java
@@ -11,7 +11,6 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
-import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -182,15 +181,16 @@
 
     /**
      * Pipelined input is bounded; the requests that were queued are answered, and the connection closes after
-     * them.
+     * them. One attempt a request: on a busy machine a slow one would be hedged or retried, as it may, and a
+     * second execution would say nothing of the queue.
      */
     @Test
-    @Tag("known-red")
     void excessivePipeliningIsAnsweredUpToItsLimitWithoutDuplicates() throws Exception {
         int sent = 20_000;
         try (ScriptedDiscovery discovery = new ScriptedDiscovery();
                 ScriptedHttpServer server = new ScriptedHttpServer("s");
-                NodeHarness harness = NodeHarness.start(config(discovery, ""));
+                NodeHarness harness =
+                        NodeHarness.start(config(discovery, "", "\"maxAttempts\":4", "\"maxAttempts\":1"));
                 TestConnection client = harness.client()) {
             discovery.awaitCall();
             TestSupport.startDaemon(() -> {
