--- a/decision/src/main/java/weldhitch/decision/balancing/AdaptiveConcurrencyLimit.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/AdaptiveConcurrencyLimit.java
@@ -1,36 +1,36 @@
 package weldhitch.decision.balancing;
 
 /**
- * An adaptive concurrency limit on admitted requests: it settles where a tenth of the answers miss their
- * latency objective. Its last part is reserved for requests of more than average priority weight for their
- * work. Called by {@link RatioBalancer} on its thread; not thread-safe.
+ * An adaptive concurrency limit on admitted requests. It converges to the limit at which a tenth of the responses
+ * miss their latency objective. The last part of the limit is reserved for requests whose priority weight per
+ * expected latency is at least average. Called by {@link RatioBalancer} on its thread; not thread-safe.
  */
 final class AdaptiveConcurrencyLimit {
-    /** The fraction of the limit that all requests may use; the rest is for the more important ones. */
+    /** Fraction of the limit that all requests may use; the rest is reserved for high-priority requests. */
     private static final double NORMAL_PRIORITY_FRACTION = 0.7;
 
     private static final double MIN_LIMIT = 8;
-    /** Assumed concurrency of one endpoint before there is any answer. */
+    /** Assumed concurrency of one endpoint before the first response. */
     private static final double INITIAL_PER_ENDPOINT = 6;
-    /** The fraction of late answers at which the limit is stable. */
+    /** Fraction of late responses at which the limit is stable. */
     private static final double TARGET_LATE_FRACTION = 0.1;
 
     private static final int SLOW_START_EXIT_COUNT = 4;
 
     double limit = MIN_LIMIT;
     int admitted;
-    /** Whether answers have moved the limit from its initial value. */
+    /** Whether responses have moved the limit from its initial value. */
     boolean adjusted;
-    /** Whether it is in slow start: nothing has yet shown that endpoints are at capacity. */
+    /** Whether the limit is in slow start: nothing has yet indicated that the endpoints are at capacity. */
     boolean inSlowStart = true;
     /** Lowest ratio of a latency to its objective so far. */
     double lowestLatencyRatio = Double.MAX_VALUE;
-    /** By how many the slow answers outnumber the quick ones during slow start, never below 0. */
+    /** Number by which slow responses outnumber quick ones during slow start; at least 0. */
     int slowAnswerExcess;
-    /** Total weight of the endpoints that the limit was learned with. */
+    /** Total weight of the endpoints for which the limit was learned. */
     double endpointWeight = 1;
 
-    /** Whether a request may be admitted; {@code highPriority}: whether it may use the reserved part. */
+    /** Returns whether a request may be admitted; with {@code highPriority} it may use the reserved part. */
     boolean hasCapacity(boolean highPriority) {
         return admitted < (highPriority ? limit : NORMAL_PRIORITY_FRACTION * limit);
     }
@@ -44,11 +44,12 @@
     }
 
     /**
-     * The endpoint list has changed. A learned limit is scaled in proportion to the endpoints' total weight.
+     * Adapts the limit to a changed endpoint list. A limit that responses have adjusted is scaled in proportion to the
+     * total weight of the endpoints.
      *
      * @param readyCount number of ready endpoints
-     * @param totalWeight their total weight
-     * @param nodeCount number of nodes that share them
+     * @param totalWeight total weight of the ready endpoints
+     * @param nodeCount number of nodes that share the endpoints
      */
     void onEndpointsChanged(int readyCount, double totalWeight, int nodeCount) {
         if (!adjusted) {
@@ -62,18 +63,18 @@
     }
 
     /**
-     * Adjusts the limit after an answer: a little up if it is in time while the limit is in use, much down if
-     * it is late. A limit that stayed at its initial value would reject requests that idle endpoints could
-     * serve; one that grew while little of it is used would say nothing about capacity (compare RFC 7661 for
-     * TCP).
+     * Adjusts the limit after a response. A response in time raises the limit a little if the limit is in use; a late
+     * response lowers it by much more. A limit that stayed at its initial value would reject requests that idle
+     * endpoints could serve. A limit that grew while little of it is used would not reflect the capacity of the
+     * endpoints (compare RFC 7661 for TCP).
      *
-     * <p>A node that has just started has a low limit, and may be the only node: until the first sign that
-     * endpoints are at capacity, each answer raises it by one, so that it doubles with each round trip (slow
-     * start, RFC 5681 section 3.1). An endpoint that rejects as full is such a sign. So are answers that took
-     * half of their objective and twice the lowest ratio so far, once they outnumber the others by
-     * {@value #SLOW_START_EXIT_COUNT}. A single slow answer says little: the first answers of a fresh fleet are
-     * slow even
-     * without load (RFC 9406 section 4.2 asks for eight samples).
+     * <p>A node that has just started has a low limit, and it may be the only node. Until the first sign that the
+     * endpoints are at capacity, each response in time raises the limit by 1, so that it doubles with each round trip
+     * (slow start, RFC 5681 section 3.1). One such sign is an endpoint that rejects a request as full. Another is that
+     * slow responses outnumber the others by {@value #SLOW_START_EXIT_COUNT}. A response is slow if its latency is at
+     * least half of its objective and its ratio to the objective is at least twice the lowest ratio so far. A single
+     * slow response is not enough, because the first responses of a newly started fleet are slow even without load
+     * (RFC 9406 section 4.2 requires eight samples).
      *
      * @param latency the latency in nanoseconds
      * @param latencyObjective the latency objective in nanoseconds
@@ -95,14 +96,14 @@
     }
 
     /**
-     * An endpoint rejected a request as full. This ends slow start only: one may be chance, and the next has
-     * capacity.
+     * Ends slow start after an endpoint rejected a request as full. The limit is not lowered, because a single full
+     * endpoint may be chance, and the next endpoint has capacity.
      */
     void onEndpointFull() {
         inSlowStart = false;
     }
 
-    /** A second endpoint in a row rejected a request as full: more is admitted than they can take. */
+    /** Lowers the limit after a second endpoint in a row rejected a request as full: too many requests are admitted. */
     void onSecondEndpointFull() {
         decrease();
     }
--- a/decision/src/main/java/weldhitch/decision/balancing/AdmissionController.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/AdmissionController.java
@@ -6,8 +6,8 @@
 import weldhitch.decision.settings.BalancerSettings;
 
 /**
- * Admission control: admits requests up to the {@link AdaptiveConcurrencyLimit} and queues the rest by priority.
- * Called by {@link RatioBalancer} on its thread; not thread-safe.
+ * Admits requests up to the {@link AdaptiveConcurrencyLimit} and queues the rest by priority. Called by
+ * {@link RatioBalancer} on its thread; not thread-safe.
  */
 final class AdmissionController {
     private final DecisionContext context;
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Returns the priority weight of an arriving request, and takes a token of its tenant's quota: a request over the
-     * quota weighs less.
+     * Returns the priority weight of an arriving request, and takes a token from its tenant's quota. A request over the
+     * quota has a lower weight.
      */
     double priorityWeight(RequestArrived arrival, ClassLatencyModel classModel) {
         double cost = settings.weightByCost() && arrival.cost() > 0 ? arrival.cost() : 1;
@@ -37,7 +37,7 @@
         return priorityWeight;
     }
 
-    /** Updates the mean rank, above which a request may use the reserved part of the limit. */
+    /** Updates the mean rank. Requests of at least this rank may use the reserved part of the limit. */
     void recordArrival(RequestState request) {
         state.meanRank = state.meanRank == 0
                 ? request.rank
@@ -45,10 +45,9 @@
     }
 
     /**
-     * Admits the request, or queues it. The first tier admits only as many concurrent requests as are answered
-     * within their latency objective; the rest queue, those with the highest priority weight for their work
-     * first. Deeper tiers admit everything: rejecting there would waste the work already done in the tiers
-     * above.
+     * Admits the request, or queues it. The first tier admits only as many concurrent requests as are answered within
+     * their latency objective. It queues the rest, ordered by priority weight per expected latency, highest first.
+     * Deeper tiers admit every request, because a rejection there would waste the work already done in the tiers above.
      */
     void admitOrEnqueue(RequestState request) {
         if (settings.tier() > 0
@@ -92,7 +91,7 @@
         }
     }
 
-    /** Adjusts the limit after an answer to an admitted request. */
+    /** Adjusts the limit after a response to an admitted request. */
     void recordLatency(RequestState request) {
         if (request.admitted && request.classModel.requestClass.latencyObjective() > 0) {
             state.admissionLimit.recordLatency(
@@ -100,7 +99,7 @@
         }
     }
 
-    /** An endpoint rejected the attempt as full; the limit falls if it was the second one in a row. */
+    /** Records that an endpoint rejected the attempt as full; for a request's second attempt, lowers the limit. */
     void recordEndpointFull(AttemptState attempt) {
         if (attempt.request.admitted) {
             state.admissionLimit.onEndpointFull();
--- a/decision/src/main/java/weldhitch/decision/balancing/AttemptState.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/AttemptState.java
@@ -1,6 +1,6 @@
 package weldhitch.decision.balancing;
 
-/** The state of one attempt of a request. Times are nanoseconds. Mutable, owned by the balancer's thread. */
+/** The state of one attempt of a request. Times are nanoseconds. Mutable; owned by the balancer's thread. */
 final class AttemptState {
     final RequestState request;
     final Endpoint endpoint;
@@ -8,11 +8,11 @@
     final long sentAt;
     boolean ended;
     boolean notExecuted;
-    /** Whether it took longer than the hedge delay, so that a hedged request was due. */
+    /** Whether the attempt took longer than the hedge delay, so that a hedged request was due. */
     boolean exceededHedgeDelay;
-    /** Whether the retry token of its successor was taken in advance, as it is abandoned at its timeout. */
+    /** Whether the retry token for the next attempt was taken in advance, because this one is abandoned on timeout. */
     boolean retryTokenReserved;
-    /** Whether its answer has started, which makes it the final one. */
+    /** Whether the response has started to arrive, which makes it the final response of the request. */
     boolean streaming;
 
     AttemptState(RequestState request, Endpoint endpoint, int number, long sentAt) {
--- a/decision/src/main/java/weldhitch/decision/balancing/BalancerState.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/BalancerState.java
@@ -12,8 +12,8 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * The complete state of a {@link RatioBalancer} besides its settings; {@link SnapshotBuilder} saves and restores it.
- * Mutable, and owned by the balancer's thread.
+ * The complete state of a {@link RatioBalancer} except its settings. {@link SnapshotBuilder} saves and restores it.
+ * Mutable; owned by the balancer's thread.
  */
 final class BalancerState {
     static final double MAX_RETRY_TOKENS = BalancerSnapshot.MAX_RETRY_TOKENS;
@@ -23,8 +23,8 @@
     final EndpointSet endpoints;
     final Map<String, ClassLatencyModel> classModels = new LinkedHashMap<>();
     /**
-     * For requests of a class that the settings don't name: they may not be idempotent, so they are never
-     * repeated.
+     * Latency model of requests whose class the settings do not name. These requests may not be idempotent, so they
+     * are never repeated.
      */
     final ClassLatencyModel unknownClassModel = new ClassLatencyModel(
             new RequestClass("", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 0, 0, 0, 1, 0, false));
@@ -41,17 +41,17 @@
     RouteStates routes = RouteStates.NONE;
     /** Exponential moving average of the rank of arriving requests; 0 before the first. */
     double meanRank;
-    /** Tokens for further attempts after one that may have been executed. */
+    /** Tokens that pay for further attempts after one that may have been executed. */
     double retryTokens = MAX_RETRY_TOKENS / 2;
 
     boolean started;
-    /** Whether a subscription is requested and not yet answered. */
+    /** Whether a subscription to endpoint updates was requested and is not answered yet. */
     boolean subscriptionPending;
 
     boolean subscribed;
-    /** Subscriptions rejected in a row, 6 at most. */
+    /** Number of subscriptions rejected in a row, at most 6. */
     int subscriptionRejections;
-    /** The snapshot begun last; not itself part of a snapshot. Null before the first. */
+    /** The snapshot begun last; null before the first. It is not itself part of a snapshot. */
     IncrementalSnapshot snapshotInProgress;
 
     BalancerState(BalancerSettings settings, SeededRandom random) {
--- a/decision/src/main/java/weldhitch/decision/balancing/ClassLatencyModel.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/ClassLatencyModel.java
@@ -3,10 +3,10 @@
 import weldhitch.decision.settings.RequestClass;
 
 /**
- * Learns the expected latency of a request class in nanoseconds, by linear regression on the cost hint where
- * there is one. Round trips are divided by it, so that an endpoint is not judged by the mix of requests it
- * happened to get (Küting et al., section 6: the remedy for mixed request types). Mutable, owned by the
- * balancer's thread.
+ * Learns the expected latency of a request class in nanoseconds, by linear regression on the cost hint if there is
+ * one. Round trips are divided by the expected latency, so that an endpoint's mean does not depend on the mix of
+ * requests that it happened to receive (Küting et al., section 6: the remedy for mixed request types). Mutable; owned
+ * by the balancer's thread.
  */
 final class ClassLatencyModel {
     static final double SMOOTHING_FACTOR = 0.02;
@@ -23,7 +23,7 @@
         this.requestClass = requestClass;
     }
 
-    /** Records the latency of a served call with this cost hint. */
+    /** Records the latency in nanoseconds of a successful attempt with this cost hint. */
     void record(double costHint, double latency) {
         double smoothing = Math.max(SMOOTHING_FACTOR, 1.0 / ++sampleCount);
         latencyDeviation += smoothing * (Math.abs(latency - expectedLatency(costHint)) - latencyDeviation);
@@ -36,21 +36,22 @@
     }
 
     /**
-     * Returns the expected latency for this cost hint; a quarter of the objective, or 0.1 s, before any sample.
+     * Returns the expected latency in nanoseconds for this cost hint. Before the first sample it is a quarter of the
+     * latency objective, or 0.1 s if the class has no objective.
      */
     double expectedLatency(double costHint) {
         if (sampleCount == 0) {
             return requestClass.latencyObjective() > 0 ? requestClass.latencyObjective() / 4.0 : 1e8;
         }
         double slope = costVariance > 1e-12 ? covariance / costVariance : 0;
-        // At least 1 ns: latencies of 0 must not make it 0, as round trips are divided by it.
+        // At least 1 ns even if all latencies were 0, because round trips are divided by it.
         return Math.max(1, Math.max(meanLatency / 5, meanLatency + Math.max(0, slope) * (costHint - meanCost)));
     }
 
     /**
-     * Returns the timeout after which an attempt is abandoned for a retry, its work being lost. It is computed
-     * like the retransmission timeout of RFC 6298, where a single measurement implies a deviation of half of
-     * it, and none implies nothing.
+     * Returns the timeout in nanoseconds after which an attempt is abandoned for a retry, which loses its work. It is
+     * computed like the retransmission timeout of RFC 6298, where a single measurement implies a deviation of half its
+     * value. Without a measurement there is no deviation to add, and the latency objective is the lower bound.
      */
     long attemptTimeout(double costHint) {
         double expected = expectedLatency(costHint);
@@ -59,7 +60,7 @@
                 : (long) (expected + 4 * Math.max(latencyDeviation, expected / (1 + sampleCount)));
     }
 
-    /** Returns the time after which a hedged request is worth its work. */
+    /** Returns the time in nanoseconds after which a hedged request is worth its additional work. */
     long hedgeDelay(double costHint) {
         return (long) (expectedLatency(costHint) + 4 * latencyDeviation);
     }
--- a/decision/src/main/java/weldhitch/decision/balancing/DecayingFailureCount.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/DecayingFailureCount.java
@@ -1,9 +1,9 @@
 package weldhitch.decision.balancing;
 
 /**
- * Counts the failures of an endpoint or zone since its last served call, with exponential decay, and turns the
- * count into a weight factor (Küting et al., section 3.4; the curve is our own). Times are nanoseconds. Not
- * thread-safe; owned by the balancer's thread.
+ * Counts the failures of an endpoint or zone since its last successful attempt, with exponential decay, and converts
+ * the count to a weight factor (Küting et al., section 3.4; the formula is not from the paper). Times are
+ * nanoseconds. Not thread-safe; owned by the balancer's thread.
  */
 final class DecayingFailureCount {
     /** Time constant of the decay, in nanoseconds. */
--- a/decision/src/main/java/weldhitch/decision/balancing/DecisionContext.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/DecisionContext.java
@@ -7,12 +7,12 @@
 import weldhitch.decision.settings.BalancerSettings;
 
 /**
- * What {@link RatioBalancer} and its collaborators share while one event is handled: the state, the time and the
- * actions decided so far. Created once per balancer and reused for each event. Times are nanoseconds. Not
- * thread-safe; owned by the balancer's thread.
+ * The data that {@link RatioBalancer} and its collaborators share while they handle one event: the state, the time of
+ * the event and the actions decided so far. One instance per balancer is reused for all events. Times are
+ * nanoseconds. Not thread-safe; owned by the balancer's thread.
  */
 final class DecisionContext {
-    /** Most events are answered with no more actions than this. */
+    /** Initial capacity of the list of actions; most events result in no more than this. */
     private static final int EXPECTED_ACTIONS = 4;
 
     final BalancerSettings settings;
@@ -29,7 +29,7 @@
         this.listener = listener;
     }
 
-    /** Begins an event at this time: no actions are decided yet. */
+    /** Starts the handling of an event at this time, with an empty list of actions. */
     void beginEvent(long eventTime) {
         now = eventTime;
         actions = new ArrayList<>(EXPECTED_ACTIONS);
@@ -50,24 +50,24 @@
         actions.add(action);
     }
 
-    /** Tells the listener, if there is one, the reason of a decision. */
+    /** Passes the reason of a decision to the listener, if there is one. */
     void notifyListener(RequestState request, DecisionReason reason) {
         if (listener != null) {
             listener.onDecision(now, request.id, reason);
         }
     }
 
-    /** Returns the latest time of an answer: one clock step before the deadline. */
+    /** Returns the latest time for the final response: one clock resolution step before the deadline. */
     long latestAnswerTime(RequestState request) {
         return request.deadline - settings.clockResolution();
     }
 
-    /** Whether the latest time of an answer has come. */
+    /** Returns whether the latest time for the final response has been reached. */
     boolean deadlineReached(RequestState request) {
         return now >= latestAnswerTime(request);
     }
 
-    /** Schedules the time at which the request is looked at again; it replaces an earlier one. */
+    /** Schedules the next wake-up of the request, which replaces an earlier one. */
     void scheduleWakeUp(RequestState request, long time) {
         request.wakeUpAt = time;
         state.timers.schedule(time, request);
--- a/decision/src/main/java/weldhitch/decision/balancing/DecisionListener.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/DecisionListener.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * Receives the reasons of a replayed balancer's decisions, on the balancer's thread. A balancer in a running
- * node has no listener and computes none of this. Times are nanoseconds; means are multiples of the expected
- * latency of the request's class.
+ * Receives the reasons of a replayed balancer's decisions, on the balancer's thread. A balancer in a running node has
+ * no listener and does not compute these reasons. Times are nanoseconds. Means are multiples of the expected latency
+ * of the request's class.
  */
 public interface DecisionListener {
-    /** Why an endpoint could not be picked; {@link #NONE} if it could. */
+    /** The reason why an endpoint could not be picked, or {@link #NONE} if it could. */
     enum ExclusionReason {
-        /** It could be picked. */
+        /** The endpoint could be picked. */
         NONE("in"),
         DRAINING("draining"),
-        /** It is outside the subset of this node. */
+        /** The endpoint is outside the subset of this node. */
         OUTSIDE_SUBSET("not_around"),
-        /** It is in slow start and has no credit. */
+        /** The endpoint is in slow start and has no credit. */
         NO_SLOW_START_CREDIT("cold"),
         ALREADY_ATTEMPTED("tried"),
-        /** It is outside the deduplication scope of an earlier attempt. */
+        /** The endpoint is outside the deduplication scope of an earlier attempt. */
         OUTSIDE_DEDUPLICATION_SCOPE("other_group"),
         ZONE_NOT_ALLOWED("other_zone");
 
@@ -29,7 +29,7 @@
         }
 
         /**
-         * Returns its name in reports and {@code why --json}. Scripts read this output, so labels never change.
+         * Returns the name used in reports and by {@code why --json}. Scripts read this output, so labels never change.
          */
         public String label() {
             return label;
@@ -63,7 +63,7 @@
         }
 
         /**
-         * Returns its name in reports and {@code why --json}. Scripts read this output, so labels never change.
+         * Returns the name used in reports and by {@code why --json}. Scripts read this output, so labels never change.
          */
         public String label() {
             return label;
@@ -71,16 +71,16 @@
     }
 
     /**
-     * One endpoint at a pick.
+     * The state of one endpoint at the time of a pick.
      *
-     * @param exclusion why it could not be picked
-     * @param windowMean mean of its last round trips, 0 if there are none
+     * @param exclusion the reason why it could not be picked
+     * @param windowMean the mean of its last round trips, 0 if there are none
      * @param pickMean the mean used for the pick, 0 if it could not be picked
-     * @param healthFactor the factor that its failures leave of its weight
-     * @param slowStartFactor the factor of slow start, 1 when warm
-     * @param slowStartCredit its slow-start credit in calls
-     * @param outstanding its attempts in flight
-     * @param weight its weight, not normalized; the sum over all candidates is the total
+     * @param healthFactor the factor by which failures lower its weight, 1 without failures
+     * @param slowStartFactor the factor by which slow start lowers its weight, 1 when warm
+     * @param slowStartCredit its slow-start credit: the number of attempts that it may still be sent
+     * @param outstanding the number of its attempts in flight
+     * @param weight its weight, not normalized: its probability is this value divided by the sum over all candidates
      */
     record PickCandidate(
             String endpointId,
@@ -95,13 +95,13 @@
             double weight) {}
 
     /**
-     * One pick.
+     * A pick of an endpoint for an attempt.
      *
      * @param lowestMean t_b, the lowest mean
-     * @param candidates all endpoints of the list
+     * @param candidates all endpoints of the endpoint list
      * @param firstDraw the first endpoint drawn, null if none could be picked
      * @param secondDraw the second endpoint drawn, null if none could be picked
-     * @param chosen the endpoint picked, null if none could be
+     * @param chosen the endpoint picked, null if none could be picked
      */
     record PickTrace(
             long at,
@@ -113,9 +113,9 @@
             String secondDraw,
             String chosen) {}
 
-    /** An endpoint was picked for an attempt, or none could be. */
+    /** Called after each pick, whether or not an endpoint could be picked. */
     void onPick(PickTrace trace);
 
-    /** A decision on a request was made. */
+    /** Called after each decision on a request. */
     void onDecision(long at, String requestId, DecisionReason reason);
 }
--- a/decision/src/main/java/weldhitch/decision/balancing/Endpoint.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/Endpoint.java
@@ -7,18 +7,14 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * The state of one endpoint: its entry in the endpoint list, its last round trips as multiples of the expected
- * latency of their class, its failures, its slow-start credit and its attempts in flight. Times are
- * nanoseconds. Mutable, and owned by the balancer's thread; each change first lets a snapshot in progress save
- * the old state.
+ * The state of one endpoint: its entry in the endpoint list, its last round trips as multiples of the expected latency
+ * of their class, its failures, its slow-start credit and its attempts in flight. Each change first lets a snapshot in
+ * progress save the old state. Times are nanoseconds. Mutable; owned by the balancer's thread.
  */
 final class Endpoint {
-    /**
-     * Round trips that an endpoint's mean is computed over (Küting et al., section 5.3: the averaged variant,
-     * 20).
-     */
+    /** Number of round trips in the window of an endpoint's mean (Küting et al., section 5.3: averaged variant, 20). */
     static final int LATENCY_WINDOW = BalancerSnapshot.EndpointSnapshot.LATENCY_WINDOW;
-    /** Time constant by which an old mean decays towards t_b, and the error rate towards 0. */
+    /** Time constant in nanoseconds with which an old mean decays towards t_b, and the error rate towards 0. */
     static final double DECAY_NANOS = 10e9;
 
     private static final double ERROR_RATE_SMOOTHING = 0.1;
@@ -37,23 +33,23 @@
     final double[] latencies = new double[LATENCY_WINDOW];
     EndpointState state;
     double weight;
-    /** Calls that may be sent to it while it is in slow start. */
+    /** Number of attempts that may be sent to the endpoint while it is in slow start. */
     double slowStartCredit;
 
     boolean warmingUp;
     double errorRate;
-    /** Sum of the window, updated incrementally; its rounding errors are part of the state. */
+    /** Sum of the window, updated incrementally. Its rounding errors are part of the state, so snapshots include it. */
     double latencySum;
 
     int sampleCount;
     int nextSample;
     long lastSampleAt;
     long lastResponseAt;
-    /** The mean that the current pick uses. */
+    /** The mean used for the current pick. */
     double pickMean;
     /**
-     * The snapshot in progress that has yet to save this endpoint, or null; {@code snapshotIndex} is the index
-     * there.
+     * The snapshot in progress that has not saved this endpoint yet, or null. {@link #snapshotIndex} is the
+     * endpoint's index in that snapshot.
      */
     IncrementalSnapshot pendingSnapshot;
 
@@ -68,7 +64,7 @@
         this.zoneFailures = zoneFailures;
     }
 
-    /** Called before each change: lets a snapshot in progress save the state before it. */
+    /** Lets a snapshot in progress save the current state. Called before each change. */
     private void beforeChange() {
         if (pendingSnapshot != null) {
             pendingSnapshot.save(this);
@@ -81,26 +77,26 @@
         weight = entry.weight() > 0 ? entry.weight() : 1;
     }
 
-    /** An attempt is sent; in slow start it costs one credit. */
+    /** Adds an attempt that is being sent. In slow start it costs one credit. */
     void attemptSent(AttemptState attempt) {
         beforeChange();
         outstanding.addLast(attempt);
         slowStartCredit -= warmingUp ? 1 : 0;
     }
 
-    /** An attempt is no longer in flight. */
+    /** Removes an attempt that is no longer in flight. */
     void attemptEnded(AttemptState attempt) {
         beforeChange();
         outstanding.remove(attempt);
     }
 
-    /** The endpoint has answered something. */
+    /** Records the time of a response, successful or not. */
     void responseReceived(long now) {
         beforeChange();
         lastResponseAt = now;
     }
 
-    void slowStartCredit(double amount) {
+    void addSlowStartCredit(double amount) {
         beforeChange();
         slowStartCredit = Math.min(2, slowStartCredit + amount);
     }
@@ -112,7 +108,7 @@
         }
     }
 
-    /** A call was served: its round trip joins the window, the failure counts are cleared. */
+    /** Adds the round trip of a successful attempt to the window, clears the failure counts, lowers the error rate. */
     void recordLatency(double roundTrip, long now) {
         beforeChange();
         latencySum += roundTrip - (sampleCount == LATENCY_WINDOW ? latencies[nextSample] : 0);
@@ -126,10 +122,10 @@
     }
 
     /**
-     * Counts a failed attempt.
+     * Records a failed attempt.
      *
-     * @param errorResponse whether the endpoint answered with an error
-     * @param noResponse whether it did not answer, which also counts against its zone
+     * @param errorResponse whether the endpoint responded with an error
+     * @param noResponse whether the endpoint did not respond, which also counts as a failure of its zone
      */
     void recordFailure(boolean errorResponse, boolean noResponse, long now) {
         beforeChange();
@@ -147,7 +143,7 @@
         return errorRate == 0 ? 0 : errorRate * Math.exp((failures.updatedAt - now) / DECAY_NANOS);
     }
 
-    /** The factor, up to 1, by which failures lower the endpoint's weight (section 3.4; the curve is ours). */
+    /** Returns the factor, at most 1, by which failures lower the weight (section 3.4; formula not from the paper). */
     double healthFactor(long now) {
         double successFactor = Math.pow(1 - currentErrorRate(now), 3);
         return failures.weightFactor(now)
@@ -160,9 +156,10 @@
     }
 
     /**
-     * Returns t_i of section 3.2: the mean of the window, decaying towards t_b as it ages; t_b if there is
-     * none. A stalled endpoint would keep its old mean, so with a call in flight the time since its last
-     * answer is a lower bound, multiplied by the number of calls in flight plus one.
+     * Returns t_i of section 3.2: the mean of the window, which decays towards t_b as the window ages, or t_b if the
+     * window is empty. With attempts in flight, the time since the last response (or since the oldest attempt was sent,
+     * if that is later) is a lower bound, because a stalled endpoint would otherwise keep its old mean. The result is
+     * then multiplied by the number of attempts in flight plus one.
      */
     double currentMeanLatency(double lowestMean, long now) {
         double mean = lowestMean;
--- a/decision/src/main/java/weldhitch/decision/balancing/EndpointSet.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/EndpointSet.java
@@ -13,16 +13,16 @@
 import weldhitch.decision.settings.PlatformRules;
 
 /**
- * The endpoint list and its ready endpoints in ring order: the one-to-n table of Küting et al., section 3.1. Owns
- * the failure counts of the zones and the {@link SlowStartCredits}. Times are nanoseconds. Not thread-safe; owned by
- * the balancer's thread.
+ * The endpoint list, and its ready endpoints in ring order (the one-to-n table of Küting et al., section 3.1). Owns the
+ * failure counts of the zones and the {@link SlowStartCredits}. Times are nanoseconds. Not thread-safe; owned by the
+ * balancer's thread.
  */
 final class EndpointSet {
-    /** All endpoints of the list, draining ones included. */
+    /** All endpoints of the list, including draining ones. */
     final Map<String, Endpoint> byId = new LinkedHashMap<>();
 
     final Map<String, DecayingFailureCount> failuresByZone = new LinkedHashMap<>();
-    /** Endpoints that may be sent to, in the ring order that all nodes share; rebuilt at each update. */
+    /** Ready endpoints, which may be sent attempts, in the ring order that all nodes share; rebuilt at each update. */
     final List<Endpoint> ready = new ArrayList<>();
 
     final SlowStartCredits slowStart;
@@ -52,7 +52,7 @@
         if (endpoint == null || endpoint.startedAt != entry.startedAt()) {
             String zone = String.valueOf(entry.zone());
             endpoint = new Endpoint(entry.endpointId(), zone, entry.cell(), entry.startedAt(), failuresOfZone(zone));
-            // Random, so that not all nodes send their first call to the endpoint at the same moment.
+            // Random, so that the nodes do not all send their first attempt to the endpoint at the same moment.
             endpoint.slowStartCredit = random.nextDouble();
             byId.put(entry.endpointId(), endpoint);
         }
--- a/decision/src/main/java/weldhitch/decision/balancing/EndpointUpdates.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/EndpointUpdates.java
@@ -11,15 +11,15 @@
  * thread-safe.
  */
 final class EndpointUpdates {
-    /** Rejections beyond this many in a row don't lengthen the backoff any more. */
+    /** Number of rejections in a row after which the backoff no longer grows. */
     private static final int MAX_COUNTED_REJECTIONS = 6;
-    /** Base of the backoff after a rejection, doubled with each one. */
+    /** Base of the backoff after a rejection in nanoseconds, doubled with each rejection. */
     private static final double BASE_BACKOFF = 1e9;
     /** Longest backoff, as a fraction of the longest poll interval. */
     private static final double MAX_BACKOFF_FRACTION = 0.8;
     /** Longest delay of the first subscription, as a fraction of the longest poll interval. */
     private static final double MAX_FIRST_DELAY_FRACTION = 0.4;
-    /** Longest delay of the first subscription for each node, so that a small fleet subscribes at once. */
+    /** Longest delay of the first subscription in nanoseconds per node, so that a small fleet subscribes at once. */
     private static final double FIRST_DELAY_PER_NODE = 50e6;
 
     private final DecisionContext context;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Subscribes, unless it is subscribed or has requested it. */
+    /** Requests a subscription, unless there is one or one is pending. */
     void subscribe() {
         if (!state.subscriptionPending && !state.subscribed) {
             state.subscriptionPending = true;
--- a/decision/src/main/java/weldhitch/decision/balancing/IncrementalSnapshot.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/IncrementalSnapshot.java
@@ -6,14 +6,14 @@
 import weldhitch.decision.snapshot.BalancerSnapshot.EndpointSnapshot;
 
 /**
- * A snapshot taken incrementally between events, some endpoints at a time, so that a large fleet does not
- * block the event loop. It is consistent with the instant at which it was begun: everything but the endpoints
- * is saved then, and an endpoint that changes before its turn is saved first (copy on write). It belongs to
- * the balancer's thread; once {@link #saveNext} has returned true, another thread to which it is safely published
- * may call {@link #snapshot}.
+ * A snapshot that is taken incrementally between events, some endpoints at a time, so that it does not block the event
+ * loop in a large fleet. It is consistent with the instant at which it was begun: all state except the endpoints is
+ * saved then, and an endpoint that changes before its turn is saved first (copy on write). Owned by the balancer's
+ * thread. Once {@link #saveNext} has returned true, another thread to which this object is safely published may call
+ * {@link #snapshot}.
  */
 public final class IncrementalSnapshot {
-    /** Assembles the snapshot from the saved endpoints and everything else, which it has already. */
+    /** Assembles the snapshot from the saved endpoints and the rest of the state, which it already holds. */
     interface SnapshotAssembler {
         BalancerSnapshot assemble(List<EndpointSnapshot> endpoints);
     }
@@ -33,7 +33,7 @@
 
     IncrementalSnapshot() {}
 
-    /** Returns the endpoint's index, which is assigned at its first mention. */
+    /** Returns the endpoint's index, which is assigned by the first call for the endpoint. */
     int indexOf(Endpoint endpoint) {
         if (endpoint.pendingSnapshot != this) {
             endpoint.pendingSnapshot = this;
@@ -43,25 +43,25 @@
         return endpoint.snapshotIndex;
     }
 
-    /** The endpoints mentioned so far are those of the list; only attempts refer to the ones that follow. */
+    /** Marks the endpoints indexed so far as those of the endpoint list; only attempts refer to later ones. */
     void markListComplete() {
         listedCount = endpoints.size();
     }
 
-    /** All endpoints have been mentioned: saving can start. */
+    /** Prepares the saving of the endpoints. Called once all of them have an index. */
     void start(EndpointSaver endpointSaver, SnapshotAssembler snapshotAssembler) {
         saver = endpointSaver;
         assembler = snapshotAssembler;
         saved = new EndpointSnapshot[endpoints.size()];
     }
 
-    /** Saves an endpoint that is not saved yet; called before it changes. */
+    /** Saves an endpoint that is not saved yet. Also called before the endpoint changes. */
     void save(Endpoint endpoint) {
         endpoint.pendingSnapshot = null;
         saved[endpoint.snapshotIndex] = saver.save(endpoint, endpoint.snapshotIndex < listedCount);
     }
 
-    /** Saves at most this many more endpoints; returns true once all are saved. */
+    /** Saves at most {@code max} more endpoints, and returns whether all are saved. */
     public boolean saveNext(int max) {
         int end = (int) Math.min(endpoints.size(), (long) next + max);
         for (; next < end; next++) {
@@ -74,7 +74,7 @@
         return complete;
     }
 
-    /** Whether everything is saved; may be called on any thread. */
+    /** Returns whether all endpoints are saved. May be called on any thread. */
     public boolean complete() {
         return complete;
     }
@@ -82,11 +82,11 @@
     /**
      * Returns the complete snapshot.
      *
-     * @throws IllegalStateException if endpoints are still to be saved
+     * @throws IllegalStateException if not all endpoints are saved
      */
     public BalancerSnapshot snapshot() {
         if (!complete) {
-            throw new IllegalStateException(next + " of " + endpoints.size() + " servers are saved");
+            throw new IllegalStateException(next + " of " + endpoints.size() + " endpoints are saved, expected all");
         }
         return assembler.assemble(List.of(saved));
     }
--- a/decision/src/main/java/weldhitch/decision/balancing/LatencyPercentile.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/LatencyPercentile.java
@@ -5,17 +5,17 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * A percentile of a route's last latencies, after which its hedged requests are sent. Mutable, owned by the
- * balancer's thread.
+ * A percentile of a route's last latencies. It is the delay after which the route's hedged requests are sent. Mutable;
+ * owned by the balancer's thread.
  */
 final class LatencyPercentile {
-    /** Number of latencies that the percentile is computed over, enough for the highest one allowed. */
+    /** Number of latencies over which the percentile is computed; sufficient for the highest percentile allowed. */
     static final int WINDOW = BalancerSnapshot.LatencyPercentileSnapshot.WINDOW;
-    /** The percentile is recomputed after this many answers. */
+    /** Number of samples after which the percentile is recomputed. */
     private static final int REFRESH_INTERVAL = 32;
 
     final HedgeAtPercentile hedging;
-    /** Allocated at the first answer, as most routes of a large file see little or no traffic. */
+    /** Allocated at the first sample, because most routes of a large file have little or no traffic. */
     long[] samples;
 
     long sampleCount;
--- a/decision/src/main/java/weldhitch/decision/balancing/PickTraceBuilder.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/PickTraceBuilder.java
@@ -6,14 +6,13 @@
 import weldhitch.decision.endpoint.EndpointState;
 
 /**
- * Builds the trace of a pick for a {@link DecisionListener}: every endpoint of the list with its weight, or why
- * it could
- * not be picked. Called by {@link WeightedEndpointPicker}; stateless.
+ * Builds the trace of a pick for a {@link DecisionListener}: each endpoint of the list with its weight, or with the
+ * reason why it could not be picked. Called by {@link WeightedEndpointPicker}; stateless.
  */
 final class PickTraceBuilder {
     private PickTraceBuilder() {}
 
-    /** Builds the trace of a pick that was just made. */
+    /** Returns the trace of a pick that was just made. */
     static DecisionListener.PickTrace build(
             RequestState request,
             long now,
--- a/decision/src/main/java/weldhitch/decision/balancing/RatioBalancer.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RatioBalancer.java
@@ -19,35 +19,40 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * The balancer of a node: turns events into actions by the averaged Ratio approach (Küting et al., "Client-Based
- * Adaptive Load Balancing in Service-Oriented Systems"). The path of an ordinary request stands here from top to
- * bottom:
+ * The balancer of a node, which turns events into actions by the averaged Ratio approach (Küting et al., "Client-Based
+ * Adaptive Load Balancing in Service-Oriented Systems"). An ordinary request is handled by these methods, in order:
  *
  * <ol>
  *   <li>{@link #onEndpointsChanged}: a service is a list of endpoints (section 3.1);
- *   <li>{@link #onRequestArrived}: the request is matched with its class and route, and admitted or queued (ours);
+ *   <li>{@link #onRequestArrived}: the request is matched with its class and route, and admitted or queued (not part of
+ *       the paper);
  *   <li>{@link #sendAttempt}: two endpoints are drawn by p_i = f_i / sum(f), f_i = t_b / t_i, with replacement, and the
- *       one with the lower mean is taken (section 3.2, by {@link WeightedEndpointPicker});
- *   <li>{@link #onAttemptEnded}, {@link #recordOutcome}: a failure lowers the endpoint's probability and another
+ *       one with the lower mean is picked (section 3.2, by {@link WeightedEndpointPicker});
+ *   <li>{@link #onAttemptEnded}, {@link #recordOutcome}: a failure lowers the endpoint's probability, and another
  *       endpoint is tried (section 3.4, by {@link RequestDispatcher});
- *   <li>{@link #recordServed}: the round trip of a served call joins the endpoint's window, whose mean is t_i
- *       (section 5.3, averaged variant).
+ *   <li>{@link #recordServed}: the round trip of a successful attempt is added to the endpoint's window, whose mean is
+ *       t_i (section 5.3, averaged variant).
  * </ol>
  *
- * <p>Its state is in {@link BalancerState}. {@link AdmissionController} admits requests, {@link RequestDispatcher} and
+ * <p>The state is in {@link BalancerState}. {@link AdmissionController} admits requests, {@link RequestDispatcher} and
  * {@link RetryPolicy} decide on retries and hedged requests, {@link RequestCompletion} ends requests, and
  * {@link EndpointUpdates} follows the endpoint list.
  *
- * <p>Invariants, and where each is enforced: one final answer before the deadline ({@link RequestCompletion});
- * no request executed twice unless it is idempotent or its repeats are discarded ({@link RetryPolicy#retryBlocker},
- * {@link RequestCompletion}); draining and warming-up endpoints ({@link EndpointSet},
- * {@link WeightedEndpointPicker}: only ready endpoints are sent to, those in slow start only while they have credit).
+ * <p>Invariants, and the classes that enforce them:
  *
- * <p>Not thread-safe: one thread owns it. It does no I/O and reads no clock; the time comes from the caller,
- * and the only randomness from the seed.
+ * <ul>
+ *   <li>A request gets one final response before its deadline: {@link RequestCompletion}.
+ *   <li>No request is executed twice unless it is idempotent or its repeats are discarded:
+ *       {@link RetryPolicy#retryBlocker}, {@link RequestCompletion}.
+ *   <li>Attempts are sent only to ready endpoints, and to those in slow start only while they have credit:
+ *       {@link EndpointSet}, {@link WeightedEndpointPicker}.
+ * </ul>
+ *
+ * <p>Not thread-safe; owned by one thread. It does no I/O and reads no clock: the time comes from the caller, and all
+ * randomness from the seed.
  */
 public final class RatioBalancer {
-    /** The token of the one timer that is requested from the caller; recorded in captures. */
+    /** The token of the only timer that is requested from the caller. Captures contain it. */
     private static final String TIMER_TOKEN = "due";
 
     private final BalancerSettings settings;
@@ -60,7 +65,7 @@
     private final RequestDispatcher dispatcher;
     private final AdmissionController admission;
 
-    /** Creates a balancer without endpoints or routes; {@code seed} determines all its random draws. */
+    /** Creates a balancer without endpoints or routes; {@code seed} determines all its random numbers. */
     public RatioBalancer(BalancerSettings settings, long seed) {
         this(new BalancerState(settings, new SeededRandom(seed)), null);
     }
@@ -78,25 +83,25 @@
     }
 
     /**
-     * Restores a balancer from a snapshot; its decisions from there on are bit for bit those of the original.
+     * Restores a balancer from a snapshot. Its further decisions are bit for bit those of the original.
      *
-     * @param settings the settings of the balancer that the snapshot is of
+     * @param settings the settings of the balancer that the snapshot was taken from
      * @param listener receives the reasons of decisions, or null
-     * @throws IllegalArgumentException if no balancer with these settings can have this snapshot; names the
-     * field
+     * @throws IllegalArgumentException if no balancer with these settings can have this snapshot; the message names the
+     *     field
      */
     public static RatioBalancer restore(
             BalancerSettings settings, BalancerSnapshot snapshot, DecisionListener listener) {
         return new RatioBalancer(SnapshotBuilder.restore(settings, snapshot), listener);
     }
 
-    /** Returns the complete state between two events. */
+    /** Returns a snapshot of the complete state. Called between two events. */
     public BalancerSnapshot snapshot() {
         return beginSnapshot().finish();
     }
 
     /**
-     * Begins a snapshot of the present state, to be taken in parts between the events that follow. A snapshot
+     * Begins a snapshot of the current state, which is then saved in parts between the events that follow. A snapshot
      * begun earlier is completed first.
      */
     public IncrementalSnapshot beginSnapshot() {
@@ -107,7 +112,7 @@
         return state.snapshotInProgress;
     }
 
-    /** Handles one event at the caller's time and returns the actions to execute, in order. */
+    /** Handles one event at the time given by the caller, and returns the actions to execute, in order. */
     public List<BalancerAction> handle(long nowNanos, BalancerEvent event) {
         context.beginEvent(nowNanos);
         if (!state.started) {
@@ -143,9 +148,7 @@
         }
     }
 
-    // ---- the ordinary path of a request ----
-
-    /** Section 3.1: the list of endpoints is the table that translates the service's name into addresses. */
+    /** Applies an update of the endpoint list, the table that maps the service's name to addresses (section 3.1). */
     private void onEndpointsChanged(EndpointsChanged changed) {
         endpointUpdates.onEndpointsChanged(changed);
     }
@@ -187,8 +190,8 @@
     }
 
     /**
-     * Section 3.2: sends an attempt to the better of two endpoints drawn by weight. Called by the
-     * {@link RequestDispatcher}; returns false if no endpoint may take the attempt now.
+     * Sends an attempt to the better of two endpoints drawn by weight (section 3.2), and returns whether an endpoint
+     * could take it. Called by the {@link RequestDispatcher}.
      */
     private boolean sendAttempt(RequestState request) {
         long now = context.now();
@@ -207,7 +210,7 @@
         return true;
     }
 
-    /** Updates what is known of the endpoint, then closes the request or tries another endpoint. */
+    /** Updates the state of the endpoint, then closes the request or tries another endpoint. */
     private void onAttemptEnded(AttemptEnded ended) {
         RequestState request = state.requests.get(ended.requestId());
         AttemptState attempt = request == null ? null : request.outstandingAttempt(ended.attempt());
@@ -225,12 +228,15 @@
         }
     }
 
-    /** Section 3.4: a failure adds no time to the window, but lowers the probability of drawing the endpoint. */
+    /**
+     * Records the outcome of an attempt for its endpoint. A failure adds no latency to the window, but lowers the
+     * probability that the endpoint is drawn (section 3.4).
+     */
     private void recordOutcome(RequestState request, AttemptState attempt, AttemptEnded ended) {
         Endpoint endpoint = attempt.endpoint;
         long now = context.now();
         switch (ended.outcome()) {
-            // Only a served call adds its round-trip time to the window.
+            // Only a successful attempt adds its round trip to the window.
             case OK -> {
                 endpoint.responseReceived(now);
                 if (!attempt.streaming) {
@@ -256,8 +262,8 @@
             case CONNECT_FAILED -> endpoint.recordFailure(false, true, now);
             case RESET -> endpoint.recordFailure(false, false, now);
             case CANCELLED -> {
-                // A hedged request was sent as this attempt was overdue: a failure like a timeout, but not of
-                // its zone.
+                // The attempt was overdue for a hedged request. It counts as a failure like a timeout, but not as
+                // one of its zone.
                 if (attempt.exceededHedgeDelay) {
                     endpoint.recordFailure(false, false, now);
                 }
@@ -266,7 +272,7 @@
         }
     }
 
-    /** Section 5.3, averaged variant: the round trip of a served call joins the window of its endpoint. */
+    /** Adds the round trip of a successful attempt to its endpoint's window (section 5.3, averaged variant). */
     private void recordServed(RequestState request, Endpoint endpoint, long latency) {
         long now = context.now();
         admission.recordLatency(request);
@@ -278,7 +284,7 @@
         state.endpoints.slowStart.recordServed(endpoint, now);
     }
 
-    /** The response has started to arrive: the call counts as served, and its attempt is the final one. */
+    /** Handles the start of a response: the attempt counts as successful, and its response is the final one. */
     private void onResponseStarted(ResponseStarted started) {
         RequestState request = state.requests.get(started.requestId());
         AttemptState attempt = request == null ? null : request.outstandingAttempt(started.attempt());
@@ -291,8 +297,6 @@
         }
     }
 
-    // ---- other events ----
-
     private void onClientDisconnected(ClientDisconnected disconnected) {
         RequestState request = state.requests.get(disconnected.requestId());
         if (request != null) {
@@ -311,7 +315,7 @@
         state.routes.releasePredecessor();
     }
 
-    /** Returns the route states in force, from which the next ones are prepared ({@link RoutesChanged#prepared}). */
+    /** Returns the active route states, from which the next ones are prepared ({@link RoutesChanged#prepared}). */
     public RouteStates routes() {
         return state.routes;
     }
--- a/decision/src/main/java/weldhitch/decision/balancing/RequestCompletion.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RequestCompletion.java
@@ -10,9 +10,8 @@
 import weldhitch.decision.settings.RequestClass;
 
 /**
- * Ends requests: each gets one final answer, and a rejection only where it is true that the request was not executed or
- * that its repetition does no harm. Called by {@link RatioBalancer} and its other collaborators on the balancer's
- * thread; not thread-safe.
+ * Ends requests. Each gets one final response. A request is rejected only if it was not executed or if repeating it
+ * does no harm. Called by {@link RatioBalancer} and its other collaborators on the balancer's thread; not thread-safe.
  */
 final class RequestCompletion {
     private final DecisionContext context;
@@ -25,7 +24,7 @@
         this.state = context.state;
     }
 
-    /** Ends the request with the node's own final answer: rejected where that is true, failed otherwise. */
+    /** Ends the request with a final response of the node: a rejection if that is allowed, a failure otherwise. */
     void finish(RequestState request) {
         if (!request.finished) {
             if (mayReject(request)) {
@@ -39,8 +38,9 @@
     }
 
     /**
-     * Rejects the request; {@code defaultRetryAfter} is the Retry-After advice in nanoseconds, before its
-     * bounds.
+     * Rejects the request.
+     *
+     * @param defaultRetryAfter the Retry-After delay in nanoseconds, before the bounds of the route and the platform
      */
     void reject(RequestState request, long defaultRetryAfter) {
         PlatformLimits limits = settings.limits();
@@ -50,7 +50,7 @@
         close(request);
     }
 
-    /** Closes the request: no further attempts; those in flight are cancelled if allowed, and awaited. */
+    /** Closes the request: no further attempts are sent; those in flight are cancelled if allowed, and awaited. */
     void close(RequestState request) {
         if (!request.finished) {
             request.finished = true;
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Whether a rejection would be true: the request was not executed, or repeating it does no harm. */
+    /** Returns whether the request may be rejected: it was not executed, or repeating it does no harm. */
     private static boolean mayReject(RequestState request) {
         RequestClass requestClass = request.classModel.requestClass;
         return request.firstPossiblyExecuted == null
--- a/decision/src/main/java/weldhitch/decision/balancing/RequestDispatcher.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RequestDispatcher.java
@@ -11,17 +11,17 @@
 
 /**
  * Decides when an attempt of an admitted request is sent: the first one, retries (the failover of Küting et al.,
- * section 3.4) and hedged requests. Holds a request while waiting may help, and ends it when nothing can. Called by
- * {@link RatioBalancer} on its thread; not thread-safe.
+ * section 3.4) and hedged requests. Holds a request that no endpoint can take now, and ends it when no further attempt
+ * is possible. Called by {@link RatioBalancer} on its thread; not thread-safe.
  */
 final class RequestDispatcher {
     /** Picks an endpoint and sends an attempt. */
     interface AttemptSender {
-        /** Sends the request's next attempt; returns false if no endpoint may take it now. */
+        /** Sends the request's next attempt; returns false if no endpoint can take it now. */
         boolean sendAttempt(RequestState request);
     }
 
-    /** Nanoseconds after which a request that no endpoint can take now is tried again. */
+    /** Time in nanoseconds after which a request that no endpoint can take is dispatched again. */
     private static final long HOLD_INTERVAL = 20_000_000L;
 
     private final DecisionContext context;
@@ -43,7 +43,7 @@
         this.sender = sender;
     }
 
-    /** Sends an attempt, or holds the request while waiting may help, or ends it. */
+    /** Sends an attempt, holds the request if no endpoint can take it now, or ends it at its deadline. */
     void dispatch(RequestState request) {
         if (context.deadlineReached(request)) {
             exceedDeadline(request);
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Dispatches the request without requesting further zones. */
+    /** Dispatches the request like {@link #dispatch}, but without requesting further zones. */
     private void dispatchWithinZones(RequestState request) {
         if (context.deadlineReached(request)) {
             exceedDeadline(request);
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Whether only endpoints of the zone, or cell, where the request may have been executed discard its
-     * repeats.
+     * Returns whether repeats of the request are discarded only by endpoints of the zone, or cell, where it may have
+     * been executed.
      */
     private static boolean boundToDeduplicationScope(RequestState request) {
         return request.firstPossiblyExecuted != null
@@ -97,7 +97,7 @@
                 && request.classModel.requestClass.deduplicationScope() != DeduplicationScope.ALL;
     }
 
-    /** The request has been assigned the zones that it requested: there are no others. */
+    /** Dispatches a request within the zones that it requested and was assigned, or ends it if there are none. */
     void onZonesAssigned(ZonesAssigned assigned) {
         RequestState request = context.state.requests.get(assigned.requestId());
         if (request == null
@@ -149,7 +149,7 @@
         }
     }
 
-    /** The request's wake-up time has come: the end of its queue timeout, hold, backoff or hedge delay. */
+    /** Handles the wake-up of a request: the end of its queue timeout, hold, backoff or hedge delay. */
     void onWakeUp(RequestState request) {
         if (request.queued) {
             context.notifyListener(request, DecisionReason.QUEUE_TIMEOUT);
@@ -171,7 +171,7 @@
 
     private void hedge(RequestState request, boolean allowed) {
         AttemptState lastAttempt = request.attempts.get(request.attempts.size() - 1);
-        // A route may hedge long before the attempt is overdue.
+        // The hedge delay of a route may end long before the attempt is overdue.
         lastAttempt.exceededHedgeDelay =
                 request.route == null || context.now() - lastAttempt.sentAt >= request.hedgeDelay();
         if (allowed && retryPolicy.takeRetryToken(request, false)) {
--- a/decision/src/main/java/weldhitch/decision/balancing/RequestState.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RequestState.java
@@ -6,9 +6,9 @@
 import weldhitch.decision.event.RequestArrived;
 
 /**
- * The state of a request from its arrival until it has its final answer and no attempt in flight. Its natural
- * order is that of the admission queue: highest priority weight for its work first, then first come. Times are
- * nanoseconds. Mutable, owned by the balancer's thread.
+ * The state of a request from its arrival until it has its final response and no attempt in flight. Its natural order
+ * is that of the admission queue: by {@link #rank}, highest first, then by arrival. Times are nanoseconds.
+ * Mutable; owned by the balancer's thread.
  */
 final class RequestState implements Comparable<RequestState> {
     final String id;
@@ -18,7 +18,7 @@
 
     final long sequence;
     final ClassLatencyModel classModel;
-    /** Null where no route matches. */
+    /** Null if no route matches. */
     final RouteState route;
     /** Whether the route has shortened the deadline. */
     final boolean deadlineShortened;
@@ -29,17 +29,17 @@
     final double cost;
 
     final List<AttemptState> attempts = new ArrayList<>(2);
-    /** The first attempt that was or may have been executed; null while it is certain that none was. */
+    /** The first attempt that was or may have been executed; null if it is certain that none was. */
     AttemptState firstPossiblyExecuted;
     /** Number of attempts in flight. */
     int outstandingCount;
-    /** The zones whose endpoints may serve it; null for any. */
+    /** The zones whose endpoints may serve the request; null for any. */
     Set<String> allowedZones;
 
     boolean finished;
     boolean queued;
     boolean admitted;
-    /** When it is to be looked at again; a timer that fires at another time is obsolete. */
+    /** Time of the next wake-up; a timer that fires at another time is obsolete. */
     long wakeUpAt;
 
     RequestState(
@@ -112,7 +112,7 @@
         return attempt;
     }
 
-    /** Returns the attempt of this number if it is in flight, else null. */
+    /** Returns the attempt with this number if it is in flight, otherwise null. */
     AttemptState outstandingAttempt(int number) {
         return number < 0 || number >= attempts.size() || attempts.get(number).ended ? null : attempts.get(number);
     }
--- a/decision/src/main/java/weldhitch/decision/balancing/RetryBudget.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RetryBudget.java
@@ -4,10 +4,10 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * A route's retry budget: counts requests and retries (hedged requests included) over the last ten seconds in
- * one-second slices, and allows a retry while the total stays within the budget. A retry leaves the window no
- * sooner than the requests that earned it, so that over any period retries stay below their ratio to requests
- * plus the minimum rate. Not thread-safe; owned by the balancer's thread.
+ * The retry budget of a route. Counts requests and retries (including hedged requests) over the last ten seconds in
+ * one-second slices, and allows a retry if the total of retries stays within the budget. A retry leaves the window no
+ * sooner than the requests that earned it. Therefore, over any period, retries stay below their ratio to requests plus
+ * the minimum rate. Not thread-safe; owned by the balancer's thread.
  */
 final class RetryBudget {
     static final int WINDOW_SECONDS = BalancerSnapshot.RetryBudgetSnapshot.WINDOW_SECONDS;
@@ -16,7 +16,7 @@
     final RetryBudgetSettings settings;
     final int[] requests = new int[WINDOW_SECONDS];
     final int[] retries = new int[WINDOW_SECONDS];
-    /** The latest second counted, by the caller's clock. */
+    /** The latest second counted, on the caller's clock. */
     long latestSecond = Long.MIN_VALUE;
 
     RetryBudget(RetryBudgetSettings settings) {
@@ -27,12 +27,12 @@
         return settings;
     }
 
-    /** Counts a request, which earns a part of a retry. */
+    /** Counts a request, which earns a fraction of a retry. */
     void recordRequest(long now) {
         requests[advanceTo(now)]++;
     }
 
-    /** Counts a retry and returns true if the budget allows it. */
+    /** Counts a retry if the budget allows it, and returns whether it does. */
     boolean tryRetry(long now) {
         int index = advanceTo(now);
         int totalRequests = 0;
@@ -49,7 +49,7 @@
         return true;
     }
 
-    /** Drops the seconds that have left the window and returns the index of the present one. */
+    /** Drops the seconds that have left the window, and returns the index of the current one. */
     private int advanceTo(long now) {
         long second = Math.floorDiv(now, NANOS_PER_SECOND);
         long elapsed = latestSecond == Long.MIN_VALUE ? 0 : Math.min(WINDOW_SECONDS, second - latestSecond);
--- a/decision/src/main/java/weldhitch/decision/balancing/RetryPolicy.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RetryPolicy.java
@@ -7,18 +7,18 @@
 import weldhitch.decision.settings.Idempotency;
 
 /**
- * The rules of further attempts: whether one may be sent, after which time and backoff, and the tokens that it costs.
- * Guards the invariant that no request is executed twice unless it is idempotent or its repeats are discarded. Called
- * by {@link RatioBalancer} and {@link RequestDispatcher} on the balancer's thread; not thread-safe.
+ * The rules for further attempts: whether one may be sent, after which delay, and which tokens it costs. Enforces the
+ * invariant that no request is executed twice unless it is idempotent or its repeats are discarded. Called by
+ * {@link RatioBalancer} and {@link RequestDispatcher} on the balancer's thread; not thread-safe.
  */
 final class RetryPolicy {
-    /** The delay of a hedged request that is never sent. */
+    /** Hedge delay that means that no hedged request is sent. */
     static final long NO_HEDGE = 0;
-    /** The timeout of an attempt that is never abandoned. */
+    /** Timeout that means that the attempt is never abandoned. */
     private static final long NO_TIMEOUT = 0;
-    /** Retry tokens that each request earns. */
+    /** Number of retry tokens that each request earns. */
     private static final double RETRY_TOKENS_PER_REQUEST = 0.1;
-    /** The backoff doubles at most this many times. */
+    /** Maximum number of times that the backoff doubles. */
     private static final int MAX_BACKOFF_DOUBLINGS = 4;
 
     private final DecisionContext context;
@@ -31,12 +31,12 @@
         this.state = context.state;
     }
 
-    /** A request arrived: it earns a part of a retry token. */
+    /** Adds the fraction of a retry token that an arriving request earns. */
     void recordArrival() {
         state.retryTokens = Math.min(BalancerState.MAX_RETRY_TOKENS, state.retryTokens + RETRY_TOKENS_PER_REQUEST);
     }
 
-    /** An attempt ended: the token that was taken in advance for its retry is available to it again. */
+    /** Gives back the token that was taken in advance for the retry of an attempt. Called when the attempt has ended. */
     void returnReservedToken(AttemptState attempt) {
         if (attempt.retryTokenReserved) {
             attempt.retryTokenReserved = false;
@@ -44,14 +44,14 @@
         }
     }
 
-    /** Returns why no retry may follow this outcome; empty if one may. */
+    /** Returns the reason why no retry may follow this outcome, or empty if one may. */
     Optional<DecisionReason> retryBlocker(RequestState request, AttemptOutcome outcome) {
         return request.route == null || request.route.retriesOn(outcome)
                 ? retryBlocker(request)
                 : Optional.of(DecisionReason.OUTCOME_NOT_RETRYABLE);
     }
 
-    /** Returns why no further attempt may be sent now; empty if one may. */
+    /** Returns the reason why no further attempt may be sent now, or empty if one may. */
     Optional<DecisionReason> retryBlocker(RequestState request) {
         if (request.finished || context.deadlineReached(request)) {
             return Optional.of(DecisionReason.DEADLINE_EXCEEDED);
@@ -79,8 +79,9 @@
     }
 
     /**
-     * Takes the token for a further attempt. A route's own retry budget is charged for each one, the node's
-     * retry tokens only if the last attempt may have been executed.
+     * Takes the token for a further attempt, and returns whether one was available. The retry budget of a route is
+     * charged for each further attempt. The node's retry tokens are charged only if the last attempt may have been
+     * executed.
      */
     boolean takeRetryToken(RequestState request, boolean notExecuted) {
         if (request.route != null && request.route.hasRetryBudget()) {
@@ -97,8 +98,8 @@
     }
 
     /**
-     * Returns the time after which a further attempt may follow the one that was just sent, by hedging or by
-     * abandoning it; {@link #NO_HEDGE} for never.
+     * Returns the time in nanoseconds after which the attempt that was just sent may be followed by another one, as a
+     * hedged request or after abandoning it; {@link #NO_HEDGE} for never.
      */
     long hedgeDelay(RequestState request) {
         long defaultHedgeDelay = request.hedgeDelay();
@@ -115,9 +116,9 @@
     }
 
     /**
-     * Returns the timeout of an attempt that is sent now; 0 if nothing limits it.
+     * Returns the timeout in nanoseconds of an attempt that is sent now; 0 for none.
      *
-     * @param hedgeDelay the delay by {@link #hedgeDelay}
+     * @param hedgeDelay the delay that {@link #hedgeDelay} returned
      */
     long attemptTimeout(RequestState request, AttemptState attempt, long hedgeDelay) {
         long timeout = hedgeDelay != NO_HEDGE && !settings.limits().hedgingAllowed()
@@ -129,9 +130,9 @@
     }
 
     /**
-     * Returns the time after which an attempt is abandoned for a retry, where hedging is not allowed; 0 for
-     * never. The retry token is taken in advance: abandoning an attempt that may still be answered, and then
-     * having no token for the retry, would lose the request.
+     * Returns the time in nanoseconds after which an attempt is abandoned for a retry, where hedging is not allowed; 0
+     * for never. The retry token is taken in advance. Otherwise an attempt that may still be answered could be
+     * abandoned with no token left for its retry, which would lose the request.
      */
     private long timeoutBeforeRetry(RequestState request, AttemptState attempt) {
         long timeout = request.classModel.attemptTimeout(request.cost);
@@ -148,7 +149,7 @@
         return timeout;
     }
 
-    /** Returns the node's own backoff before the next attempt, which doubles with each one; draws once. */
+    /** Returns the node's own backoff before the next attempt, doubled with each one; draws one random number. */
     long drawBackoff(RequestState request) {
         double backoff =
                 request.expectedLatency() / 4 * (1 << Math.min(request.attempts.size() - 2, MAX_BACKOFF_DOUBLINGS));
--- a/decision/src/main/java/weldhitch/decision/balancing/RouteState.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RouteState.java
@@ -10,15 +10,15 @@
 import weldhitch.decision.routing.RoutePolicy.HedgingDisabled;
 
 /**
- * The state of one route: its policy, and the retry budget, tenant quotas and latencies that the policy needs.
- * Times are nanoseconds. The budget, quotas and latencies are mutable and owned by the balancer's thread.
+ * The state of one route: its policy, and the retry budget, tenant quotas and latencies that the policy uses. Times are
+ * nanoseconds. The budget, quotas and latencies are mutable and owned by the balancer's thread.
  */
 final class RouteState {
-    /** The backoff of a route that defines none. */
+    /** Backoff that means that the route defines none. */
     static final long NO_BACKOFF = -1;
 
     final RoutePolicy policy;
-    /** Null if the route has none of its own. */
+    /** Null if the route has no retry budget of its own. */
     final RetryBudget retryBudget;
 
     final Map<String, TokenBucket> tenantBuckets;
@@ -29,8 +29,8 @@
      * Creates the state of a route.
      *
      * @param nodeCount number of nodes that share the tenants' quotas
-     * @param predecessor a route of the same name or group, whose state is shared where its settings are the same;
-     * or null
+     * @param predecessor the state of a route of the same name or group, which is shared where the settings are the
+     *     same; or null
      */
     RouteState(RoutePolicy policy, int nodeCount, RouteState predecessor) {
         this.policy = policy;
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Restores a saved state. */
+    /** Creates the state of a route from a snapshot. */
     RouteState(
             RoutePolicy policy,
             RetryBudget retryBudget,
@@ -72,7 +72,7 @@
         this.latencyPercentile = latencyPercentile;
     }
 
-    /** Counts a request within its tenant's quota; rejected ones earn no retries. */
+    /** Counts a request that is within its tenant's quota; rejected requests earn no retries. */
     void recordRequest(long now) {
         if (retryBudget != null) {
             retryBudget.recordRequest(now);
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Takes a token of the tenant's quota; returns the quota if it is exhausted, null if not or if there is
-     * none.
+     * Takes a token from the tenant's quota. Returns the quota if it is exhausted; null if it is not, or if there is no
+     * quota.
      */
     TokenBucket exhaustedQuota(String tenant, long now) {
         if (tenantBuckets.isEmpty()) {
@@ -92,17 +92,17 @@
         return quota == null || quota.tryTake(now) ? null : quota;
     }
 
-    /** Returns the request's deadline, shortened to the route's. */
+    /** Returns the earlier of the requested deadline and that of the route. */
     long deadline(long now, long requested) {
         return policy.deadline() > 0 ? Math.min(requested, now + policy.deadline()) : requested;
     }
 
-    /** Returns the maximum number of attempts, {@code allowed} being the platform's. */
+    /** Returns the maximum number of attempts: that of the route, at most {@code allowed}, that of the platform. */
     int maxAttempts(int allowed) {
         return policy.maxAttempts() > 0 ? Math.min(allowed, policy.maxAttempts()) : allowed;
     }
 
-    /** Returns the timeout of an attempt sent now, within the deadline; 0 if nothing here limits it. */
+    /** Returns the timeout of an attempt sent now, at most the time remaining until the deadline; 0 for none. */
     long attemptTimeout(long defaultTimeout, long remaining) {
         long timeout = policy.attemptTimeout() > 0 ? policy.attemptTimeout() : defaultTimeout;
         return timeout > 0 ? Math.min(timeout, remaining) : policy.deadline() > 0 ? remaining : 0;
@@ -121,7 +121,9 @@
     }
 
     /**
-     * Returns the backoff before retry {@code retry}, counted from 1; {@link #NO_BACKOFF} if the route has none of its own.
+     * Returns the backoff before a retry; {@link #NO_BACKOFF} if the route defines none.
+     *
+     * @param retry number of the retry, from 1
      */
     long backoff(int retry, SeededRandom random) {
         return policy.backoff() == null
@@ -129,7 +131,7 @@
                 : (long) (random.nextDouble() * policy.backoff().ceiling(retry));
     }
 
-    /** Returns the hedge delay; {@code defaultDelay} if the route does not define one, 0 for never. */
+    /** Returns the hedge delay, which is {@code defaultDelay} if the route does not define one; 0 for never. */
     long hedgeDelay(long defaultDelay) {
         if (policy.hedging() instanceof HedgeAfterDelay afterDelay) {
             return afterDelay.delay();
--- a/decision/src/main/java/weldhitch/decision/balancing/RouteStates.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RouteStates.java
@@ -9,16 +9,16 @@
 import weldhitch.decision.routing.RouteTable;
 
 /**
- * The states of all routes; a route keeps the state it had in the previous table where its policy is the same.
- * The set of routes does not change once created, so it can be prepared on another thread and then handed to
- * the balancer, which activates it in constant time. The states themselves belong to the balancer's thread.
+ * The states of all routes. A route keeps the state it had in the previous route table where its policy is the same.
+ * The set of routes does not change after creation, so another thread can prepare it and then hand it to the balancer,
+ * which activates it in constant time. The states themselves are owned by the balancer's thread.
  */
 public final class RouteStates implements PreparedRoutes {
     static final RouteStates NONE = new RouteStates(null, Map.of());
 
     private final RouteTable routes;
     private final Map<String, RouteState> byName;
-    /** The route states that this was prepared from, until it is activated. */
+    /** The route states from which these were prepared; null after activation. */
     private RouteStates predecessor;
 
     RouteStates(RouteTable routes, Map<String, RouteState> byName) {
@@ -26,7 +26,7 @@
         this.byName = byName;
     }
 
-    /** Returns the route table, or null for none. */
+    /** Returns the route table, or null if there is none. */
     public RouteTable routes() {
         return routes;
     }
@@ -34,7 +34,7 @@
     /**
      * Prepares the states of the next route table.
      *
-     * @param next null for none
+     * @param next the next route table, or null for none
      * @param nodeCount number of nodes that share the tenants' quotas
      */
     public RouteStates prepareNext(RouteTable next, int nodeCount) {
@@ -52,12 +52,12 @@
         return successor;
     }
 
-    /** Whether this was prepared from {@code active}, and so shares its states. */
+    /** Returns whether these states were prepared from {@code active}, and so share its states. */
     boolean isSuccessorOf(RouteStates active) {
         return predecessor == active;
     }
 
-    /** Called on activation: releases the previous states. */
+    /** Releases the previous states. Called on activation. */
     void releasePredecessor() {
         predecessor = null;
     }
@@ -66,7 +66,7 @@
         return byName.get(routeName);
     }
 
-    /** Returns the state of the route that a request matches, or null. */
+    /** Returns the state of the route that a request matches, or null if it matches none. */
     RouteState match(RequestArrived arrival) {
         if (routes == null || arrival.target() == null) {
             return null;
@@ -75,7 +75,7 @@
         return route == null ? null : byName.get(route.name());
     }
 
-    /** Whether a request would get another policy here than there. */
+    /** Returns whether a request would get a different policy from these routes than from {@code other}. */
     public boolean decidesDifferently(RouteStates other, String requestClass, String method, String target) {
         return !policyFor(requestClass, method, target).equals(other.policyFor(requestClass, method, target));
     }
--- a/decision/src/main/java/weldhitch/decision/balancing/SlowStartCredits.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/SlowStartCredits.java
@@ -7,18 +7,18 @@
 import weldhitch.decision.settings.PlatformRules;
 
 /**
- * Slow start: grants endpoints that have just started the credit that limits what they are sent, measured by what
- * warm endpoints serve. Owned by {@link EndpointSet}; called by {@link RatioBalancer} and
+ * Grants slow-start credit to endpoints that have just started. The credit limits the attempts that they are sent,
+ * relative to the number that warm endpoints serve. Owned by {@link EndpointSet}; called by {@link RatioBalancer} and
  * {@link WeightedEndpointPicker}. Times are nanoseconds. Not thread-safe; owned by the balancer's thread.
  */
 final class SlowStartCredits {
-    /** Slow-start credit as a multiple of a warm endpoint's served calls, scaled by the present capacity. */
-    private static final double CREDIT_PER_SERVED_CALL = 1.0;
-    /** Credit that an arrival earns, divided among all endpoints, where no endpoint was ever warm. */
+    /** Slow-start credit as a multiple of the attempts that a warm endpoint served, scaled by the present capacity. */
+    private static final double CREDIT_PER_SERVED_ATTEMPT = 1.0;
+    /** Credit that an arriving request earns, divided among all endpoints, if no endpoint was ever warm. */
     private static final double CREDIT_PER_ARRIVAL = 0.7;
-    /** Time constant of the average of the served rate. */
+    /** Time constant of the average of the served rate, in nanoseconds. */
     private static final double SERVED_RATE_WINDOW = 5e9;
-    /** Idle time beyond this does not lower the served rate, as it says nothing about capacity. */
+    /** Longest idle time that lowers the served rate, in nanoseconds. Longer idleness says nothing about capacity. */
     private static final long MAX_IDLE_GAP = 1_000_000_000L;
 
     private final PlatformRules rules;
@@ -26,12 +26,9 @@
     private final List<Endpoint> ready;
     /** Ready endpoints that were in slow start when last checked. */
     final List<Endpoint> warmingUp = new ArrayList<>();
-    /**
-     * Served rate: calls per nanosecond that a warm endpoint serves this node; the last one known, 0 before
-     * any.
-     */
+    /** Served rate: attempts per nanosecond that a warm endpoint serves for this node; the last known, 0 if none. */
     double servedRate;
-    /** When {@link #servedRate} was updated, or credit was last earned by it. */
+    /** Time at which {@link #servedRate} was last updated, or credit was last earned from it. */
     long servedRateAt;
 
     /**
@@ -44,7 +41,7 @@
         this.ready = ready;
     }
 
-    /** The endpoint list has changed: determines anew which of its endpoints are in slow start. */
+    /** Determines which endpoints of a changed endpoint list are in slow start. */
     void onEndpointsChanged(Collection<Endpoint> endpoints, long now) {
         warmingUp.clear();
         for (Endpoint endpoint : endpoints) {
@@ -54,7 +51,7 @@
         }
     }
 
-    /** Updates whether the endpoint is in slow start, and returns it. */
+    /** Updates whether the endpoint is in slow start, and returns the result. */
     boolean updateWarmingUp(Endpoint endpoint, long now) {
         boolean stillWarmingUp = endpoint.startedAt > 0 && now - endpoint.startedAt < rules.slowStartWindow();
         endpoint.setWarmingUp(stillWarmingUp);
@@ -71,22 +68,21 @@
         return Math.min(1, initialCapacity + (1 - initialCapacity) * age);
     }
 
-    /** The endpoint served a call: a warm one raises the served rate and earns credit for those in slow start. */
+    /** Records an attempt that the endpoint served. If it is warm, raises the served rate and grants credit. */
     void recordServed(Endpoint endpoint, long now) {
         if (!endpoint.warmingUp) {
-            double callsPerEndpoint = 1.0 / Math.max(1, ready.size() - warmingUp.size());
+            double attemptsPerEndpoint = 1.0 / Math.max(1, ready.size() - warmingUp.size());
             servedRate = servedRate * Math.exp(-Math.min(now - servedRateAt, MAX_IDLE_GAP) / SERVED_RATE_WINDOW)
-                    + callsPerEndpoint / SERVED_RATE_WINDOW;
+                    + attemptsPerEndpoint / SERVED_RATE_WINDOW;
             servedRateAt = now;
-            grantCredit(CREDIT_PER_SERVED_CALL * callsPerEndpoint, now);
+            grantCredit(CREDIT_PER_SERVED_ATTEMPT * attemptsPerEndpoint, now);
         }
     }
 
     /**
-     * A request arrived: earns credit by arrivals where no endpoint was ever warm, as nothing else is known
-     * then. If all endpoints are in slow start but some were warm before, credit is earned by the clock from
-     * their served rate ({@link #accrueCreditByTime}): by arrivals it would fall as callers fail for lack of
-     * capacity.
+     * Grants credit for an arriving request if no endpoint was ever warm, because no served rate is known then. If all
+     * endpoints are in slow start but some were warm before, credit is granted for elapsed time by their served rate
+     * ({@link #accrueCreditByTime}), because credit by arrivals would fall as clients fail for lack of capacity.
      */
     void recordArrival(long now) {
         if (warmingUp.size() == ready.size() && servedRate == 0) {
@@ -94,21 +90,20 @@
         }
     }
 
-    /** Called before each pick: earns credit for elapsed time if all endpoints are in slow start. */
+    /** Grants credit for elapsed time if all endpoints are in slow start. Called before each pick. */
     void accrueCreditByTime(long now) {
         if (servedRate > 0 && !warmingUp.isEmpty() && warmingUp.size() == ready.size()) {
-            double callsPerEndpoint = servedRate * (now - servedRateAt);
+            double attemptsPerEndpoint = servedRate * (now - servedRateAt);
             servedRateAt = now;
-            grantCredit(rules.overloadMultiple() / 2 * callsPerEndpoint, now);
+            grantCredit(rules.overloadMultiple() / 2 * attemptsPerEndpoint, now);
         }
     }
 
     /**
-     * Credits each endpoint in slow start with its part of the calls that warm endpoints served: what a warm
-     * endpoint of its size serves, scaled to its present capacity. Summed over all nodes this stays below the
-     * platform's overload multiple.
+     * Grants credit to each endpoint in slow start: the number of attempts that a warm endpoint of its weight served,
+     * scaled to its present capacity. Summed over all nodes, this stays below the platform's overload multiple.
      */
-    private void grantCredit(double callsPerEndpoint, long now) {
+    private void grantCredit(double attemptsPerEndpoint, long now) {
         if (warmingUp.isEmpty()) {
             return;
         }
@@ -118,7 +113,8 @@
             meanWeight += endpoint.weight / ready.size();
         }
         for (Endpoint endpoint : warmingUp) {
-            endpoint.slowStartCredit(callsPerEndpoint * slowStartFactor(endpoint, now) * endpoint.weight / meanWeight);
+            endpoint.addSlowStartCredit(
+                    attemptsPerEndpoint * slowStartFactor(endpoint, now) * endpoint.weight / meanWeight);
         }
     }
 }
--- a/decision/src/main/java/weldhitch/decision/balancing/SnapshotBuilder.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/SnapshotBuilder.java
@@ -28,12 +28,12 @@
 
 /**
  * Converts a {@link BalancerState} to a {@link BalancerSnapshot} and back. Objects that are shared by reference are
- * shared again after restoring. Called by {@link RatioBalancer} on its thread; stateless.
+ * also shared after restoring. Called by {@link RatioBalancer} on its thread; stateless.
  */
 final class SnapshotBuilder {
     private SnapshotBuilder() {}
 
-    /** Assigns each object an index at its first mention, by identity. */
+    /** Assigns each object, compared by identity, an index at its first use. */
     private static final class IndexedReferences<T> {
         final Map<T, Integer> indexByElement = new IdentityHashMap<>();
         final List<T> elements = new ArrayList<>();
@@ -59,9 +59,7 @@
         }
     }
 
-    // ---- saving ----
-
-    /** Saves everything but the endpoints, which the returned snapshot saves one by one. */
+    /** Saves all state except the endpoints, which the returned snapshot saves one by one. */
     static IncrementalSnapshot begin(BalancerState state) {
         IncrementalSnapshot snapshot = new IncrementalSnapshot();
         IndexedReferences<RequestState> requests = new IndexedReferences<>();
@@ -86,7 +84,7 @@
                     .forEach(route -> activeRouteStates.add(routeStates.indexOf(state.routes.forRoute(route.name()))));
         }
         List<RequestSnapshot> requestSnapshots =
-                requests.map(request -> request(request, snapshot, routeStates, state.unknownClassModel));
+                requests.map(request -> saveRequest(request, snapshot, routeStates, state.unknownClassModel));
         Map<TokenBucket, String> tenantByBucket = new IdentityHashMap<>();
         List<RouteStateSnapshot> routeStateSnapshots = routeStates.map(source -> {
             List<Integer> bucketIndexes = new ArrayList<>();
@@ -108,10 +106,10 @@
                         : new TimerSnapshot(timer.fireAt(), timer.sequence(), requests.indexOf(timer.request()), false))
                 .toList();
         List<ClassLatencySnapshot> classes = new ArrayList<>();
-        state.classModels.values().forEach(source -> classes.add(classModel(source.requestClass.name(), source)));
-        classes.add(classModel(null, state.unknownClassModel));
+        state.classModels.values().forEach(source -> classes.add(saveClassModel(source.requestClass.name(), source)));
+        classes.add(saveClassModel(null, state.unknownClassModel));
         List<TokenBucketSnapshot> tenantQuotas = new ArrayList<>();
-        state.tenantQuotas.forEach((tenant, quota) -> tenantQuotas.add(tokenBucket(tenant, quota)));
+        state.tenantQuotas.forEach((tenant, quota) -> tenantQuotas.add(saveTokenBucket(tenant, quota)));
         AdaptiveConcurrencyLimit admissionLimit = state.admissionLimit;
         List<Integer> warmingUp = state.endpoints.slowStart.warmingUp.stream()
                 .map(snapshot::indexOf)
@@ -120,7 +118,7 @@
         List<RetryBudgetSnapshot> retryBudgetSnapshots = budgets.map(budget -> new RetryBudgetSnapshot(
                 budget.settings, budget.requests.clone(), budget.retries.clone(), budget.latestSecond));
         List<TokenBucketSnapshot> bucketSnapshots =
-                routeTokenBuckets.map(bucket -> tokenBucket(tenantByBucket.get(bucket), bucket));
+                routeTokenBuckets.map(bucket -> saveTokenBucket(tenantByBucket.get(bucket), bucket));
         List<LatencyPercentileSnapshot> latencySnapshots = latencies.map(latency -> new LatencyPercentileSnapshot(
                 latency.hedging,
                 latency.samples == null ? null : latency.samples.clone(),
@@ -146,7 +144,7 @@
         boolean subscribed = state.subscribed;
         int subscriptionRejections = state.subscriptionRejections;
         snapshot.start(
-                (endpoint, listed) -> endpoint(endpoint, listed, zoneReferences, requests),
+                (endpoint, listed) -> saveEndpoint(endpoint, listed, zoneReferences, requests),
                 endpoints -> new BalancerSnapshot(
                         BalancerSnapshot.VERSION,
                         randomState,
@@ -177,7 +175,7 @@
         return snapshot;
     }
 
-    private static RequestSnapshot request(
+    private static RequestSnapshot saveRequest(
             RequestState request,
             IncrementalSnapshot endpoints,
             IndexedReferences<RouteState> routeStates,
@@ -215,7 +213,7 @@
                 request.wakeUpAt);
     }
 
-    private static EndpointSnapshot endpoint(
+    private static EndpointSnapshot saveEndpoint(
             Endpoint endpoint,
             boolean listed,
             IndexedReferences<DecayingFailureCount> zones,
@@ -246,7 +244,7 @@
                 outstanding);
     }
 
-    private static ClassLatencySnapshot classModel(String name, ClassLatencyModel model) {
+    private static ClassLatencySnapshot saveClassModel(String name, ClassLatencyModel model) {
         return new ClassLatencySnapshot(
                 name,
                 model.meanLatency,
@@ -257,15 +255,14 @@
                 model.sampleCount);
     }
 
-    private static TokenBucketSnapshot tokenBucket(String tenant, TokenBucket quota) {
+    private static TokenBucketSnapshot saveTokenBucket(String tenant, TokenBucket quota) {
         return new TokenBucketSnapshot(tenant, quota.perSecond, quota.tokens, quota.refilledAt, quota.everUsed);
     }
 
-    // ---- making anew ----
-
     /**
-     * Restores the state; throws an IllegalArgumentException that names the field if it doesn't fit the
-     * settings.
+     * Restores the state from a snapshot.
+     *
+     * @throws IllegalArgumentException if the snapshot does not match the settings; the message names the field
      */
     static BalancerState restore(BalancerSettings settings, BalancerSnapshot snapshot) {
         BalancerState state = new BalancerState(settings, new SeededRandom(snapshot.randomState()));
@@ -286,7 +283,7 @@
                     !saved.listed() || state.endpoints.byId.put(endpoint.id, endpoint) == null,
                     "servers",
                     saved.id(),
-                    "each once in the list");
+                    "each endpoint of the list once");
         }
         state.endpoints.rebuildReady();
         snapshot.warmingUp()
@@ -297,9 +294,9 @@
         List<RouteState> routeStates = restoreRoutes(state, snapshot);
         List<RequestState> requests = new ArrayList<>();
         for (RequestSnapshot saved : snapshot.requests()) {
-            RequestState request = request(saved, state, routeStates, endpoints);
+            RequestState request = restoreRequest(saved, state, routeStates, endpoints);
             requests.add(request);
-            check(state.requests.put(request.id, request) == null, "requests", request.id, "each once");
+            check(state.requests.put(request.id, request) == null, "requests", request.id, "each request once");
             if (request.queued && !request.finished) {
                 state.admissionQueue.add(request);
             }
@@ -315,7 +312,7 @@
                         attempt.endpoint == endpoints.get(i) && !attempt.ended,
                         "server " + endpoints.get(i).id + ": out",
                         request.id,
-                        "attempts out at this server");
+                        "attempts in flight at this endpoint");
                 endpoints.get(i).outstanding.addLast(attempt);
             }
         }
@@ -333,14 +330,14 @@
                     quota != null && quota.perSecond == saved.perSecond(),
                     "quotas",
                     saved.tenant(),
-                    "a tenant with this quota in the settings");
+                    "a tenant that has this quota in the settings");
             restoreTokens(quota, saved);
         }
         check(
                 snapshot.tenantQuotas().size() == state.tenantQuotas.size(),
                 "quotas",
                 snapshot.tenantQuotas().size(),
-                state.tenantQuotas.size() + " as in the settings");
+                state.tenantQuotas.size() + ", the number in the settings");
         state.meanRank = snapshot.meanRank();
         state.retryTokens = snapshot.retryTokens();
         state.started = snapshot.started();
@@ -373,7 +370,7 @@
                 classes.size() == state.classModels.size() + 1,
                 "classes",
                 classes.size(),
-                state.classModels.size() + 1 + " as in the settings");
+                state.classModels.size() + 1 + ", the classes of the settings and the unknown class");
         for (ClassLatencySnapshot saved : classes) {
             ClassLatencyModel model =
                     saved.name() == null ? state.unknownClassModel : state.classModels.get(saved.name());
@@ -446,7 +443,7 @@
         return routeStates;
     }
 
-    private static RequestState request(
+    private static RequestState restoreRequest(
             RequestSnapshot saved, BalancerState state, List<RouteState> routeStates, List<Endpoint> endpoints) {
         String field = "request " + saved.id() + ": ";
         ClassLatencyModel classModel =
@@ -483,14 +480,14 @@
                 request.firstPossiblyExecuted == null || !request.firstPossiblyExecuted.notExecuted,
                 field + "anchor",
                 saved.firstPossiblyExecuted(),
-                "an attempt that may have run");
+                "an attempt that may have been executed");
         request.allowedZones = saved.allowedZones() == null ? null : Set.copyOf(saved.allowedZones());
         request.finished = saved.finished();
         check(
                 !request.finished || request.outstandingCount > 0,
                 field + "done",
                 true,
-                "an attempt out, as it is still held");
+                "false, because no attempt is in flight");
         request.queued = saved.queued();
         request.admitted = saved.admitted();
         request.wakeUpAt = saved.wakeUpAt();
@@ -506,7 +503,7 @@
                 saved.admitted() == admittedRequests,
                 "admission.admitted",
                 saved.admitted(),
-                admittedRequests + ", the requests that are let in");
+                admittedRequests + ", the number of admitted requests");
         limit.limit = saved.limit();
         limit.admitted = saved.admitted();
         limit.adjusted = saved.adjusted();
--- a/decision/src/main/java/weldhitch/decision/balancing/TimerQueue.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/TimerQueue.java
@@ -3,14 +3,14 @@
 import java.util.PriorityQueue;
 
 /**
- * The balancer's timers, ordered by time, then by when they were scheduled. Only the earliest is requested
- * from the caller. Times are nanoseconds. Not thread-safe; owned by the balancer's thread.
+ * The balancer's timers, ordered by time and then by the order in which they were scheduled. Only the earliest one is
+ * requested from the caller. Times are nanoseconds. Not thread-safe; owned by the balancer's thread.
  */
 final class TimerQueue {
     /**
      * A scheduled timer.
      *
-     * @param request the request that waits; null for the subscription to endpoint updates
+     * @param request the request to wake up; null for the subscription to endpoint updates
      * @param cancelled whether it is cancelled, so that it fires without effect
      */
     record ScheduledTimer(long fireAt, long sequence, RequestState request, boolean cancelled)
@@ -22,9 +22,9 @@
     }
 
     final PriorityQueue<ScheduledTimer> queue = new PriorityQueue<>();
-    /** When the timer requested last fires; {@link Long#MAX_VALUE} if none is pending. */
+    /** Time at which the timer requested last fires; {@link Long#MAX_VALUE} if none is pending. */
     long armedAt = Long.MAX_VALUE;
-    /** Sequence numbers given so far, to requests as well as timers. */
+    /** The next sequence number; requests and timers share one sequence. */
     long nextSequence;
 
     long nextSequenceNumber() {
@@ -35,7 +35,7 @@
         queue.add(new ScheduledTimer(fireAt, nextSequence++, request, false));
     }
 
-    /** A timer has fired: if the one requested last is due, none is pending any more. */
+    /** Records that a timer has fired. If the timer requested last is due, none is pending any more. */
     void onTimerFired(long now) {
         if (now >= armedAt) {
             armedAt = Long.MAX_VALUE;
@@ -47,7 +47,7 @@
         return queue.isEmpty() || queue.peek().fireAt > now ? null : queue.poll();
     }
 
-    /** Returns the delay in nanoseconds of the timer to request now; below 0 if none is needed. */
+    /** Returns the delay in nanoseconds of the timer to request now, or a negative number if none is needed. */
     long nextDelay(long now) {
         if (queue.isEmpty() || queue.peek().fireAt >= armedAt) {
             return -1;
--- a/decision/src/main/java/weldhitch/decision/balancing/TokenBucket.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/TokenBucket.java
@@ -1,8 +1,8 @@
 package weldhitch.decision.balancing;
 
 /**
- * A token bucket for a tenant's requests: it holds the tokens of one second at most, but at least one. Times
- * are nanoseconds. Not thread-safe; owned by the balancer's thread.
+ * A token bucket for a tenant's requests. Its capacity is the number of tokens of one second, but at least one token.
+ * Times are nanoseconds. Not thread-safe; owned by the balancer's thread.
  */
 final class TokenBucket {
     final double perSecond;
@@ -15,7 +15,7 @@
         this.tokens = perSecond;
     }
 
-    /** Takes a token if there is one. */
+    /** Takes a token if there is one, and returns whether there was. */
     boolean tryTake(long now) {
         tokens = Math.min(Math.max(1, perSecond), tokens + perSecond * (everUsed ? now - refilledAt : 0) / 1e9);
         refilledAt = now;
@@ -27,7 +27,7 @@
         return true;
     }
 
-    /** Returns the nanoseconds until the next token is available; 0 if one is. */
+    /** Returns the time in nanoseconds until the next token is available; 0 if one is. */
     long nanosUntilNextToken() {
         return tokens >= 1 ? 0 : (long) Math.min(Long.MAX_VALUE / 4.0, (1 - tokens) / perSecond * 1e9);
     }
--- a/decision/src/main/java/weldhitch/decision/balancing/WeightedEndpointPicker.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/WeightedEndpointPicker.java
@@ -7,25 +7,25 @@
 import weldhitch.decision.settings.Idempotency;
 
 /**
- * Picks the endpoint of an attempt by the Ratio approach (Küting et al., "Client-Based Adaptive Load Balancing
- * in Service-Oriented Systems", section 3.2) in its averaged variant (section 5.3): with t_b the lowest mean,
- * f_i = t_b / t_i and p_i = f_i / sum(f); two endpoints are drawn by p with replacement, and the lower mean
- * wins. Failures lower a weight (section 3.4, with a curve of our own); so do slow start and the cost of
- * crossing zones, which are our additions, as is the subset of a large fleet. Used by {@link RatioBalancer} on
- * its thread; not thread-safe.
+ * Picks the endpoint of an attempt by the Ratio approach (Küting et al., "Client-Based Adaptive Load Balancing in
+ * Service-Oriented Systems", section 3.2) in its averaged variant (section 5.3). With t_b the lowest mean,
+ * f_i = t_b / t_i and p_i = f_i / sum(f), two endpoints are drawn by p_i with replacement, and the one with the lower
+ * mean is picked. Failures lower the weight of an endpoint (section 3.4, with a formula that is not from the paper). So
+ * do slow start and the cost of crossing zones, which are not part of the paper; nor is the subset of a large fleet.
+ * Called by {@link RatioBalancer} on its thread; not thread-safe.
  */
 final class WeightedEndpointPicker {
-    /** Smallest number of healthy, warm endpoints in a node's subset, if there are as many. */
+    /** Minimum number of healthy, warm endpoints in a node's subset, if there are that many. */
     private static final int MIN_SUBSET_SIZE = 12;
     /** Number of nodes whose subsets cover one endpoint on average, in a large fleet. */
     private static final int NODES_PER_ENDPOINT = 4;
-    /** By how much the mean of an endpoint of another zone is raised, for each unit of the cross-zone cost. */
+    /** Relative increase of the mean of an endpoint in another zone, for each unit of the cross-zone cost. */
     private static final double CROSS_ZONE_PENALTY = 50;
 
     private final BalancerSettings settings;
     private final EndpointSet endpoints;
     private final SeededRandom random;
-    /** Candidates of the current pick; with their weights below it is scratch space, not part of a snapshot. */
+    /** Candidates of the current pick. Like {@link #weights}, this is scratch space and not part of a snapshot. */
     private final List<Endpoint> subset = new ArrayList<>();
 
     private double[] weights = new double[16];
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Returns the endpoint for the request's next attempt, or null if none may take it; updates slow-start
+     * Returns the endpoint for the request's next attempt, or null if none can take it. Also updates the slow-start
      * credit.
      */
     Endpoint pickEndpoint(RequestState request, long now, DecisionListener listener) {
@@ -48,7 +48,7 @@
         int windowStart =
                 ready.isEmpty() ? 0 : (int) ((long) settings.nodeIndex() * ready.size() / settings.nodeCount());
         int subsetSize = Math.max(MIN_SUBSET_SIZE, NODES_PER_ENDPOINT * ready.size() / settings.nodeCount());
-        // Section 3.2: t_b, the best (lowest) response time, here of the node's subset of the ring.
+        // Section 3.2: t_b is the lowest response time, here within the node's subset of the ring.
         lowestMean = Double.MAX_VALUE;
         subset.clear();
         for (int offset = 0, healthy = 0; offset < ready.size() && healthy < subsetSize; offset++) {
@@ -61,7 +61,7 @@
             lowestMean = endpoint.sampleCount > 0 ? Math.min(lowestMean, endpoint.meanLatency()) : lowestMean;
         }
         lowestMean = lowestMean == Double.MAX_VALUE ? 1 : lowestMean;
-        // Section 3.4, failover: prefer endpoints that this request has not tried, then fall back to all.
+        // Section 3.4, failover: prefer endpoints that this request has not attempted, then fall back to all.
         boolean avoidAttempted = true;
         double totalWeight = computeWeights(request, now, true);
         if (totalWeight <= 0) {
@@ -78,7 +78,7 @@
         // Section 3.2: two choices by p_i with replacement, so that a slow endpoint is still sampled sometimes.
         Endpoint firstDraw = totalWeight <= 0 ? null : drawByWeight(totalWeight);
         Endpoint secondDraw = totalWeight <= 0 ? null : drawByWeight(totalWeight);
-        // Section 3.2: the one with the lower response time is taken.
+        // Section 3.2: the one with the lower response time is picked.
         Endpoint chosen = firstDraw == null || secondDraw.pickMean < firstDraw.pickMean ? secondDraw : firstDraw;
         if (listener != null) {
             listener.onPick(PickTraceBuilder.build(
@@ -96,7 +96,7 @@
         return chosen;
     }
 
-    /** Whether an endpoint in the request's allowed zones that it has not tried may take it. */
+    /** Returns whether an endpoint of the allowed zones that the request has not attempted can take it. */
     boolean hasUnattempted(RequestState request, long now) {
         endpoints.slowStart.accrueCreditByTime(now);
         for (Endpoint endpoint : endpoints.ready) {
@@ -120,7 +120,8 @@
                 endpoint.pickMean = endpoint.zone.equals(settings.zone())
                         ? mean
                         : mean * (1 + CROSS_ZONE_PENALTY * settings.crossZoneCost());
-                // f_i = t_b / t_i (section 3.2), times slow start (ours) and the failure factor (section 3.4).
+                // f_i = t_b / t_i (section 3.2), times the slow-start factor (not part of the paper) and the health
+                // factor (section 3.4).
                 weights[i] = lowestMean
                         / endpoint.pickMean
                         * endpoints.slowStart.slowStartFactor(endpoint, now)
@@ -147,7 +148,7 @@
         return candidate;
     }
 
-    /** Whether the endpoint has slow-start credit where it needs it, and is in the deduplication scope. */
+    /** Returns whether the endpoint has slow-start credit if it needs it, and is in the deduplication scope. */
     private boolean isEligible(RequestState request, Endpoint endpoint, long now) {
         if (endpoint.warmingUp && endpoint.slowStartCredit < 1 && endpoints.slowStart.updateWarmingUp(endpoint, now)) {
             return false;
--- a/decision/src/main/java/weldhitch/decision/balancing/package-info.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of a balancer node: admission, endpoint choice, retries and hedging. It has no I/O, clock or
- * threads of its own; the same events and seed give the same actions.
+ * The decisions of a balancer node on admission, endpoint selection, retries and hedging. The code does no I/O, reads
+ * no clock and starts no threads; the same events and seed result in the same actions.
  */
 package weldhitch.decision.balancing;
--- a/decision/src/main/java/weldhitch/decision/endpoint/AttemptOutcome.java
+++ b/decision/src/main/java/weldhitch/decision/endpoint/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package weldhitch.decision.endpoint;
 
-/** How one attempt ended. */
+/** The outcome of one attempt. */
 public enum AttemptOutcome {
     OK(false),
     ERROR(false),
@@ -14,7 +14,7 @@
     /** Whether this outcome proves that the endpoint did not execute the request. */
     public final boolean notExecuted;
 
-    AttemptOutcome(boolean neverRan) {
-        this.notExecuted = neverRan;
+    AttemptOutcome(boolean notExecuted) {
+        this.notExecuted = notExecuted;
     }
 }
--- a/decision/src/main/java/weldhitch/decision/endpoint/EndpointState.java
+++ b/decision/src/main/java/weldhitch/decision/endpoint/EndpointState.java
@@ -1,6 +1,6 @@
 package weldhitch.decision.endpoint;
 
-/** An endpoint's state in the endpoint list. */
+/** The state of an endpoint in the endpoint list. */
 public enum EndpointState {
     READY,
     DRAINING,
--- a/decision/src/main/java/weldhitch/decision/endpoint/package-info.java
+++ b/decision/src/main/java/weldhitch/decision/endpoint/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Values about endpoints that events, routes and snapshots share. Immutable.
+ * Immutable values that describe endpoints, shared by events, routes and snapshots.
  */
 package weldhitch.decision.endpoint;
--- a/decision/src/main/java/weldhitch/decision/snapshot/BalancerSnapshot.java
+++ b/decision/src/main/java/weldhitch/decision/snapshot/BalancerSnapshot.java
@@ -12,26 +12,27 @@
 
 /**
  * The complete state of a {@link RatioBalancer} between two events, as plain data. Each record validates its
- * components: one with an impossible value cannot be created, and the exception names the field. Times are
- * nanoseconds of the node's own clock. Shared objects are represented by their index in a list; -1 for none.
- * Immutable, if the arrays are not changed.
+ * components: a record with an impossible value cannot be created, and the exception names the field. Times are
+ * nanoseconds of the node's own clock. Shared objects are represented by their index in a list; -1 means none.
+ * Immutable, provided that the arrays are not changed.
  *
- * <p>Not included, as it is derived again bit for bit: the ready endpoints in ring order (from the list), the
- * admission queue (from the requests' flags), and what a pick writes before it reads it.
+ * <p>State that can be derived again bit for bit is not included: the ready endpoints in ring order (derived from the
+ * endpoint list), the admission queue (derived from the flags of the requests), and data that a pick writes before it
+ * reads it.
  *
  * @param version the format version, {@link #VERSION}
  * @param randomState the state of the random number generator
- * @param endpoints the endpoints of the list in its order, then those that only attempts still refer to
+ * @param endpoints the endpoints of the list in its order, then those to which only attempts still refer
  * @param warmingUp indexes of the ready endpoints that were in slow start when last checked, in their order
- * @param servedRate served rate: calls per nanosecond that a warm endpoint serves this node, 0 if unknown
- * @param classes the classes of the settings in their order, then the one for unknown names
- * @param routes null if there are none
- * @param activeRoutes for each of {@code routes}, its index in {@code routeStates}
- * @param requests in order of arrival
- * @param tenantQuotas of the settings' tenants that have one, in their order
+ * @param servedRate served rate: attempts per nanosecond that a warm endpoint serves for this node, 0 if unknown
+ * @param classes the classes of the settings in their order, then the one for unknown class names
+ * @param routes the routes of the active route table, null if there is none
+ * @param activeRoutes for each of {@code routes}, the index of its state in {@code routeStates}
+ * @param requests the requests in order of arrival
+ * @param tenantQuotas the quotas of those tenants of the settings that have one, in the order of the settings
  * @param meanRank moving average of the rank of arriving requests
- * @param subscriptionPending whether a subscription is requested and not yet answered
- * @param subscriptionRejections subscriptions rejected in a row, 0 to 6
+ * @param subscriptionPending whether a subscription to endpoint updates was requested and is not answered yet
+ * @param subscriptionRejections number of subscriptions rejected in a row, 0 to 6
  */
 public record BalancerSnapshot(
         int version,
@@ -60,14 +61,14 @@
         boolean subscriptionPending,
         boolean subscribed,
         int subscriptionRejections) {
-    /** The format version that this build writes and reads. */
+    /** The format version that this build reads and writes. */
     public static final int VERSION = 4;
 
     /** The maximum number of retry tokens of a balancer. */
     public static final double MAX_RETRY_TOKENS = 10;
 
     public BalancerSnapshot {
-        check(version == VERSION, "version", version, "one of " + VERSION);
+        check(version == VERSION, "version", version, "version " + VERSION);
         check(
                 randomState != null && randomState.length > 0 && randomState.length <= 64,
                 "random",
@@ -86,12 +87,12 @@
         requests = requireNoNulls("requests", requests);
         timers = requireNoNulls("timers", timers);
         tenantQuotas = requireNoNulls("quotas", tenantQuotas);
-        check(admission != null, "admission", null, "the admission limit");
+        check(admission != null, "admission", null, "an admission limit");
         check(nextSequence >= 0, "numbers", nextSequence, "0 or more");
         requireFinite("carried", servedRate, 0);
         requireFinite("usualRank", meanRank, 0);
         requireFinite("retriesSaved", retryTokens, 0);
-        check(retryTokens <= MAX_RETRY_TOKENS, "retriesSaved", retryTokens, "10 at most");
+        check(retryTokens <= MAX_RETRY_TOKENS, "retriesSaved", retryTokens, "at most 10");
         check(
                 subscriptionRejections >= 0 && subscriptionRejections <= 6,
                 "refusedAsks",
@@ -99,7 +100,7 @@
                 "0 to 6");
     }
 
-    /** The decaying failure count of a zone, as of {@code failedAt}. */
+    /** The decaying failure count of a zone at the time {@code failedAt}. */
     public record ZoneSnapshot(String name, double failures, long failedAt) {
         public ZoneSnapshot {
             check(name != null, "zone.name", null, "a name");
@@ -108,9 +109,9 @@
     }
 
     /**
-     * An endpoint.
+     * The state of an endpoint.
      *
-     * @param zone its index in {@code zones}
+     * @param zone the index of its zone in {@code zones}
      * @param listed whether it is in the endpoint list
      * @param warmingUp whether it was in slow start when last checked
      * @param latencies the last round trips as multiples of the expected latency
@@ -141,28 +142,28 @@
         public static final int LATENCY_WINDOW = 20;
 
         public EndpointSnapshot {
-            check(id != null, "server.id", null, "a name");
-            // A fleet has thousands of endpoints: build an error message only if there is an error.
-            require(state != null, id, "state", 0, "READY, DRAINING or GONE, not nothing");
+            check(id != null, "server.id", null, "an id");
+            // A fleet has thousands of endpoints, so an error message is built only if there is an error.
+            require(state != null, id, "state", 0, "READY, DRAINING or GONE, not null");
             require(weight > 0 && Double.isFinite(weight), id, "size", weight, "more than 0");
             require(
                     Double.isFinite(slowStartCredit) && slowStartCredit <= 2,
                     id,
                     "credit",
                     slowStartCredit,
-                    "2 at most");
-            require(failures >= 0 && Double.isFinite(failures), id, "failures", failures, "a finite figure from 0");
+                    "at most 2");
+            require(failures >= 0 && Double.isFinite(failures), id, "failures", failures, "a finite number from 0");
             require(errorRate >= 0 && errorRate <= 1, id, "errorShare", errorRate, "0 to 1");
             require(
                     latencies != null && latencies.length == LATENCY_WINDOW,
                     id,
                     "window",
                     latencies == null ? 0 : latencies.length,
-                    "so many figures: " + LATENCY_WINDOW);
+                    "a number of samples of " + LATENCY_WINDOW);
             for (double latency : latencies) {
-                require(Double.isFinite(latency), id, "window", latency, "a finite figure");
+                require(Double.isFinite(latency), id, "window", latency, "a finite number");
             }
-            require(Double.isFinite(latencySum), id, "sum", latencySum, "a finite figure");
+            require(Double.isFinite(latencySum), id, "sum", latencySum, "a finite number");
             require(
                     sampleCount >= 0 && sampleCount <= LATENCY_WINDOW,
                     id,
@@ -175,7 +176,7 @@
                     "next",
                     nextSample,
                     "0 to " + (LATENCY_WINDOW - 1));
-            require(outstanding != null, id, "out", 0, "a list, not nothing");
+            require(outstanding != null, id, "out", 0, "a list, not null");
             outstanding = List.copyOf(outstanding);
         }
 
@@ -186,10 +187,10 @@
         }
     }
 
-    /** An attempt in flight, by its request's index in {@code requests} and its own number. */
+    /** An attempt in flight, by the index of its request in {@code requests} and its number within the request. */
     public record OutstandingAttemptSnapshot(int request, int attempt) {}
 
-    /** The latency model of a class; {@code name} null stands for classes that the settings don't name. */
+    /** The latency model of a class. A null {@code name} stands for all classes that the settings do not name. */
     public record ClassLatencySnapshot(
             String name,
             double meanLatency,
@@ -210,14 +211,15 @@
     }
 
     /**
-     * Requests and retries by second of a retry budget's window; {@code latestSecond} is the last one counted.
+     * The requests and retries in each second of a retry budget's window. {@code latestSecond} is the last second
+     * counted.
      */
     public record RetryBudgetSnapshot(RetryBudgetSettings settings, int[] requests, int[] retries, long latestSecond) {
         /** Length of a retry budget's window in seconds. */
         public static final int WINDOW_SECONDS = 10;
 
         public RetryBudgetSnapshot {
-            check(settings != null, "budget.rule", null, "a rule");
+            check(settings != null, "budget.rule", null, "the settings of the budget");
             requirePerSecondCounts("budget.requests", requests);
             requirePerSecondCounts("budget.retries", retries);
         }
@@ -230,7 +232,7 @@
         }
     }
 
-    /** A tenant's token bucket; {@code everUsed}: whether a token was ever requested. */
+    /** The token bucket of a tenant. {@code everUsed} is whether a token was ever requested. */
     public record TokenBucketSnapshot(
             String tenant, double perSecond, double tokens, long refilledAt, boolean everUsed) {
         public TokenBucketSnapshot {
@@ -244,44 +246,44 @@
         }
     }
 
-    /** A route's latency percentile; {@code samples}: the last latencies, null before the first. */
+    /** The latency percentile of a route. {@code samples} are the last latencies, or null before the first. */
     public record LatencyPercentileSnapshot(
             HedgeAtPercentile hedging, long[] samples, long sampleCount, long percentile) {
-        /** Number of latencies that a percentile is computed over. */
+        /** Number of latencies over which a percentile is computed. */
         public static final int WINDOW = 1024;
 
         public LatencyPercentileSnapshot {
-            check(hedging != null, "latencies.rule", null, "a rule");
+            check(hedging != null, "latencies.rule", null, "a hedging policy");
             check(
                     samples == null ? sampleCount == 0 : samples.length == WINDOW,
                     "latencies.last",
                     samples,
-                    WINDOW + " figures");
+                    WINDOW + " samples, or null if none was seen");
             check(
                     sampleCount >= 0 && percentile >= 0,
                     "latencies.seen",
                     sampleCount,
-                    "0 or more, and the percentile too");
+                    "0 or more, and a percentile of 0 or more");
         }
     }
 
-    /** A route's state: its policy, and the indexes of its retry budget, quotas and latencies. */
+    /** The state of a route: its policy, and the indexes of its retry budget, tenant quotas and latency percentile. */
     public record RouteStateSnapshot(
             RoutePolicy policy, int retryBudget, List<Integer> tenantBuckets, int latencyPercentile) {
         public RouteStateSnapshot {
-            check(policy != null, "routeUse.rules", null, "rules");
+            check(policy != null, "routeUse.rules", null, "a policy");
             tenantBuckets = requireNoNulls("routeUse.quotas", tenantBuckets);
         }
     }
 
     /**
-     * A request.
+     * The state of a request.
      *
-     * @param requestClass null for a class that the settings don't name
-     * @param route the index of its route's state, -1 for none
+     * @param requestClass the name of its class, null for a class that the settings do not name
+     * @param route the index of the state of its route, -1 for none
      * @param deadlineShortened whether its route has shortened its deadline
      * @param firstPossiblyExecuted the number of the first attempt that may have been executed, -1 for none
-     * @param allowedZones the zones that may serve it, in order; null for any
+     * @param allowedZones the zones that may serve it, sorted; null for any
      */
     public record RequestSnapshot(
             String id,
@@ -302,11 +304,11 @@
             boolean admitted,
             long wakeUpAt) {
         public RequestSnapshot {
-            check(id != null, "request.id", null, "a name");
+            check(id != null, "request.id", null, "an id");
             String prefix = "request " + id + ": ";
             requireFinite(prefix + "worth", priorityWeight, 0);
             requireFinite(prefix + "rank", rank, 0);
-            check(Double.isFinite(cost), prefix + "cost", cost, "a finite figure");
+            check(Double.isFinite(cost), prefix + "cost", cost, "a finite number");
             attempts = requireNoNulls(prefix + "attempts", attempts);
             allowedZones = allowedZones == null ? null : requireNoNulls(prefix + "zones", allowedZones);
             check(
@@ -319,11 +321,11 @@
                     firstPossiblyExecuted >= -1 && firstPossiblyExecuted < attempts.size(),
                     prefix + "anchor",
                     firstPossiblyExecuted,
-                    "-1 or an attempt's number");
+                    "-1 or the number of an attempt");
         }
     }
 
-    /** An attempt; {@code endpoint} is the index in {@code endpoints}. */
+    /** The state of an attempt. {@code endpoint} is the index of its endpoint in {@code endpoints}. */
     public record AttemptSnapshot(
             int endpoint,
             long sentAt,
@@ -334,10 +336,10 @@
             boolean retryTokenReserved) {}
 
     /**
-     * A timer.
+     * A timer of the balancer.
      *
      * @param request the index in {@code requests}, -1 for the subscription to endpoint updates
-     * @param cancelled whether it is cancelled
+     * @param cancelled whether it fires without effect
      */
     public record TimerSnapshot(long fireAt, long sequence, int request, boolean cancelled) {}
 
@@ -363,7 +365,7 @@
         }
     }
 
-    /** Throws an exception that names the field unless the value is sound. */
+    /** Throws an {@link IllegalArgumentException} that names the field, unless the value is valid. */
     public static void check(boolean valid, String field, Object value, String expected) {
         if (!valid) {
             throw new IllegalArgumentException("snapshot: " + field + ": " + value + ", expected " + expected);
@@ -371,15 +373,15 @@
     }
 
     private static void requireFinite(String field, double value, double min) {
-        check(value >= min && Double.isFinite(value), field, value, "a finite figure" + (min == 0 ? " from 0" : ""));
+        check(value >= min && Double.isFinite(value), field, value, "a finite number" + (min == 0 ? " from 0" : ""));
     }
 
     private static <T> List<T> requireNoNulls(String field, List<T> list) {
         check(
                 list != null && list.stream().allMatch(Objects::nonNull),
                 field,
-                list == null ? null : "a null in it",
-                "a list");
+                list == null ? null : "a list with null elements",
+                "a list without null elements");
         return List.copyOf(list);
     }
 }
--- a/decision/src/main/java/weldhitch/decision/snapshot/package-info.java
+++ b/decision/src/main/java/weldhitch/decision/snapshot/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A snapshot of a balancer as plain, immutable data that checks itself.
+ * Snapshots of a balancer as plain, immutable data that validates itself.
  */
 package weldhitch.decision.snapshot;
