--- a/decision/src/main/java/weldhitch/decision/balancing/RetryPolicy.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RetryPolicy.java
@@ -36,7 +36,7 @@
         state.retryTokens = Math.min(BalancerState.MAX_RETRY_TOKENS, state.retryTokens + RETRY_TOKENS_PER_REQUEST);
     }
 
-    /** Gives back the token that was taken in advance for the retry of an attempt. Called when the attempt has ended. */
+    /** Gives back the token that was taken in advance for an attempt's retry. Called once the attempt has ended. */
     void returnReservedToken(AttemptState attempt) {
         if (attempt.retryTokenReserved) {
             attempt.retryTokenReserved = false;
--- a/decision/src/test/java/weldhitch/decision/balancing/AdmissionTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/AdmissionTest.java
@@ -24,15 +24,12 @@
 import weldhitch.decision.settings.Tenant;
 import weldhitch.decision.settings.WeightKind;
 
-/**
- * Tests admission by the balancer: the queue by priority weight, the limit, tenant quotas and prompt
- * rejection.
- */
+/** Tests admission by the balancer: the queue by priority weight, the limit, tenant quotas and early rejection. */
 class AdmissionTest {
     private static final RequestClass LOW_PRIORITY =
-            BalancerHarness.requestClass("cheap", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
+            BalancerHarness.requestClass("low", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL);
     private static final RequestClass HIGH_PRIORITY = new RequestClass(
-            "dear",
+            "high",
             Idempotency.NON_IDEMPOTENT,
             DeduplicationScope.ALL,
             0,
@@ -43,11 +40,11 @@
             0,
             false);
 
-    /** Sends requests until the node no longer admits them and returns those admitted. */
+    /** Sends requests until the node no longer admits them, and returns the ids of those admitted. */
     private static List<String> fillLimit(BalancerHarness harness) {
         List<String> admitted = new ArrayList<>();
         for (int i = 0; ; i++) {
-            if (chosenEndpoint(harness.sendRequest("f" + i, "cheap")) == null) {
+            if (chosenEndpoint(harness.sendRequest("f" + i, "low")) == null) {
                 return admitted;
             }
             admitted.add("f" + i);
@@ -70,20 +67,17 @@
         BalancerHarness harness =
                 new BalancerHarness(BalancerHarness.settings(LOW_PRIORITY, HIGH_PRIORITY), 1).withEndpoints("a", "b");
         List<String> admitted = fillLimit(harness);
-        harness.sendRequest("dear", "dear");
+        harness.sendRequest("high", "high");
         List<SendAttempt> admittedAttempts = new ArrayList<>();
         for (int i = 0; admittedAttempts.isEmpty(); i++) {
             harness.handle(new AttemptEnded(admitted.get(i), 0, "a", AttemptOutcome.OK, 20 * MS, true, null)).stream()
                     .filter(SendAttempt.class::isInstance)
                     .forEach(action -> admittedAttempts.add((SendAttempt) action));
         }
-        assertEquals("dear", admittedAttempts.get(0).requestId());
+        assertEquals("high", admittedAttempts.get(0).requestId());
     }
 
-    /**
-     * Regression: under overload the class of highest weight was served no better than the lowest, in FIFO
-     * order.
-     */
+    /** Regression: requests were admitted in FIFO order, so under overload priority weights had no effect. */
     @Test
     void headroomIsReservedForHighPriority() {
         BalancerHarness harness =
@@ -91,19 +85,19 @@
         List<Integer> admittedIndexes = new ArrayList<>();
         int highPriority = 0;
         for (int i = 0; i < 40; i++) {
-            // One important request for three cheap ones, so that the mean rank lies between the two.
+            // One high-priority request for three of low priority, so that the mean rank lies between the two.
             boolean isHighPriority = i % 4 == 0;
-            boolean admitted = chosenEndpoint(harness.sendRequest("m" + i, isHighPriority ? "dear" : "cheap")) != null;
+            boolean admitted = chosenEndpoint(harness.sendRequest("m" + i, isHighPriority ? "high" : "low")) != null;
             if (admitted) {
                 admittedIndexes.add(i);
                 highPriority += isHighPriority ? 1 : 0;
             }
         }
-        assertTrue(highPriority * 3 >= admittedIndexes.size(), highPriority + " dear of " + admittedIndexes);
+        assertTrue(highPriority * 3 >= admittedIndexes.size(), highPriority + " high-priority of " + admittedIndexes);
     }
 
     /**
-     * Returns how many requests are admitted at once, after rounds in which all admitted ones had this latency.
+     * Returns the number of requests admitted at once, after rounds in which all admitted requests had this latency.
      */
     private static int limitAfterRounds(BalancerHarness harness, int rounds, long latency) {
         int limit = 0;
@@ -111,7 +105,7 @@
             List<String> admitted = new ArrayList<>();
             for (int i = 0; i < 500; i++) {
                 String requestId = "t" + round + "." + i;
-                if (chosenEndpoint(harness.sendRequest(requestId, "cheap")) == null) {
+                if (chosenEndpoint(harness.sendRequest(requestId, "low")) == null) {
                     harness.handle(new ClientDisconnected(requestId));
                     break;
                 }
@@ -125,7 +119,7 @@
     }
 
     /**
-     * Regression: a limit fixed at its initial value rejected a third of the requests while endpoints were
+     * Regression: the limit stayed at its initial value, and a third of the requests was rejected while endpoints were
      * idle.
      */
     @Test
@@ -137,7 +131,7 @@
         harness.withEndpoints("a", "b", "c");
         assertTrue(
                 limitAfterRounds(harness, 0, 20 * MS) >= 2 * first,
-                "what was learned is lost with a change of the list");
+                "the learned limit is lost when the endpoint list changes");
     }
 
     @Test
@@ -150,8 +144,8 @@
     }
 
     /**
-     * Regression: endpoints reject as full long before answers are late, but only late answers lowered the
-     * limit.
+     * Regression: only late responses lowered the limit, but endpoints reject requests as full long before responses
+     * are late.
      */
     @Test
     void limitShrinksWhenConsecutiveEndpointsAreFull() {
@@ -160,7 +154,7 @@
         int grown = limitAfterRounds(harness, 10, 20 * MS);
         for (int i = 0; i < grown; i++) {
             String requestId = "full" + i;
-            String first = chosenEndpoint(harness.sendRequest(requestId, "cheap"));
+            String first = chosenEndpoint(harness.sendRequest(requestId, "low"));
             String second = chosenEndpoint(harness.endAttempt(requestId, 0, first, AttemptOutcome.FULL, MS));
             harness.endAttempt(requestId, 1, second, AttemptOutcome.FULL, MS);
             harness.handle(new ClientDisconnected(requestId));
@@ -215,6 +209,6 @@
 
     private static void sendRequest(BalancerHarness harness, String requestId, String tenant) {
         harness.handle(
-                new RequestArrived(requestId, "cheap", harness.now + 2 * BalancerHarness.SECOND, tenant, 0, false));
+                new RequestArrived(requestId, "low", harness.now + 2 * BalancerHarness.SECOND, tenant, 0, false));
     }
 }
--- a/decision/src/test/java/weldhitch/decision/balancing/BalancerHarness.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/BalancerHarness.java
@@ -104,7 +104,7 @@
                 new AttemptEnded(requestId, attempt, endpointId, outcome, latency, outcome == AttemptOutcome.OK, null));
     }
 
-    /** Returns the endpoint that the actions send to, or null. */
+    /** Returns the endpoint to which the actions send an attempt, or null if they send none. */
     static String chosenEndpoint(List<BalancerAction> actions) {
         return single(actions, SendAttempt.class).map(SendAttempt::endpointId).orElse(null);
     }
@@ -118,13 +118,13 @@
         return found.stream().findFirst();
     }
 
-    /** Advances the clock to the timer that the actions schedule and fires it. */
+    /** Advances the clock to the timer that the actions schedule, and fires it. */
     List<BalancerAction> fireTimer(List<BalancerAction> actions) {
         now += single(actions, ScheduleTimer.class).orElseThrow().delay();
         return handle(new TimerFired("due"));
     }
 
-    /** Sends one request, has it served with this latency in nanoseconds and returns the endpoint. */
+    /** Sends a request, completes it with this latency in nanoseconds, and returns the endpoint that served it. */
     String serveRequest(String requestId, long latency) {
         String endpointId = chosenEndpoint(sendRequest(requestId, "read"));
         endAttempt(requestId, 0, endpointId, AttemptOutcome.OK, latency);
--- a/decision/src/test/java/weldhitch/decision/balancing/BalancerSnapshotTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/BalancerSnapshotTest.java
@@ -17,9 +17,9 @@
 import weldhitch.decision.settings.Idempotency;
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
-/** Tests that a restored balancer decides like the original, and that impossible snapshots are rejected. */
+/** Tests that a restored balancer makes the same decisions as the original, and that invalid snapshots are rejected. */
 class BalancerSnapshotTest {
-    /** Describes all components of a record by name, arrays by their contents. */
+    /** Returns a description of a value: all components of a record by name, and arrays by their contents. */
     static String describe(Object value) throws ReflectiveOperationException {
         if (value instanceof Record r) {
             StringBuilder text = new StringBuilder(r.getClass().getSimpleName()).append('{');
@@ -54,7 +54,7 @@
                                                         : String.valueOf(value);
     }
 
-    /** One balancer goes on; the other is restored from its own snapshot after every few events. */
+    /** Runs one balancer without interruption, and restores another from its own snapshot after every few events. */
     private static String firstDifferenceAfterRestore(long seed) {
         Workload workload = new Workload(seed, seed % 5 == 1);
         SplittableRandom random = new SplittableRandom(seed);
@@ -68,7 +68,7 @@
                             BalancerSnapshot saved = restored[0].snapshot();
                             restored[0] = RatioBalancer.restore(workload.settings, saved, null);
                             if (!describe(saved).equals(describe(restored[0].snapshot()))) {
-                                difference[0] = "seed " + seed + ": a snapshot of what was restored differs";
+                                difference[0] = "seed " + seed + ": the snapshot of the restored balancer differs";
                             }
                         }
                     } catch (ReflectiveOperationException e) {
@@ -77,7 +77,7 @@
                     List<BalancerAction> actions = original.handle(now, event);
                     List<BalancerAction> restoredActions = restored[0].handle(now, event);
                     if (!actions.equals(restoredActions) && difference[0] == null) {
-                        difference[0] = "seed " + seed + " at " + now + " " + event + ": " + actions + " became "
+                        difference[0] = "seed " + seed + " at " + now + " " + event + ": " + actions + ", restored: "
                                 + restoredActions;
                     }
                     return actions;
@@ -98,7 +98,7 @@
                         .toList());
     }
 
-    /** One snapshot is taken at once, another incrementally while its balancer goes on: both must be equal. */
+    /** Takes one snapshot at once and another incrementally while its balancer handles events; both must be equal. */
     private static String firstIncrementalDifference(long seed) {
         Workload workload = new Workload(seed, seed % 5 == 1);
         SplittableRandom random = new SplittableRandom(seed);
@@ -118,7 +118,7 @@
                             completed[0]++;
                             if (!describe(incremental[0].snapshot()).equals(expected[0])) {
                                 difference[0] = "seed " + seed + " at " + now
-                                        + ": the parts are not of the instant of their beginning";
+                                        + ": the incremental snapshot differs from the state at its start";
                             }
                             incremental[0] = null;
                         }
@@ -131,7 +131,7 @@
                 1200,
                 (event, actions) -> {});
         return difference[0] == null && completed[0] < 10
-                ? "seed " + seed + ": " + completed[0] + " snapshots only"
+                ? "seed " + seed + ": only " + completed[0] + " snapshots were completed"
                 : difference[0];
     }
 
@@ -336,9 +336,7 @@
                         s.subscriptionRejections()));
     }
 
-    /**
-     * The generator whose state can be saved yields the same numbers as the JDK's, so decisions are unchanged.
-     */
+    /** {@link SeededRandom}, whose state can be saved, must yield the same numbers as the JDK's generator. */
     @Test
     void seededRandomMatchesSplittableRandom() {
         for (long seed : new long[] {0, 1, -7, Long.MIN_VALUE, 0x8c1f30d27a5be964L}) {
--- a/decision/src/test/java/weldhitch/decision/balancing/DecisionDigest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/DecisionDigest.java
@@ -12,16 +12,15 @@
 import weldhitch.decision.action.SubscribeToEndpoints;
 
 /**
- * A running digest of decisions, the same for every build that makes the same decisions. Stateless.
+ * Computes a running digest of decisions, which is the same for every build that makes the same decisions. Stateless.
  *
- * <p>The hashed text is data, like a file format: each action is encoded as a tag and its fields in a fixed
- * order, all defined here. It does not depend on the names of the action types, so renaming them does not
- * change recorded digests.
+ * <p>The hashed text is data, like a file format: each action is encoded as a tag and its fields in a fixed order, all
+ * defined here. It does not depend on the names of the action types, so renaming them does not change recorded digests.
  */
 public final class DecisionDigest {
     private DecisionDigest() {}
 
-    /** Returns the digest of the decisions so far and these actions; {@code previous} is 0 at the start. */
+    /** Returns the digest of the decisions so far and of these actions; {@code previous} is 0 at the start. */
     public static long of(long previous, long now, List<BalancerAction> actions) {
         long digest = previous * 0x9E3779B97F4A7C15L + now;
         for (BalancerAction action : actions) {
@@ -59,6 +58,6 @@
             return "Subscribe[]";
         }
         throw new IllegalArgumentException(
-                "action without a recorded form: " + action.getClass().getName());
+                "no recorded encoding for action type " + action.getClass().getName());
     }
 }
--- a/decision/src/test/java/weldhitch/decision/balancing/DecisionReasonLabelsTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/DecisionReasonLabelsTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks the labels of reasons. Scripts and recorded reports read them, so they never change, whatever the
- * constants' names.
+ * Checks the labels of reasons. Scripts and recorded reports contain them, so they must not change even if the
+ * constants are renamed.
  */
 class DecisionReasonLabelsTest {
     @Test
--- a/decision/src/test/java/weldhitch/decision/balancing/EndpointUpdateTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/EndpointUpdateTest.java
@@ -98,7 +98,7 @@
                 .orElseThrow()
                 .delay();
         assertTrue(first != second);
-        assertTrue(Math.max(first, second) < 5 * SECOND, "later than the rule lets a node go without asking");
+        assertTrue(Math.max(first, second) < 5 * SECOND, "the first subscription is later than the maximum delay");
     }
 
     @Test
@@ -111,12 +111,12 @@
             actions = harness.handle(new EndpointsChanged(EndpointUpdateKind.REJECTED, List.of()));
             assertFalse(single(actions, SubscribeToEndpoints.class).isPresent());
             long wait = single(actions, ScheduleTimer.class).orElseThrow().delay();
-            assertTrue(wait >= SECOND && wait <= 10 * SECOND, "waits " + wait);
+            assertTrue(wait >= SECOND && wait <= 10 * SECOND, "backoff in ns: " + wait);
             total += wait;
             actions = harness.fireTimer(actions);
             assertTrue(single(actions, SubscribeToEndpoints.class).isPresent());
         }
-        assertTrue(total > 15 * SECOND, "waits do not grow: " + total);
+        assertTrue(total > 15 * SECOND, "the backoff does not grow; total in ns: " + total);
     }
 
     @Test
--- a/decision/src/test/java/weldhitch/decision/balancing/FleetSlowStartTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/FleetSlowStartTest.java
@@ -35,14 +35,14 @@
 import weldhitch.decision.settings.WeightKind;
 
 /**
- * Tests the slow-start rule, which limits the sum of all nodes' calls. Many balancers in virtual time, each
- * with little and uneven traffic, see endpoints replaced; none in slow start may be sent more within the
- * overload window than the rule's multiple of its present capacity. Endpoints answer everything in 100 ms, so
- * only the balancers limit calls.
+ * Tests the slow-start rule, which limits the sum of all nodes' attempts. Many balancers in virtual time, each with
+ * little and uneven traffic, see endpoints replaced. No endpoint in slow start may be sent more attempts within the
+ * overload window than the rule's multiple of its present capacity. Endpoints complete every attempt in 100 ms, so that
+ * only the balancers limit the attempts.
  */
 class FleetSlowStartTest {
     private static final int ENDPOINTS = 10;
-    /** Capacity of a warm endpoint in calls per second. */
+    /** Capacity of a warm endpoint in attempts per second. */
     private static final double CAPACITY = 10;
 
     private static final long LATENCY = 100 * MS;
@@ -54,8 +54,8 @@
 
     private final PriorityQueue<ScheduledTask> scheduledTasks = new PriorityQueue<>(
             (a, b) -> a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
-    /** Times of the calls within the overload window, by endpoint. */
-    private final Map<String, ArrayDeque<Long>> callsToWarmingUp = new HashMap<>();
+    /** Times of the attempts within the overload window, by endpoint. */
+    private final Map<String, ArrayDeque<Long>> attemptsToWarmingUp = new HashMap<>();
 
     private final Map<String, Long> startedAt = new HashMap<>();
     private final Random random = new Random(4711);
@@ -63,15 +63,15 @@
     private double capacity = CAPACITY;
     private RatioBalancer[] nodes;
     /**
-     * Largest excess of a window over the bound with random variation, N + 2 * sqrt(N) + 2; below 0 if never
-     * exceeded.
+     * Largest number of attempts in a window beyond N + 2 * sqrt(N) + 2, the bound that allows for random variation;
+     * negative if the bound was never exceeded.
      */
     private double excess = Double.NEGATIVE_INFINITY;
 
     private long now = 100 * SECOND;
     private long taskCount;
-    private int calls;
-    /** The fullest window so far, as a fraction of what the rule allows. */
+    private int attempts;
+    /** The largest number of attempts in a window so far, as a fraction of the number that the rule allows. */
     private double worstFraction;
 
     private void schedule(long time, Runnable task) {
@@ -114,7 +114,7 @@
         RatioBalancer balancer = nodes[node];
         for (BalancerAction action : balancer.handle(now, event)) {
             if (action instanceof SendAttempt send) {
-                recordCall(send.endpointId());
+                recordAttempt(send.endpointId());
                 String endpointId = send.endpointId();
                 schedule(now + LATENCY, () -> {
                     if (nodes[node] == balancer) {
@@ -134,13 +134,13 @@
         }
     }
 
-    private void recordCall(String endpointId) {
+    private void recordAttempt(String endpointId) {
         long age = now - startedAt.get(endpointId);
         if (startedAt.get(endpointId) == 0 || age >= rules.slowStartWindow()) {
             return;
         }
-        calls++;
-        ArrayDeque<Long> recent = callsToWarmingUp.computeIfAbsent(endpointId, endpoint -> new ArrayDeque<>());
+        attempts++;
+        ArrayDeque<Long> recent = attemptsToWarmingUp.computeIfAbsent(endpointId, endpoint -> new ArrayDeque<>());
         recent.addLast(now);
         while (now - recent.peekFirst() > rules.overloadWindow()) {
             recent.removeFirst();
@@ -152,9 +152,7 @@
         worstFraction = Math.max(worstFraction, recent.size() / allowed);
     }
 
-    /**
-     * Picks a node for a request; traffic is uneven: the busiest node gets seven times that of the least busy.
-     */
+    /** Picks a node for a request. Traffic is uneven: the busiest node gets seven times as much as the least busy. */
     private int randomNode(int nodeCount) {
         int node;
         do {
@@ -195,13 +193,13 @@
         simulate(nodeCount, replaced, restart, 0.67);
         assertTrue(
                 worstFraction < 1,
-                nodeCount + " nodes sent a cold server " + worstFraction + " of what the rule allows");
+                nodeCount + " nodes sent an endpoint in slow start " + worstFraction + " of the allowed attempts");
     }
 
     /**
-     * The users' requirement for a few dozen processes: beyond the budget N only 2 * sqrt(N) + 2 calls are
-     * accepted as random variation. Tested under a burst, with tight rules: short windows, small multiples,
-     * endpoints of low capacity.
+     * Tests a fleet of a few dozen nodes under a burst with tight rules: short windows, small multiples and endpoints
+     * of low capacity. The requirement is that a window may exceed the budget N by at most 2 * sqrt(N) + 2 attempts, as
+     * random variation.
      */
     @ParameterizedTest
     @CsvSource({
@@ -221,17 +219,17 @@
         for (int seed = 0; seed < 5; seed++) {
             random.setSeed(seed);
             scheduledTasks.clear();
-            callsToWarmingUp.clear();
+            attemptsToWarmingUp.clear();
             startedAt.clear();
             now = 100 * SECOND;
             simulate(nodeCount, replaced, restart, 1.1);
         }
         System.out.println(
-                nodeCount + " processes, " + replaced + " of " + ENDPOINTS + " replaced, multiple " + multiple
-                        + " over " + span + " s, " + perSecond + " calls a second: fullest window " + worstFraction
+                nodeCount + " nodes, " + replaced + " of " + ENDPOINTS + " endpoints replaced, multiple " + multiple
+                        + " over " + span + " s, " + perSecond + " attempts per second: fullest window " + worstFraction
                         + " of N, " + excess
-                        + " calls beyond N + 2 x root of N + 2");
-        assertTrue(excess <= 0, excess + " calls beyond what chance may add");
+                        + " attempts beyond N + 2 * sqrt(N) + 2");
+        assertTrue(excess <= 0, excess + " attempts beyond the allowance for random variation");
     }
 
     private void simulate(int nodeCount, int replaced, boolean restart, double load) {
@@ -263,6 +261,6 @@
             now = next.time;
             next.task.run();
         }
-        assertTrue(calls > 0, "cold servers were sent nothing");
+        assertTrue(attempts > 0, "endpoints in slow start were sent no attempts");
     }
 }
--- a/decision/src/test/java/weldhitch/decision/balancing/PolicyFilesTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/PolicyFilesTest.java
@@ -16,10 +16,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Checks the list {@code policy} of the deploy file: the files that hold the balancer's decisions. */
+/** Checks the list {@code policy} of the deploy file, which names the files that contain the balancer's decisions. */
 class PolicyFilesTest {
     private static final Path PACKAGE = Path.of("decision/src/main/java/weldhitch/decision/balancing");
-    /** Files of the package that decide nothing: what listens to decisions, and the taking of snapshots. */
+    /** Files of the package that make no decisions: those that trace decisions or take snapshots. */
     private static final Set<String> NOT_DECIDING = Set.of(
             "package-info.java",
             "DecisionListener.java",
--- a/decision/src/test/java/weldhitch/decision/balancing/RecordedDecisionsTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/RecordedDecisionsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Compares all decisions of 1,000 seeded workloads with digests recorded by an earlier build. A change that is
- * not meant to alter decisions must not change them; one that is records them again and says so in its commit.
+ * Compares all decisions of 1,000 seeded workloads with digests recorded by an earlier build. A change must not alter
+ * decisions unintentionally; a change that is meant to alter them records the digests again and says so in its commit.
  */
 class RecordedDecisionsTest {
     private static final Path DIGESTS = Path.of("decision/src/test/resources/weldhitch/decision/digests.txt");
@@ -28,7 +28,7 @@
         return Long.toHexString(digest[0]);
     }
 
-    /** {@code -DargLine=-Dweldhitch.digests=write} records the digests again. */
+    /** With {@code -DargLine=-Dweldhitch.digests=write}, records the digests again. */
     @Test
     void decisionsMatchRecordedDigests() throws Exception {
         List<String> actual = LongStream.range(0, SEEDS)
@@ -41,7 +41,7 @@
         List<String> recorded = Files.readAllLines(DIGESTS, StandardCharsets.UTF_8);
         assertEquals(SEEDS, recorded.size());
         for (int i = 0; i < SEEDS; i++) {
-            assertEquals(recorded.get(i), actual.get(i), "seed, workload");
+            assertEquals(recorded.get(i), actual.get(i), "seed and digest of its workload");
         }
     }
 }
--- a/decision/src/test/java/weldhitch/decision/balancing/RetryAndHedgingTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/RetryAndHedgingTest.java
@@ -28,7 +28,8 @@
 import weldhitch.decision.settings.RequestClass;
 
 /**
- * Tests retries, hedged requests and abandoned attempts by idempotency, and the final answer at the deadline.
+ * Tests retries, hedged requests and abandoned attempts for each kind of idempotency, and the final response at the
+ * deadline.
  */
 class RetryAndHedgingTest {
     private final BalancerHarness harness =
@@ -64,7 +65,7 @@
         assertTrue(single(actions, RejectRequest.class).isPresent());
     }
 
-    /** A node without hedging, where an attempt is abandoned before its retry. */
+    /** Returns a node without hedging, which abandons an attempt before it retries. */
     private static BalancerHarness withoutHedging() {
         return new BalancerHarness(
                         BalancerHarness.settings(
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Regression: answers slower than the initial estimate, a quarter of the objective, were all abandoned,
-     * never learned.
+     * Regression: all attempts slower than the initial estimate, a quarter of the objective, were abandoned, so that
+     * the expected latency was never learned.
      */
     @Test
     void firstAttemptsOfAClassTimeOutAtTheLatencyObjective() {
@@ -89,13 +90,13 @@
             List<BalancerAction> actions = harness.sendRequest("r" + i, "read");
             assertTrue(
                     attemptTimeout(actions) == 0 || attemptTimeout(actions) > 150 * MS,
-                    "r" + i + " has " + attemptTimeout(actions));
+                    "timeout in ns of r" + i + ": " + attemptTimeout(actions));
             harness.now += 150 * MS;
             harness.endAttempt("r" + i, 0, chosenEndpoint(actions), AttemptOutcome.OK, 150 * MS);
         }
     }
 
-    /** An attempt abandoned without a retry loses the request, though its answer may be under way. */
+    /** An attempt abandoned without a retry would lose the request, although its response may be about to arrive. */
     @Test
     void attemptTimeoutRequiresARetryToken() {
         BalancerHarness harness = withoutHedging();
@@ -112,14 +113,14 @@
     }
 
     @Test
-    void reservedRetryTokenIsReturnedOnAnswer() {
+    void reservedRetryTokenIsReturnedOnResponse() {
         BalancerHarness harness = withoutHedging();
         for (int i = 0; i < 100; i++) {
             String endpointId = chosenEndpoint(harness.sendRequest("r" + i, "read"));
             harness.now += 50 * MS;
             harness.endAttempt("r" + i, 0, endpointId, AttemptOutcome.OK, 50 * MS);
         }
-        // Ten is the maximum number of retry tokens.
+        // The maximum number of retry tokens is ten.
         for (int i = 0; i < 10; i++) {
             assertTrue(attemptTimeout(harness.sendRequest("s" + i, "read")) > 0, "s" + i);
         }
@@ -157,7 +158,7 @@
         assertTrue(single(actions, RejectRequest.class).isPresent());
     }
 
-    /** Regression: the backoff before a third attempt outlasted the deduplication window. */
+    /** Regression: the deduplication window expired during the backoff before a third attempt. */
     @Test
     void requestIsNotRetriedWhenTheWindowExpiresDuringBackoff() {
         long deadline = harness.now + 5 * BalancerHarness.SECOND;
@@ -196,7 +197,7 @@
                 harness.endAttempt("r" + i, 1, retryEndpoint, AttemptOutcome.OK, MS);
             }
         }
-        assertTrue(retries > 0 && retries <= 30, retries + " repeats of 200");
+        assertTrue(retries > 0 && retries <= 30, retries + " retries for 200 requests");
     }
 
     @Test
--- a/decision/src/test/java/weldhitch/decision/balancing/RetryBudgetTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/RetryBudgetTest.java
@@ -16,14 +16,14 @@
     @Test
     void retriesStayWithinTheRatioOfTheLastTenSeconds() {
         RetryBudget budget = new RetryBudget(new RetryBudgetSettings(0.2, 0));
-        assertFalse(budget.tryRetry(0), "nothing was asked yet");
+        assertFalse(budget.tryRetry(0), "no request was recorded yet");
         for (int i = 0; i < 10; i++) {
             budget.recordRequest(SECOND);
         }
         assertTrue(budget.tryRetry(2 * SECOND));
         assertTrue(budget.tryRetry(10 * SECOND));
         assertFalse(budget.tryRetry(10 * SECOND));
-        assertFalse(budget.tryRetry(20 * SECOND), "what was asked is forgotten");
+        assertFalse(budget.tryRetry(20 * SECOND), "the requests have left the window");
     }
 
     @Test
@@ -36,7 +36,7 @@
         assertEquals(50, retries, 5);
     }
 
-    /** The ratio holds over a complete run, not only over ten seconds of it. */
+    /** The ratio must hold over a complete run, not only within each window of ten seconds. */
     @Test
     void retriesNeverExceedTheRatioOfAllRequests() {
         for (int seed = 0; seed < 200; seed++) {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void percentileIsKnownOnceTenAnswersLieBeyondIt() {
+    void percentileIsAvailableOnceTenSamplesExceedIt() {
         LatencyPercentile percentile = new LatencyPercentile(new HedgeAtPercentile(90));
         for (int i = 1; i < 100; i++) {
             percentile.add(i);
@@ -70,6 +70,6 @@
         for (int i = 0; i < 2000; i++) {
             percentile.add(7);
         }
-        assertEquals(7, percentile.percentile(), "the last answers alone");
+        assertEquals(7, percentile.percentile(), "only the latest samples count");
     }
 }
--- a/decision/src/test/java/weldhitch/decision/balancing/RoutePolicyTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/RoutePolicyTest.java
@@ -64,7 +64,7 @@
         return sendRequest(requestId, "read", null);
     }
 
-    /** Fails every attempt until the request is answered and returns the number of attempts. */
+    /** Fails every attempt until the request is rejected or fails, and returns the number of attempts. */
     private int failAllAttempts(String requestId, AttemptOutcome outcome) {
         List<BalancerAction> actions = sendRequest(requestId);
         int attempts = 0;
@@ -98,7 +98,7 @@
         activate(maxAttempts(1));
         assertNotNull(
                 chosenEndpoint(harness.endAttempt("r", 0, first, AttemptOutcome.CONNECT_FAILED, MS)),
-                "two attempts were allowed when it came");
+                "two attempts were allowed when the request arrived");
         harness.handle(new RoutesChanged(null));
         assertEquals(4, failAllAttempts("s", AttemptOutcome.CONNECT_FAILED));
     }
@@ -155,19 +155,19 @@
                 List<BalancerAction> actions =
                         harness.endAttempt("r" + i, retry - 1, endpointId, AttemptOutcome.CONNECT_FAILED, 0);
                 for (endpointId = chosenEndpoint(actions); endpointId == null; endpointId = chosenEndpoint(actions)) {
-                    // An older timer may fire first; that of the backoff is then still scheduled.
+                    // An older timer may fire first; the timer of the backoff is then still scheduled.
                     actions = single(actions, ScheduleTimer.class).isPresent()
                             ? harness.fireTimer(actions)
                             : fireTimerAfter(MS / 10);
                 }
                 long backoff = harness.now - failedAt;
-                assertTrue(backoff <= ceilings[retry - 1] + MS / 10, "wait " + retry + " took " + backoff);
+                assertTrue(backoff <= ceilings[retry - 1] + MS / 10, "backoff in ns, retry " + retry + ": " + backoff);
                 meanFractions[retry - 1] += (double) backoff / ceilings[retry - 1] / requests;
             }
             harness.endAttempt("r" + i, 3, endpointId, AttemptOutcome.CONNECT_FAILED, 0);
         }
         for (double fraction : meanFractions) {
-            assertEquals(0.5, fraction, 0.1, "half of the ceiling in the mean");
+            assertEquals(0.5, fraction, 0.1, "mean backoff as a fraction of its ceiling");
         }
     }
 
@@ -203,7 +203,8 @@
             harness.now += 50 * MS;
             attempts += failAllAttempts("r" + i, i % 2 == 0 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET);
         }
-        assertTrue(attempts <= 1.2 * requests && attempts >= 1.15 * requests, attempts + " for " + requests);
+        assertTrue(
+                attempts <= 1.2 * requests && attempts >= 1.15 * requests, attempts + " attempts for " + requests);
     }
 
     @Test
@@ -213,7 +214,7 @@
         assertEquals(30 * MS, single(actions, ScheduleTimer.class).orElseThrow().delay());
         assertNotNull(chosenEndpoint(harness.fireTimer(actions)));
         assertFalse(
-                single(sendRequest("w", "write", null), ScheduleTimer.class).isPresent(), "an unsafe one has no copy");
+                single(sendRequest("w", "write", null), ScheduleTimer.class).isPresent(), "non-idempotent and hedged");
     }
 
     @Test
@@ -233,11 +234,11 @@
             // Fires the expired timers, so that each request's own timer is visible.
             fireTimerAfter(SECOND);
         }
-        assertEquals(20, hedgedRequests.get(0), "twenty answers come before the first");
+        assertEquals(20, hedgedRequests.get(0), "the first hedged request follows twenty samples");
         assertEquals(10, hedgedRequests.size());
     }
 
-    /** The end of a stream shows how much was read, not how fast the endpoint answered. */
+    /** The end of a stream depends on how much was read, not on how fast the endpoint responded. */
     @Test
     void streamedRequestCountsItsTimeToFirstByte() {
         activate(policy(0, 0, 2, null, new HedgeAtPercentile(50)));
@@ -271,7 +272,7 @@
         }
         assertNull(
                 chosenEndpoint(harness.endAttempt("in", 0, endpointId, AttemptOutcome.CONNECT_FAILED, MS)),
-                "one of one is more than half");
+                "one retry for one request exceeds the ratio of 0.5");
     }
 
     @Test
@@ -293,14 +294,14 @@
             served += chosenEndpoint(actions) == null ? 0 : 1;
             rejected = single(actions, RejectRequest.class).orElse(rejected);
         }
-        assertEquals(4, served, "8 a second for both nodes");
+        assertEquals(4, served, "half of the quota of 8 per second, which two nodes share");
         assertEquals(250 * MS, rejected.retryAfter(), MS);
         assertNotNull(chosenEndpoint(sendRequest("o1", "read", "other")));
         RejectRequest other =
                 single(sendRequest("o2", "read", null), RejectRequest.class).orElseThrow();
-        assertEquals(800 * MS, other.retryAfter(), "1 s is more than the route allows");
+        assertEquals(800 * MS, other.retryAfter(), "1 s is above the route's maximum");
         activate(new RoutePolicy(0, 0, 0, null, RoutePolicy.RETRYABLE, null, null, null, Map.of("t", 8.0)));
-        assertNull(chosenEndpoint(sendRequest("again", "read", "t")), "a new file fills no bucket");
+        assertNull(chosenEndpoint(sendRequest("again", "read", "t")), "new routes refilled the token bucket");
         harness.now += SECOND;
         assertNotNull(chosenEndpoint(sendRequest("later", "read", "t")));
     }
--- a/decision/src/test/java/weldhitch/decision/balancing/SlowStartCreditsTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/SlowStartCreditsTest.java
@@ -13,7 +13,7 @@
 import weldhitch.decision.settings.Idempotency;
 import weldhitch.decision.settings.PlatformRules;
 
-/** Tests who earns slow-start credit, and for what. */
+/** Tests which events grant slow-start credit to which endpoints. */
 class SlowStartCreditsTest {
     private static final long NOW = 100 * SECOND;
 
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void callServedByAWarmEndpointEarnsCreditForANewOne() {
+    void attemptServedByAWarmEndpointEarnsCreditForANewOne() {
         Endpoint warm = endpoint("warm", 0);
         Endpoint fresh = endpoint("fresh", NOW);
         credits.onEndpointsChanged(ready, NOW);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void callServedByAnEndpointInSlowStartEarnsNothing() {
+    void attemptServedByAnEndpointInSlowStartEarnsNothing() {
         endpoint("warm", 0);
         Endpoint fresh = endpoint("fresh", NOW);
         credits.onEndpointsChanged(ready, NOW);
--- a/decision/src/test/java/weldhitch/decision/balancing/SlowStartTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/SlowStartTest.java
@@ -16,20 +16,20 @@
 import weldhitch.decision.settings.DeduplicationScope;
 import weldhitch.decision.settings.Idempotency;
 
-/** Tests slow start with one balancer: credit, ramp and the served rate when some or all endpoints are new. */
+/** Tests slow start with one balancer: credit, growing capacity and served rate if some or all endpoints are new. */
 class SlowStartTest {
-    /** Returns the calls to endpoints in slow start at this rate over the time; each call takes 50 ms. */
-    private static int callsToWarmingUp(BalancerHarness harness, int perSecond, double seconds) {
-        int calls = 0;
+    /** Returns the number of attempts sent to endpoints in slow start at this rate; each attempt takes 50 ms. */
+    private static int attemptsToWarmingUp(BalancerHarness harness, int perSecond, double seconds) {
+        int attempts = 0;
         for (int i = 0; i < perSecond * seconds; i++) {
             String endpointId = chosenEndpoint(harness.sendRequest("r" + i, "read"));
             harness.now += SECOND / perSecond;
-            calls += endpointId != null && endpointId.startsWith("c") ? 1 : 0;
+            attempts += endpointId != null && endpointId.startsWith("c") ? 1 : 0;
             if (endpointId != null) {
                 harness.endAttempt("r" + i, 0, endpointId, AttemptOutcome.OK, 50 * MS);
             }
         }
-        return calls;
+        return attempts;
     }
 
     private static BalancerHarness harness(int warmCount, int warmingUpCount) {
@@ -47,22 +47,21 @@
 
     @Test
     void warmingUpEndpointGetsNoMoreThanItsCurrentCapacity() {
-        // 100 calls per second on 10 endpoints: a warm one serves 10 per second, a new one can do a fifth of
-        // that.
-        int calls = callsToWarmingUp(harness(9, 1), 100, 2);
-        assertTrue(calls > 0 && calls <= 8, calls + " calls in the first 2 s");
+        // 100 requests per second on 10 endpoints: a warm one serves 10 per second, a new one a fifth of that.
+        int attempts = attemptsToWarmingUp(harness(9, 1), 100, 2);
+        assertTrue(attempts > 0 && attempts <= 8, attempts + " attempts in the first 2 s");
     }
 
     @Test
     void slowStartLimitHoldsWhenHalfOfTheEndpointsRestart() {
-        int calls = callsToWarmingUp(harness(5, 5), 100, 1);
-        assertTrue(calls <= 5 * 7, calls + " calls in the first second");
+        int attempts = attemptsToWarmingUp(harness(5, 5), 100, 1);
+        assertTrue(attempts <= 5 * 7, attempts + " attempts in the first second");
     }
 
     @Test
     void slowStartLimitHoldsWhenAllEndpointsWarmUp() {
-        int calls = callsToWarmingUp(harness(0, 10), 100, 1);
-        assertTrue(calls > 0 && calls <= 40, calls + " calls in the first second");
+        int attempts = attemptsToWarmingUp(harness(0, 10), 100, 1);
+        assertTrue(attempts > 0 && attempts <= 40, attempts + " attempts in the first second");
     }
 
     private static void replaceAllByWarmingUp(BalancerHarness harness, int endpointCount) {
@@ -73,7 +72,7 @@
         harness.handle(new EndpointsChanged(EndpointUpdateKind.FULL, entries));
     }
 
-    /** Returns the fraction served at this rate by endpoints in slow start that answer in 50 ms. */
+    /** Returns the fraction of requests at this rate that endpoints in slow start serve, each in 50 ms. */
     private static double fractionServedByWarmingUp(
             BalancerHarness harness, String name, int perSecond, double seconds) {
         int requests = (int) (perSecond * seconds);
@@ -90,43 +89,43 @@
     }
 
     /**
-     * If all endpoints are replaced, clients that fail send fewer requests. The credit of the new endpoints
-     * must not fall with the request rate, or an idle fleet rejects nearly everything until the first endpoint
+     * If all endpoints are replaced, clients that fail send fewer requests. The credit of the new endpoints must not
+     * fall with the request rate; otherwise a fleet without load rejects nearly every request until the first endpoint
      * is warm.
      */
     @Test
     void warmingUpEndpointsServeLowTraffic() {
         BalancerHarness harness = harness(10, 0);
-        callsToWarmingUp(harness, 100, 10);
+        attemptsToWarmingUp(harness, 100, 10);
         replaceAllByWarmingUp(harness, 10);
         assertTrue(fractionServedByWarmingUp(harness, "few", 20, 2) > 0.9);
     }
 
-    /** An idle night before does not count as endpoints without capacity. */
+    /** A long idle period must not be taken for a lack of capacity. */
     @Test
     void servedRateSurvivesAnIdlePeriod() {
         BalancerHarness harness = harness(10, 0);
-        callsToWarmingUp(harness, 100, 10);
+        attemptsToWarmingUp(harness, 100, 10);
         harness.now += 3600 * SECOND;
-        callsToWarmingUp(harness, 100, 0.1);
+        attemptsToWarmingUp(harness, 100, 0.1);
         replaceAllByWarmingUp(harness, 10);
         assertTrue(fractionServedByWarmingUp(harness, "few", 20, 2) > 0.9);
     }
 
-    /** The rule's upper bound: the multiple of the present capacity, if warm endpoints were fully used. */
+    /** The upper bound of the rule is its multiple of the present capacity, if the warm endpoints were fully used. */
     @Test
     void warmingUpEndpointsAloneStayWithinTheOverloadMultiple() {
         BalancerHarness harness = harness(10, 0);
-        callsToWarmingUp(harness, 100, 10);
+        attemptsToWarmingUp(harness, 100, 10);
         replaceAllByWarmingUp(harness, 10);
-        int calls = callsToWarmingUp(harness, 1000, 3);
-        // Ten endpoints that served 10 calls per second each, over three seconds at 0.2 to 0.44 of that.
+        int attempts = attemptsToWarmingUp(harness, 1000, 3);
+        // Ten endpoints that served 10 requests per second each, over three seconds at 0.2 to 0.44 of that.
         double allowed = 3 * 10 * 10 * 3 * 0.32;
-        assertTrue(calls <= allowed, calls + " calls in 3 s, " + allowed + " allowed");
+        assertTrue(attempts <= allowed, attempts + " attempts in 3 s, at most " + allowed + " allowed");
     }
 
     @Test
-    void firstCallsToWarmingUpEndpointAreSpread() {
+    void firstAttemptsToWarmingUpEndpointAreSpread() {
         int first = 0;
         for (int seed = 0; seed < 100; seed++) {
             BalancerHarness harness = new BalancerHarness(
@@ -137,6 +136,6 @@
                     EndpointUpdateKind.CACHED, List.of(harness.entry("c", EndpointState.READY, harness.now))));
             first += chosenEndpoint(harness.sendRequest("r", "read")) == null ? 0 : 1;
         }
-        assertTrue(first < 25, first + " of 100 nodes sent at once");
+        assertTrue(first < 25, first + " of 100 nodes sent their first attempt at once");
     }
 }
--- a/decision/src/test/java/weldhitch/decision/balancing/SubsettingTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/SubsettingTest.java
@@ -21,7 +21,7 @@
 import weldhitch.decision.settings.Idempotency;
 import weldhitch.decision.settings.WeightKind;
 
-/** Tests the subsets of endpoints that nodes use on the hash ring. */
+/** Tests the subsets of endpoints on the hash ring that nodes use. */
 class SubsettingTest {
     private static BalancerSettings settings(int nodeIndex, int nodeCount) {
         BalancerSettings defaults = BalancerHarness.settings(
@@ -68,7 +68,7 @@
         Set<String> all = new HashSet<>();
         for (int nodeIndex = 0; nodeIndex < 50; nodeIndex++) {
             Set<String> contacted = contactedEndpoints(harness(nodeIndex, 50, 100));
-            assertTrue(contacted.size() <= 12, contacted.size() + " servers met by one node");
+            assertTrue(contacted.size() <= 12, contacted.size() + " endpoints contacted by one node");
             all.addAll(contacted);
         }
         assertEquals(100, all.size());
@@ -79,19 +79,19 @@
         assertEquals(100, contactedEndpoints(harness(0, 1, 100)).size());
     }
 
-    /** A node whose subset has failed completely must use further endpoints. */
+    /** A node must use other endpoints if its whole subset has failed. */
     @Test
     void failedEndpointsAreReplacedInTheSubset() {
         BalancerHarness harness = harness(0, 50, 100);
         Set<String> failed = contactedEndpoints(harness);
-        int callsToFailed = 0;
+        int attemptsToFailed = 0;
         for (int i = 0; i < 400; i++) {
             String endpointId = chosenEndpoint(harness.sendRequest("d" + i, "read"));
             boolean isFailed = failed.contains(endpointId);
-            callsToFailed += isFailed && i >= 200 ? 1 : 0;
+            attemptsToFailed += isFailed && i >= 200 ? 1 : 0;
             harness.endAttempt("d" + i, 0, endpointId, isFailed ? AttemptOutcome.ERROR : AttemptOutcome.OK, 50 * MS);
             harness.handle(new ClientDisconnected("d" + i));
         }
-        assertTrue(callsToFailed < 50, callsToFailed + " of 200 calls went to dead servers");
+        assertTrue(attemptsToFailed < 50, attemptsToFailed + " of 200 attempts went to failed endpoints");
     }
 }
--- a/decision/src/test/java/weldhitch/decision/balancing/WeightedEndpointPickerTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/WeightedEndpointPickerTest.java
@@ -11,15 +11,11 @@
 import weldhitch.decision.endpoint.AttemptOutcome;
 import weldhitch.decision.event.ClientDisconnected;
 
-/**
- * Tests the weighted pick of endpoints: the Ratio approach with two choices, failures, and stalled endpoints.
- */
+/** Tests the weighted pick of endpoints: the Ratio approach with two draws, failures and stalled endpoints. */
 class WeightedEndpointPickerTest {
     private static final int DRAWS = 20_000;
 
-    /**
-     * Returns the frequencies of first picks; each request is cancelled at once, so that it leaves no state.
-     */
+    /** Returns the frequencies of first picks. Each request is cancelled at once, so that it leaves no state. */
     private static Map<String, Double> frequencies(BalancerHarness harness) {
         Map<String, Double> frequency = new HashMap<>();
         for (int i = 0; i < DRAWS; i++) {
@@ -33,7 +29,7 @@
         return frequency;
     }
 
-    /** Fills each endpoint's window with the given round trip by serving whatever is picked. */
+    /** Fills the window of each endpoint with its round trip in nanoseconds, by sending requests until all are full. */
     private static void fillWindows(BalancerHarness harness, Map<String, Long> latencies) {
         Map<String, Integer> remaining = new HashMap<>();
         latencies.keySet().forEach(endpoint -> remaining.put(endpoint, 20));
@@ -47,10 +43,10 @@
     @Test
     void lowerMeanOfTwoWeightedDrawsWins() {
         BalancerHarness harness = BalancerHarness.withDefaultSettings().withEndpoints("a", "b");
-        // The expected latency settles between the two; the ratio of the means stays near 1 to 3.
+        // The expected latency converges to a value between the two; the ratio of the means stays near 1 to 3.
         fillWindows(harness, Map.of("a", 50 * MS, "b", 150 * MS));
         Map<String, Double> frequency = frequencies(harness);
-        // p(b) = (1/3) / (4/3) = 1/4, and b is chosen only if both draws return it.
+        // p(b) = (1/3) / (4/3) = 1/4, and b is picked only if both draws return it.
         assertEquals(1.0 / 16, frequency.get("b"), 0.02);
     }
 
@@ -76,7 +72,7 @@
             harness.endAttempt("e" + i, 0, endpointId, fails ? AttemptOutcome.ERROR : AttemptOutcome.OK, 50 * MS);
         }
         double frequency = frequencies(harness).get("b");
-        assertTrue(frequency > 0 && frequency < 0.25, "share " + frequency);
+        assertTrue(frequency > 0 && frequency < 0.25, "frequency of the failing endpoint: " + frequency);
         for (int i = 0; failures > 0; i++) {
             String endpointId = chosenEndpoint(harness.sendRequest("o" + i, "write"));
             failures -= endpointId.equals("b") ? failures : 0;
@@ -86,23 +82,23 @@
     }
 
     /**
-     * Every other call fails fast: each served call clears the failure count, so the count alone would not
-     * show it.
+     * Every other attempt fails fast. Each successful one clears the failure count, so the count alone would not reveal
+     * the errors.
      */
     @Test
     void endpointWithErrorsIsPickedLess() {
         BalancerHarness harness = BalancerHarness.withDefaultSettings().withEndpoints("a", "b");
         fillWindows(harness, Map.of("a", 50 * MS, "b", 50 * MS));
-        int calls = 0;
-        for (int i = 0; calls < 30; i++) {
+        int attempts = 0;
+        for (int i = 0; attempts < 30; i++) {
             String endpointId = chosenEndpoint(harness.sendRequest("h" + i, "write"));
-            calls += endpointId.equals("b") ? 1 : 0;
-            boolean errs = endpointId.equals("b") && calls % 2 == 1;
+            attempts += endpointId.equals("b") ? 1 : 0;
+            boolean errs = endpointId.equals("b") && attempts % 2 == 1;
             harness.endAttempt("h" + i, 0, endpointId, errs ? AttemptOutcome.ERROR : AttemptOutcome.OK, 50 * MS);
         }
-        // The last call was served, so the failure count is 0.
+        // The last attempt was successful, so the failure count is 0.
         double frequency = frequencies(harness).get("b");
-        assertTrue(frequency > 0 && frequency < 0.2, "share " + frequency);
+        assertTrue(frequency > 0 && frequency < 0.2, "frequency of the failing endpoint: " + frequency);
         harness.now += 60 * BalancerHarness.SECOND;
         assertEquals(0.5, frequencies(harness).get("b"), 0.1);
     }
@@ -137,9 +133,9 @@
         assertTrue(frequencies(harness).getOrDefault("b", 0.0) < 0.05);
     }
 
-    /** Regression: latencies of 0 made a mean 0 and all weights undefined, so that no endpoint was picked. */
+    /** Regression: latencies of 0 made a mean 0 and all weights undefined, so that no endpoint could be picked. */
     @Test
-    void zeroLatencyAnswersKeepEndpointsEligible() {
+    void zeroLatencyResponsesKeepEndpointsEligible() {
         BalancerHarness harness = BalancerHarness.withDefaultSettings().withEndpoints("a", "b");
         for (int i = 0; i < 50; i++) {
             String endpointId = chosenEndpoint(harness.sendRequest("r" + i, "read"));
--- a/decision/src/test/java/weldhitch/decision/balancing/Workload.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/Workload.java
@@ -48,18 +48,18 @@
 import weldhitch.decision.settings.WeightKind;
 
 /**
- * Generates random events from a seed, of every type that a balancer handles, in response to its decisions:
- * requests of each idempotency, streams, quotas, changing routes, subscriptions that succeed or are rejected,
- * endpoints that warm up or drain, all outcomes, clients that disconnect, simultaneous events. It does not
- * model a real system: it only produces possible sequences of events. Not thread-safe; used by the tests of
- * several modules.
+ * Generates random events from a seed, in response to a balancer's decisions. The events are of every type that a
+ * balancer handles: requests of each idempotency, streamed responses, quotas, changing routes, subscriptions that
+ * succeed or are rejected, endpoints that warm up or drain, all outcomes, clients that disconnect, and simultaneous
+ * events. The workload does not model a real system; it only produces possible sequences of events. Not thread-safe;
+ * used by the tests of several modules.
  */
 public final class Workload {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1000 * MS;
     private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
-    /** Handles an event, usually by a balancer, and returns its actions. */
+    /** Handles an event, usually by passing it to a balancer, and returns the actions. */
     public interface EventHandler {
         List<BalancerAction> handle(long now, BalancerEvent event);
     }
@@ -82,9 +82,7 @@
     private final List<OutstandingAttempt> outstanding = new ArrayList<>();
     private final java.util.LinkedHashMap<String, Integer> attempts = new java.util.LinkedHashMap<>();
     private final java.util.Set<String> finishedRequests = new java.util.HashSet<>();
-    /**
-     * Separate generator for the zones of requests, so that the other draws stay the same; null without zones.
-     */
+    /** Separate generator for the zones of requests, so that the other draws do not change; null without zones. */
     private final SplittableRandom zoneRandom;
 
     private final int endpointCount;
@@ -92,7 +90,7 @@
     private long now = 1_000_000_000_000L;
     private int eventCount;
 
-    /** Creates a workload whose requests are not bound to zones. */
+    /** Creates a workload whose requests are not restricted to zones. */
     public Workload(long seed) {
         this(seed, false);
     }
@@ -100,7 +98,7 @@
     /**
      * Creates a workload.
      *
-     * @param withZones whether requests are bound to zones, and may request others
+     * @param withZones whether requests are restricted to zones, and may request others
      */
     public Workload(long seed, boolean withZones) {
         zoneRandom = withZones ? new SplittableRandom(seed) : null;
@@ -183,7 +181,7 @@
         return now;
     }
 
-    /** Plays this many events, and passes each with its actions to {@code observer}. */
+    /** Plays this number of events, and passes each one with the resulting actions to {@code observer}. */
     public void play(EventHandler handler, int eventLimit, BiConsumer<BalancerEvent, List<BalancerAction>> observer) {
         for (int i = 0; i < eventLimit; i++) {
             BalancerEvent event = eventCount++ == 0 ? randomUpdate(EndpointUpdateKind.CACHED) : nextEvent();
@@ -238,10 +236,10 @@
                 random.nextInt(5) == 0,
                 random.nextBoolean() ? "GET" : "POST",
                 "/" + requestClass.name() + (random.nextBoolean() ? "/7?x=1" : ""),
-                zoneRandom == null || zoneRandom.nextInt(4) == 0 ? null : zoneRandom());
+                zoneRandom == null || zoneRandom.nextInt(4) == 0 ? null : randomZones());
     }
 
-    private List<String> zoneRandom() {
+    private List<String> randomZones() {
         return List.of(List.of("a"), List.of("b"), List.of("a", "b"), List.<String>of())
                 .get(Math.min(3, zoneRandom.nextInt(10) / 3));
     }
@@ -330,12 +328,12 @@
         } else if (action instanceof ScheduleTimer timer) {
             scheduled.add(new ScheduledEvent(now + timer.delay(), nextNumber++, new TimerFired(timer.token())));
         } else if (action instanceof RequestZones zoneRequest) {
-            // Mostly at once, sometimes later or never.
+            // Zones are mostly assigned at once, sometimes later or never.
             if (zoneRandom.nextInt(8) > 0) {
                 scheduled.add(new ScheduledEvent(
                         now + (zoneRandom.nextInt(4) == 0 ? 30 * MS : 0),
                         nextNumber++,
-                        new ZonesAssigned(zoneRequest.requestId(), zoneRandom())));
+                        new ZonesAssigned(zoneRequest.requestId(), randomZones())));
             }
         } else if (action instanceof RejectRequest reject) {
             finishedRequests.add(reject.requestId());
--- a/decision/src/test/java/weldhitch/decision/balancing/ZoneFailureTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/ZoneFailureTest.java
@@ -15,7 +15,7 @@
 
 /** Tests that an unresponsive zone is avoided. */
 class ZoneFailureTest {
-    /** Each endpoint of an unreachable zone has failed only once, so their own counts would not suffice. */
+    /** Each endpoint of an unreachable zone fails only once, so that their own failure counts would not suffice. */
     @Test
     void unresponsiveZoneIsAvoided() {
         BalancerHarness harness = BalancerHarness.withDefaultSettings();
@@ -25,12 +25,12 @@
             entries.add(new EndpointEntry("w" + i, "west", 2, EndpointState.READY, 1, 0));
         }
         harness.handle(new EndpointsChanged(EndpointUpdateKind.FULL, entries));
-        int sendsToFailedZone = 0;
+        int attemptsToFailedZone = 0;
         for (int i = 0; i < 400; i++) {
             String endpointId = chosenEndpoint(harness.sendRequest("r" + i, "read"));
             int attempt = 0;
             while (endpointId != null && endpointId.startsWith("w")) {
-                sendsToFailedZone++;
+                attemptsToFailedZone++;
                 endpointId = chosenEndpoint(
                         harness.endAttempt("r" + i, attempt++, endpointId, AttemptOutcome.CONNECT_FAILED, 100 * MS));
             }
@@ -38,6 +38,6 @@
                 harness.endAttempt("r" + i, attempt, endpointId, AttemptOutcome.OK, 50 * MS);
             }
         }
-        assertTrue(sendsToFailedZone < 25, sendsToFailedZone + " calls into the zone that was cut off");
+        assertTrue(attemptsToFailedZone < 25, attemptsToFailedZone + " attempts were sent to the unresponsive zone");
     }
 }
--- a/decision/src/test/java/weldhitch/decision/balancing/ZoneRestrictionTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/ZoneRestrictionTest.java
@@ -70,7 +70,7 @@
         assertEquals(first.equals("w1") ? "w2" : "w1", chosenEndpoint(retryActions));
         List<BalancerAction> actions =
                 harness.endAttempt("r", 1, chosenEndpoint(retryActions), AttemptOutcome.CONNECT_FAILED, MS);
-        assertNull(chosenEndpoint(actions), "the third attempt waits a little, as any");
+        assertNull(chosenEndpoint(actions), "the third attempt is sent without a backoff");
         actions = harness.fireTimer(actions);
         assertEquals(new RequestZones("r"), single(actions, RequestZones.class).orElseThrow());
         String east = chosenEndpoint(harness.handle(new ZonesAssigned("r", List.of("east"))));
@@ -83,7 +83,7 @@
                         .toList());
     }
 
-    /** Without other zones, endpoints are tried again; an assignment that never arrives is requested again. */
+    /** Without other zones, endpoints are attempted again. Zones that are never assigned are requested again. */
     @Test
     void zoneRequestIsRepeatedUntilZonesAreAssigned() {
         BalancerHarness harness = harnessWithTwoZones();
@@ -93,9 +93,9 @@
         for (int i = 0; i < 3 && single(actions, RequestZones.class).isEmpty(); i++) {
             actions = harness.fireTimer(actions);
         }
-        assertTrue(single(actions, RequestZones.class).isPresent(), "asked after its back-off: " + actions);
+        assertTrue(single(actions, RequestZones.class).isPresent(), "not requested after the backoff: " + actions);
         List<BalancerAction> later = harness.fireTimer(actions);
-        assertTrue(single(later, RequestZones.class).isPresent(), "asked again: " + later);
+        assertTrue(single(later, RequestZones.class).isPresent(), "not requested again: " + later);
         assertTrue(chosenEndpoint(harness.handle(new ZonesAssigned("r", List.of("west"))))
                 .startsWith("w"));
     }
@@ -107,24 +107,24 @@
                 .isPresent());
         harness.handle(
                 new EndpointsChanged(EndpointUpdateKind.FULL, List.of(entry("w1", "west"), entry("e1", "east"))));
-        String first = chosenEndpoint(sendRequest(harness, "never-ran", "write", "west"));
+        String first = chosenEndpoint(sendRequest(harness, "not-run", "write", "west"));
         assertTrue(
-                single(harness.endAttempt("never-ran", 0, first, AttemptOutcome.CONNECT_FAILED, MS), RequestZones.class)
+                single(harness.endAttempt("not-run", 0, first, AttemptOutcome.CONNECT_FAILED, MS), RequestZones.class)
                         .isPresent());
-        assertTrue(single(harness.handle(new ZonesAssigned("never-ran", List.of())), RejectRequest.class)
+        assertTrue(single(harness.handle(new ZonesAssigned("not-run", List.of())), RejectRequest.class)
                 .isPresent());
         first = chosenEndpoint(sendRequest(harness, "ran", "write", "west"));
         List<BalancerAction> ended = harness.endAttempt("ran", 0, first, AttemptOutcome.RESET, MS);
         assertTrue(
                 single(ended, RequestZones.class).isEmpty()
                         && single(ended, FailRequest.class).isPresent(),
-                "unsafe, and may have run: " + ended);
+                "a non-idempotent request that may have been executed must fail: " + ended);
         assertEquals(List.of(), harness.handle(new ZonesAssigned("ran", List.of("east"))));
     }
 
     /**
-     * Only endpoints of the zone where it may have been executed discard its repeats, so it requests no other
-     * zones.
+     * Repeats of the request are discarded only by endpoints of the zone where it may have been executed, so it must
+     * not request other zones.
      */
     @Test
     void requestWithIdempotencyKeyStaysInItsZoneOnceExecuted() {
@@ -147,7 +147,7 @@
         }
     }
 
-    /** Over many workloads: no attempt goes to a zone that its request is not allowed to use. */
+    /** Over many workloads, no attempt may be sent to a zone that its request is not allowed to use. */
     @Test
     void noAttemptLeavesTheAllowedZones() {
         int[] zoneRequests = {0};
@@ -157,7 +157,7 @@
                         .mapToObj(seed -> firstViolation(seed, zoneRequests))
                         .filter(java.util.Objects::nonNull)
                         .toList());
-        assertTrue(zoneRequests[0] > 100, "asked " + zoneRequests[0] + " times");
+        assertTrue(zoneRequests[0] > 100, "only " + zoneRequests[0] + " zone requests");
     }
 
     private static String firstViolation(long seed, int[] zoneRequests) {
@@ -172,8 +172,7 @@
             } else if (event instanceof EndpointsChanged m) {
                 m.entries().forEach(e -> zoneOf.put(e.endpointId(), e.zone()));
             }
-            // Assignments while an attempt is in flight are ignored, so an attempt may follow the previous
-            // zones too.
+            // Assignments while an attempt is in flight are ignored, so an attempt may also go to the previous zones.
             for (BalancerAction action : actions) {
                 zoneRequests[0] += action instanceof RequestZones ? 1 : 0;
                 if (action instanceof SendAttempt send) {
@@ -192,7 +191,7 @@
             if (event instanceof ZonesAssigned z
                     && allowedZones.get(z.requestId()) != null
                     && actions.stream().noneMatch(a -> a instanceof SendAttempt)) {
-                // Whether the assignment was applied or ignored is not visible here: accept both.
+                // It is not visible here whether the assignment was applied or ignored, so both are accepted.
                 List<String> either = new ArrayList<>(allowedZones.get(z.requestId()));
                 either.addAll(z.zones());
                 allowedZones.put(z.requestId(), either);
