--- a/decision/src/test/java/weldhitch/decision/balancing/RoutePolicyTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/RoutePolicyTest.java
@@ -203,8 +203,7 @@
             harness.now += 50 * MS;
             attempts += failAllAttempts("r" + i, i % 2 == 0 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET);
         }
-        assertTrue(
-                attempts <= 1.2 * requests && attempts >= 1.15 * requests, attempts + " attempts for " + requests);
+        assertTrue(attempts <= 1.2 * requests && attempts >= 1.15 * requests, attempts + " attempts for " + requests);
     }
 
     @Test
