--- a/decision/src/main/java/weldhitch/decision/balancing/AdaptiveConcurrencyLimit.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/AdaptiveConcurrencyLimit.java
@@ -97,7 +97,7 @@
 
     /**
      * Ends slow start after an endpoint rejected a request as full. The limit is not lowered, because a single full
-     * endpoint may be chance, and the next endpoint has capacity.
+     * endpoint may be chance; in that case the next endpoint has capacity.
      */
     void onEndpointFull() {
         inSlowStart = false;
--- a/decision/src/main/java/weldhitch/decision/balancing/AttemptState.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/AttemptState.java
@@ -8,7 +8,7 @@
     final long sentAt;
     boolean ended;
     boolean notExecuted;
-    /** Whether the attempt took longer than the hedge delay, so that a hedged request was due. */
+    /** Whether the attempt took longer than the hedge delay of its request class, so that a hedged request was due. */
     boolean exceededHedgeDelay;
     /** Whether the retry token for the next attempt was taken in advance, because this one is abandoned on timeout. */
     boolean retryTokenReserved;
--- a/decision/src/main/java/weldhitch/decision/balancing/EndpointUpdates.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/EndpointUpdates.java
@@ -19,7 +19,10 @@
     private static final double MAX_BACKOFF_FRACTION = 0.8;
     /** Longest delay of the first subscription, as a fraction of the longest poll interval. */
     private static final double MAX_FIRST_DELAY_FRACTION = 0.4;
-    /** Longest delay of the first subscription in nanoseconds per node, so that a small fleet subscribes at once. */
+    /**
+     * Longest delay of the first subscription, in nanoseconds per node of the fleet, so that a small fleet subscribes
+     * at once.
+     */
     private static final double FIRST_DELAY_PER_NODE = 50e6;
 
     private final DecisionContext context;
--- a/decision/src/main/java/weldhitch/decision/balancing/RatioBalancer.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RatioBalancer.java
@@ -262,8 +262,8 @@
             case CONNECT_FAILED -> endpoint.recordFailure(false, true, now);
             case RESET -> endpoint.recordFailure(false, false, now);
             case CANCELLED -> {
-                // The attempt was overdue for a hedged request. It counts as a failure like a timeout, but not as
-                // one of its zone.
+                // A hedged request was due because the attempt took too long. This counts as a failure like a
+                // timeout, but not as a failure of the zone.
                 if (attempt.exceededHedgeDelay) {
                     endpoint.recordFailure(false, false, now);
                 }
--- a/decision/src/main/java/weldhitch/decision/balancing/RequestDispatcher.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RequestDispatcher.java
@@ -43,7 +43,11 @@
         this.sender = sender;
     }
 
-    /** Sends an attempt, holds the request if no endpoint can take it now, or ends it at its deadline. */
+    /**
+     * Sends an attempt, holds the request if no endpoint can take it now, or ends it at its deadline. A request that is
+     * restricted to zones, and has attempted all endpoints there that can take it, is held while it requests further
+     * zones.
+     */
     void dispatch(RequestState request) {
         if (context.deadlineReached(request)) {
             exceedDeadline(request);
@@ -97,7 +101,7 @@
                 && request.classModel.requestClass.deduplicationScope() != DeduplicationScope.ALL;
     }
 
-    /** Dispatches a request within the zones that it requested and was assigned, or ends it if there are none. */
+    /** Dispatches a request within the zones assigned to it, without requesting more, or ends it if there are none. */
     void onZonesAssigned(ZonesAssigned assigned) {
         RequestState request = context.state.requests.get(assigned.requestId());
         if (request == null
@@ -171,7 +175,7 @@
 
     private void hedge(RequestState request, boolean allowed) {
         AttemptState lastAttempt = request.attempts.get(request.attempts.size() - 1);
-        // The hedge delay of a route may end long before the attempt is overdue.
+        // A route may define a much shorter hedge delay than that of the class, after which an attempt is overdue.
         lastAttempt.exceededHedgeDelay =
                 request.route == null || context.now() - lastAttempt.sentAt >= request.hedgeDelay();
         if (allowed && retryPolicy.takeRetryToken(request, false)) {
--- a/decision/src/main/java/weldhitch/decision/balancing/RetryPolicy.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RetryPolicy.java
@@ -149,7 +149,10 @@
         return timeout;
     }
 
-    /** Returns the node's own backoff before the next attempt, doubled with each one; draws one random number. */
+    /**
+     * Returns the backoff in nanoseconds before the next attempt if the route defines none. It doubles with each
+     * attempt. Draws one random number.
+     */
     long drawBackoff(RequestState request) {
         double backoff =
                 request.expectedLatency() / 4 * (1 << Math.min(request.attempts.size() - 2, MAX_BACKOFF_DOUBLINGS));
--- a/decision/src/main/java/weldhitch/decision/balancing/RouteState.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RouteState.java
@@ -102,7 +102,11 @@
         return policy.maxAttempts() > 0 ? Math.min(allowed, policy.maxAttempts()) : allowed;
     }
 
-    /** Returns the timeout of an attempt sent now, at most the time remaining until the deadline; 0 for none. */
+    /**
+     * Returns the timeout in nanoseconds of an attempt sent now: that of the route, or else {@code defaultTimeout}, at
+     * most the time remaining until the deadline. If both are 0, it is the remaining time if the route defines a
+     * deadline, otherwise 0 for no timeout.
+     */
     long attemptTimeout(long defaultTimeout, long remaining) {
         long timeout = policy.attemptTimeout() > 0 ? policy.attemptTimeout() : defaultTimeout;
         return timeout > 0 ? Math.min(timeout, remaining) : policy.deadline() > 0 ? remaining : 0;
--- a/decision/src/main/java/weldhitch/decision/balancing/SlowStartCredits.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/SlowStartCredits.java
@@ -18,7 +18,7 @@
     private static final double CREDIT_PER_ARRIVAL = 0.7;
     /** Time constant of the average of the served rate, in nanoseconds. */
     private static final double SERVED_RATE_WINDOW = 5e9;
-    /** Longest idle time that lowers the served rate, in nanoseconds. Longer idleness says nothing about capacity. */
+    /** Maximum idle time in nanoseconds for which the served rate decays; more idleness says nothing about capacity. */
     private static final long MAX_IDLE_GAP = 1_000_000_000L;
 
     private final PlatformRules rules;
@@ -68,7 +68,10 @@
         return Math.min(1, initialCapacity + (1 - initialCapacity) * age);
     }
 
-    /** Records an attempt that the endpoint served. If it is warm, raises the served rate and grants credit. */
+    /**
+     * Records an attempt that the endpoint served. If the endpoint is warm, this raises the served rate and grants
+     * credit to the endpoints in slow start.
+     */
     void recordServed(Endpoint endpoint, long now) {
         if (!endpoint.warmingUp) {
             double attemptsPerEndpoint = 1.0 / Math.max(1, ready.size() - warmingUp.size());
@@ -82,7 +85,8 @@
     /**
      * Grants credit for an arriving request if no endpoint was ever warm, because no served rate is known then. If all
      * endpoints are in slow start but some were warm before, credit is granted for elapsed time by their served rate
-     * ({@link #accrueCreditByTime}), because credit by arrivals would fall as clients fail for lack of capacity.
+     * ({@link #accrueCreditByTime}). Credit by arrivals would fall in that case, because clients whose requests fail
+     * for lack of capacity send fewer.
      */
     void recordArrival(long now) {
         if (warmingUp.size() == ready.size() && servedRate == 0) {
--- a/decision/src/main/java/weldhitch/decision/balancing/SnapshotBuilder.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/SnapshotBuilder.java
@@ -429,7 +429,7 @@
                     snapshot.activeRoutes().size() == snapshot.routes().size(),
                     "routesInForce",
                     snapshot.activeRoutes().size(),
-                    "as many as routes");
+                    "one for each route");
             for (int i = 0; i < snapshot.routes().size(); i++) {
                 byName.put(
                         snapshot.routes().get(i).name(),
--- a/decision/src/main/java/weldhitch/decision/balancing/WeightedEndpointPicker.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/WeightedEndpointPicker.java
@@ -19,7 +19,7 @@
     private static final int MIN_SUBSET_SIZE = 12;
     /** Number of nodes whose subsets cover one endpoint on average, in a large fleet. */
     private static final int NODES_PER_ENDPOINT = 4;
-    /** Relative increase of the mean of an endpoint in another zone, for each unit of the cross-zone cost. */
+    /** Relative increase of the mean latency of an endpoint in another zone, per unit of the cross-zone cost. */
     private static final double CROSS_ZONE_PENALTY = 50;
 
     private final BalancerSettings settings;
--- a/decision/src/main/java/weldhitch/decision/snapshot/BalancerSnapshot.java
+++ b/decision/src/main/java/weldhitch/decision/snapshot/BalancerSnapshot.java
@@ -159,7 +159,7 @@
                     id,
                     "window",
                     latencies == null ? 0 : latencies.length,
-                    "a number of samples of " + LATENCY_WINDOW);
+                    "a window of length " + LATENCY_WINDOW);
             for (double latency : latencies) {
                 require(Double.isFinite(latency), id, "window", latency, "a finite number");
             }
--- a/decision/src/test/java/weldhitch/decision/balancing/AdaptiveConcurrencyLimitTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/AdaptiveConcurrencyLimitTest.java
@@ -83,7 +83,7 @@
         assertEquals(2 * initial, capacity(), "limit after one round trip");
         limit.onEndpointFull();
         recordFastResponses(initial);
-        assertEquals(2 * initial + initial / 10, capacity(), 1, "limit growth after an endpoint was full");
+        assertEquals(2 * initial + initial / 10, capacity(), 1, "limit one round trip after an endpoint was full");
     }
 
     @Test
--- a/decision/src/test/java/weldhitch/decision/balancing/AdmissionTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/AdmissionTest.java
@@ -140,7 +140,7 @@
                 new BalancerHarness(BalancerHarness.settings(LOW_PRIORITY), 1).withEndpoints("a", "b");
         int grown = limitAfterRounds(harness, 10, 20 * MS);
         int shrunk = limitAfterRounds(harness, 3, 500 * MS);
-        assertTrue(shrunk > 0 && shrunk <= grown / 2, shrunk + " after " + grown);
+        assertTrue(shrunk > 0 && shrunk <= grown / 2, shrunk + " admitted at once, previously " + grown);
     }
 
     /**
@@ -160,7 +160,7 @@
             harness.handle(new ClientDisconnected(requestId));
         }
         int shrunk = limitAfterRounds(harness, 0, 20 * MS);
-        assertTrue(shrunk <= grown / 2, shrunk + " after " + grown);
+        assertTrue(shrunk <= grown / 2, shrunk + " admitted at once, previously " + grown);
     }
 
     @Test
--- a/decision/src/test/java/weldhitch/decision/balancing/EndpointUpdateTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/EndpointUpdateTest.java
@@ -98,7 +98,7 @@
                 .orElseThrow()
                 .delay();
         assertTrue(first != second);
-        assertTrue(Math.max(first, second) < 5 * SECOND, "the first subscription is later than the maximum delay");
+        assertTrue(Math.max(first, second) < 5 * SECOND, "a first subscription is delayed by 5 s or more");
     }
 
     @Test
--- a/decision/src/test/java/weldhitch/decision/balancing/FleetSlowStartTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/FleetSlowStartTest.java
@@ -71,7 +71,7 @@
     private long now = 100 * SECOND;
     private long taskCount;
     private int attempts;
-    /** The largest number of attempts in a window so far, as a fraction of the number that the rule allows. */
+    /** Largest number of attempts in an overload window so far, as a fraction of the number that the rule allows. */
     private double worstFraction;
 
     private void schedule(long time, Runnable task) {
@@ -193,13 +193,13 @@
         simulate(nodeCount, replaced, restart, 0.67);
         assertTrue(
                 worstFraction < 1,
-                nodeCount + " nodes sent an endpoint in slow start " + worstFraction + " of the allowed attempts");
+                nodeCount + " nodes sent an endpoint in slow start " + worstFraction + " times the allowed attempts");
     }
 
     /**
-     * Tests a fleet of a few dozen nodes under a burst with tight rules: short windows, small multiples and endpoints
-     * of low capacity. The requirement is that a window may exceed the budget N by at most 2 * sqrt(N) + 2 attempts, as
-     * random variation.
+     * Tests a fleet of a few dozen nodes under a burst with tight rules: short overload windows, small overload
+     * multiples and endpoints of low capacity. The requirement is that a window exceeds the N attempts that the rule
+     * allows by at most 2 * sqrt(N) + 2, as random variation.
      */
     @ParameterizedTest
     @CsvSource({
--- a/decision/src/test/java/weldhitch/decision/balancing/RetryBudgetTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/RetryBudgetTest.java
@@ -52,9 +52,9 @@
                     requests++;
                 }
                 retries += budget.tryRetry(now) ? 1 : 0;
-                assertTrue(retries <= 0.3 * requests, seed + ": " + retries + " of " + requests);
+                assertTrue(retries <= 0.3 * requests, seed + " (seed): " + retries + " retries, requests: " + requests);
             }
-            assertTrue(retries > 0.1 * requests, retries + " of " + requests);
+            assertTrue(retries > 0.1 * requests, retries + " retries, requests: " + requests);
         }
     }
 
--- a/decision/src/test/java/weldhitch/decision/balancing/RoutePolicyTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/RoutePolicyTest.java
@@ -213,7 +213,8 @@
         assertEquals(30 * MS, single(actions, ScheduleTimer.class).orElseThrow().delay());
         assertNotNull(chosenEndpoint(harness.fireTimer(actions)));
         assertFalse(
-                single(sendRequest("w", "write", null), ScheduleTimer.class).isPresent(), "non-idempotent and hedged");
+                single(sendRequest("w", "write", null), ScheduleTimer.class).isPresent(),
+                "a non-idempotent request must not be hedged");
     }
 
     @Test
--- a/decision/src/test/java/weldhitch/decision/balancing/SlowStartTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/SlowStartTest.java
@@ -112,14 +112,15 @@
         assertTrue(fractionServedByWarmingUp(harness, "few", 20, 2) > 0.9);
     }
 
-    /** The upper bound of the rule is its multiple of the present capacity, if the warm endpoints were fully used. */
+    /** The upper bound is the overload multiple of the present capacity, if the warm endpoints were fully used. */
     @Test
     void warmingUpEndpointsAloneStayWithinTheOverloadMultiple() {
         BalancerHarness harness = harness(10, 0);
         attemptsToWarmingUp(harness, 100, 10);
         replaceAllByWarmingUp(harness, 10);
         int attempts = attemptsToWarmingUp(harness, 1000, 3);
-        // Ten endpoints that served 10 requests per second each, over three seconds at 0.2 to 0.44 of that.
+        // The overload multiple of 3, times ten endpoints that served 10 requests per second each, over three seconds
+        // at 0.2 to 0.44 of that, 0.32 on average.
         double allowed = 3 * 10 * 10 * 3 * 0.32;
         assertTrue(attempts <= allowed, attempts + " attempts in 3 s, at most " + allowed + " allowed");
     }
--- a/decision/src/test/java/weldhitch/decision/balancing/ZoneRestrictionTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/ZoneRestrictionTest.java
@@ -181,7 +181,7 @@
                                     ? z.zones()
                                     : allowedZones.get(send.requestId());
                     if (zones != null && !zones.contains(zoneOf.get(send.endpointId()))) {
-                        violations.add("seed " + seed + ": " + send + " of " + zones + " on " + event);
+                        violations.add("seed " + seed + ": " + send + " outside zones " + zones + " on " + event);
                     }
                     if (event instanceof ZonesAssigned) {
                         allowedZones.put(send.requestId(), zones);
