--- a/decision/src/main/java/weldhitch/decision/action/BalancerAction.java
+++ b/decision/src/main/java/weldhitch/decision/action/BalancerAction.java
@@ -1,6 +1,6 @@
 package weldhitch.decision.action;
 
-/** An action for the node to execute, in the order returned. */
+/** An action for the node to execute. The balancer returns actions in the order of their execution. */
 public sealed interface BalancerAction
         permits SendAttempt,
                 CancelAttempt,
--- a/decision/src/main/java/weldhitch/decision/action/FailRequest.java
+++ b/decision/src/main/java/weldhitch/decision/action/FailRequest.java
@@ -1,12 +1,12 @@
 package weldhitch.decision.action;
 
 /**
- * Final answer: failed, with no promise about its effect.
+ * Answers a request as failed. Unlike a rejected request, it may have been executed.
  *
- * @param routeDeadlineExceeded whether the deadline that has passed was shortened by a route
+ * @param routeDeadlineExceeded whether the request missed a deadline that its route had shortened
  */
 public record FailRequest(String requestId, boolean routeDeadlineExceeded) implements BalancerAction {
-    /** A failure that no route's deadline caused. */
+    /** Creates a failure that was not caused by a route's deadline. */
     public FailRequest(String requestId) {
         this(requestId, false);
     }
--- a/decision/src/main/java/weldhitch/decision/action/RejectRequest.java
+++ b/decision/src/main/java/weldhitch/decision/action/RejectRequest.java
@@ -1,4 +1,8 @@
 package weldhitch.decision.action;
 
-/** Final answer: not executed, a retry does no harm; {@code retryAfter} in nanoseconds, 0 for no advice. */
+/**
+ * Rejects a request. It is known not to have been executed, so the client may safely retry it.
+ *
+ * @param retryAfter the Retry-After advice in nanoseconds, 0 for none
+ */
 public record RejectRequest(String requestId, long retryAfter) implements BalancerAction {}
--- a/decision/src/main/java/weldhitch/decision/action/RequestZones.java
+++ b/decision/src/main/java/weldhitch/decision/action/RequestZones.java
@@ -3,7 +3,7 @@
 import weldhitch.decision.event.ZonesAssigned;
 
 /**
- * Requests a {@link ZonesAssigned}, as the request has tried all endpoints of its allowed zones. Until one
- * arrives, the request waits and asks again.
+ * Asks for further zones because the request has tried all endpoints of its allowed zones. The request waits for the
+ * {@link ZonesAssigned} event, and the balancer repeats the action until the event arrives.
  */
 public record RequestZones(String requestId) implements BalancerAction {}
--- a/decision/src/main/java/weldhitch/decision/action/ScheduleTimer.java
+++ b/decision/src/main/java/weldhitch/decision/action/ScheduleTimer.java
@@ -2,5 +2,5 @@
 
 import weldhitch.decision.event.TimerFired;
 
-/** Schedules a {@link TimerFired} after this delay in nanoseconds. */
+/** Schedules a {@link TimerFired} event after {@code delay} nanoseconds. */
 public record ScheduleTimer(long delay, String token) implements BalancerAction {}
--- a/decision/src/main/java/weldhitch/decision/action/package-info.java
+++ b/decision/src/main/java/weldhitch/decision/action/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What the balancer asks its node to do: immutable records, returned in the order in which to carry them out.
+ * Actions that the balancer returns to its node: immutable records, in the order in which the node executes them.
  */
 package weldhitch.decision.action;
--- a/decision/src/main/java/weldhitch/decision/event/AttemptEnded.java
+++ b/decision/src/main/java/weldhitch/decision/event/AttemptEnded.java
@@ -3,8 +3,10 @@
 import weldhitch.decision.endpoint.AttemptOutcome;
 
 /**
- * An attempt has ended; {@code requestFinished}: the request has its final answer; {@code latency} in
- * nanoseconds.
+ * Reports that an attempt has ended.
+ *
+ * @param latency the attempt's latency in nanoseconds
+ * @param requestFinished whether the request has its final answer
  */
 public record AttemptEnded(
         String requestId,
--- a/decision/src/main/java/weldhitch/decision/event/ClientDisconnected.java
+++ b/decision/src/main/java/weldhitch/decision/event/ClientDisconnected.java
@@ -1,4 +1,4 @@
 package weldhitch.decision.event;
 
-/** The client disconnected, or its request ended for another reason. */
+/** Reports that the client disconnected, or that its request ended for another reason. */
 public record ClientDisconnected(String requestId) implements BalancerEvent {}
--- a/decision/src/main/java/weldhitch/decision/event/EndpointUpdateKind.java
+++ b/decision/src/main/java/weldhitch/decision/event/EndpointUpdateKind.java
@@ -1,8 +1,8 @@
 package weldhitch.decision.event;
 
 /**
- * What an endpoint update carries: changed entries, the full list, a cached list, or nothing as it was
- * rejected.
+ * The content of an endpoint update: changed entries, the full list, a cached list, or nothing because the
+ * subscription was rejected.
  */
 public enum EndpointUpdateKind {
     DELTA,
--- a/decision/src/main/java/weldhitch/decision/event/EndpointsChanged.java
+++ b/decision/src/main/java/weldhitch/decision/event/EndpointsChanged.java
@@ -3,5 +3,5 @@
 import java.util.List;
 import weldhitch.decision.endpoint.EndpointEntry;
 
-/** An update of the endpoint list. */
+/** Reports an update of the endpoint list. */
 public record EndpointsChanged(EndpointUpdateKind kind, List<EndpointEntry> entries) implements BalancerEvent {}
--- a/decision/src/main/java/weldhitch/decision/event/HealthCheckCompleted.java
+++ b/decision/src/main/java/weldhitch/decision/event/HealthCheckCompleted.java
@@ -2,6 +2,6 @@
 
 import weldhitch.decision.endpoint.AttemptOutcome;
 
-/** A health check was answered, or failed; {@code latency} in nanoseconds. */
+/** Reports that a health check was answered or failed; {@code latency} is in nanoseconds. */
 public record HealthCheckCompleted(String endpointId, AttemptOutcome outcome, long latency, double[] loadReport)
         implements BalancerEvent {}
--- a/decision/src/main/java/weldhitch/decision/event/RequestArrived.java
+++ b/decision/src/main/java/weldhitch/decision/event/RequestArrived.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * A request arrived.
+ * Reports that a request has arrived.
  *
- * @param deadline the time after which no answer counts
+ * @param deadline the time after which an answer no longer counts
  * @param cost a hint of the request's work in seconds, 0 for none
- * @param clientRetry whether the client marks it as a retry
- * @param method matched by routes; null for none
- * @param target matched by routes; null for none
- * @param allowedZones the zones whose endpoints may serve it; null for any, empty for none, so that it is rejected
+ * @param clientRetry whether the client marks the request as a retry
+ * @param method the method that routes match, null for none
+ * @param target the request target that routes match, null for none
+ * @param allowedZones the zones whose endpoints may serve the request; null for any zone; if empty, the request is
+ *     rejected
  */
 public record RequestArrived(
         String requestId,
@@ -27,7 +28,7 @@
         allowedZones = allowedZones == null ? null : List.copyOf(allowedZones);
     }
 
-    /** A request that any zone may serve. */
+    /** Creates a request that any zone may serve. */
     public RequestArrived(
             String requestId,
             String requestClass,
@@ -40,7 +41,7 @@
         this(requestId, requestClass, deadline, tenant, cost, clientRetry, method, target, null);
     }
 
-    /** A request that no route matches and any zone may serve. */
+    /** Creates a request that any zone may serve and that no route matches. */
     public RequestArrived(
             String requestId, String requestClass, long deadline, String tenant, double cost, boolean clientRetry) {
         this(requestId, requestClass, deadline, tenant, cost, clientRetry, null, null);
--- a/decision/src/main/java/weldhitch/decision/event/RoutesChanged.java
+++ b/decision/src/main/java/weldhitch/decision/event/RoutesChanged.java
@@ -4,12 +4,14 @@
 import weldhitch.decision.routing.RouteTable;
 
 /**
- * Requests that arrive from now on use these routes; null for none. Requests in flight keep their policies.
+ * Replaces the routes for requests that arrive from now on; in-flight requests keep their policies.
  *
- * @param prepared the state of the same routes, prepared ahead, or null; it changes nothing but the cost
+ * @param routes the new routes, null for none
+ * @param prepared state of the same routes that was prepared in advance, or null; it affects only the cost of the
+ *     change
  */
 public record RoutesChanged(RouteTable routes, PreparedRoutes prepared) implements BalancerEvent {
-    /** Routes without prepared state. */
+    /** Creates a change of routes without prepared state. */
     public RoutesChanged(RouteTable routes) {
         this(routes, null);
     }
--- a/decision/src/main/java/weldhitch/decision/event/TimerFired.java
+++ b/decision/src/main/java/weldhitch/decision/event/TimerFired.java
@@ -2,5 +2,5 @@
 
 import weldhitch.decision.action.ScheduleTimer;
 
-/** A timer that a {@link ScheduleTimer} scheduled has fired. */
+/** Reports that a timer that was scheduled by {@link ScheduleTimer} has fired. */
 public record TimerFired(String token) implements BalancerEvent {}
--- a/decision/src/main/java/weldhitch/decision/event/ZonesAssigned.java
+++ b/decision/src/main/java/weldhitch/decision/event/ZonesAssigned.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The request's further attempts go to endpoints of these zones; if empty, the request ends. */
+/** Assigns the zones whose endpoints serve further attempts of a request; if there are none, the request ends. */
 public record ZonesAssigned(String requestId, List<String> zones) implements BalancerEvent {
     public ZonesAssigned {
         zones = List.copyOf(zones);
--- a/decision/src/main/java/weldhitch/decision/event/package-info.java
+++ b/decision/src/main/java/weldhitch/decision/event/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What a balancer is told: immutable records, one for each kind of event. Times are nanoseconds of one monotonic clock.
+ * Events that the balancer handles: immutable records, one for each kind of event. Times are nanoseconds of one
+ * monotonic clock.
  */
 package weldhitch.decision.event;
--- a/decision/src/main/java/weldhitch/decision/package-info.java
+++ b/decision/src/main/java/weldhitch/decision/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of a balancer node: admission, endpoint choice, retries and hedging. It has no I/O, clock or
- * threads of its own; the same events and seed give the same actions.
+ * Decides for a balancer node on admission, endpoint choice, retries and hedging. The package performs no I/O, reads
+ * no clock and starts no threads: the same events and seed always produce the same actions.
  */
 package weldhitch.decision;
--- a/decision/src/main/java/weldhitch/decision/random/SeededRandom.java
+++ b/decision/src/main/java/weldhitch/decision/random/SeededRandom.java
@@ -4,20 +4,20 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 
 /**
- * A pseudorandom number generator whose state can be saved. SplitMix64 (Steele, Lea, Flood, "Fast splittable
- * pseudorandom number generators", 2014) yields the same numbers as {@link java.util.SplittableRandom} for the
- * same seed, bit for bit. Not thread-safe; each owner has its own.
+ * A pseudorandom number generator whose state can be saved. It uses SplitMix64 (Steele, Lea, Flood, "Fast splittable
+ * pseudorandom number generators", 2014), which yields the same numbers as {@link java.util.SplittableRandom} for the
+ * same seed, bit for bit. Not thread-safe; each owner has its own instance.
  */
 public final class SeededRandom {
     private final SplitMix64 source;
 
-    /** Creates a generator whose draws {@code seed} determines. */
+    /** Creates a generator whose numbers are determined by {@code seed}. */
     public SeededRandom(long seed) {
         source = new SplitMix64(seed);
     }
 
     /**
-     * Restores a generator.
+     * Restores a generator from a saved state.
      *
      * @throws IllegalArgumentException if the bytes are not a state of this generator
      */
@@ -27,7 +27,7 @@
             source.restoreState(new RandomProviderDefaultState(savedState));
         } catch (IllegalStateException e) {
             throw new IllegalArgumentException(
-                    "snapshot: random: " + savedState.length + " bytes that are no state of SplitMix64", e);
+                    "snapshot: random: found " + savedState.length + " bytes, expected a saved state of SplitMix64", e);
         }
     }
 
@@ -36,7 +36,7 @@
         return source.nextDouble();
     }
 
-    /** Returns the state, for the constructor that restores it. */
+    /** Returns the state, from which a generator can be restored. */
     public byte[] save() {
         return ((RandomProviderDefaultState) source.saveState()).getState();
     }
--- a/decision/src/main/java/weldhitch/decision/routing/PreparedRoutes.java
+++ b/decision/src/main/java/weldhitch/decision/routing/PreparedRoutes.java
@@ -1,7 +1,7 @@
 package weldhitch.decision.routing;
 
 /**
- * The state of routes, prepared on another thread ahead of their activation, so that the time a balancer needs
- * to activate them does not grow with their number. Opaque to all but the balancer.
+ * State of routes that is prepared on another thread before the routes are activated, so that the time a balancer needs
+ * for the activation does not grow with their number. Only the balancer accesses its content.
  */
 public interface PreparedRoutes {}
--- a/decision/src/main/java/weldhitch/decision/routing/RoutePattern.java
+++ b/decision/src/main/java/weldhitch/decision/routing/RoutePattern.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 
 /**
- * What a route matches: a request class, a method and a path, each of them optional. A path is a template
- * ({@code /book/{id}/cancel}, where braces stand for any one segment) or a prefix of complete segments.
- * Immutable.
+ * Describes the requests that a route matches by request class, method and path, each of them optional. A path is a
+ * template, for example {@code /book/{id}/cancel}, where braces stand for any one segment, or a prefix of complete
+ * segments. Immutable.
  *
  * @param requestClass the class's name, or null for any
  * @param method the method's name, or null for any
- * @param segments the path's segments, null standing for any one; empty for {@code /}
- * @param prefix whether more segments may follow
+ * @param segments the path's segments, null for a wildcard segment; empty for {@code /}
+ * @param prefix whether further segments may follow
  */
 public record RoutePattern(String requestClass, String method, List<String> segments, boolean prefix) {
     /** Matches every request. */
@@ -21,7 +21,7 @@
         segments = java.util.Collections.unmodifiableList(new java.util.ArrayList<>(segments));
     }
 
-    /** Whether there is a request that matches both patterns. */
+    /** Returns whether there is a request that matches both patterns. */
     public boolean overlaps(RoutePattern other) {
         if (!compatible(requestClass, other.requestClass) || !compatible(method, other.method)) {
             return false;
@@ -36,12 +36,12 @@
                 || (segments.size() < other.segments.size() ? prefix : other.prefix);
     }
 
-    /** Whether both have the same path, whatever the names of their wildcard segments. */
+    /** Returns whether both patterns have the same path, regardless of the names of their wildcard segments. */
     public boolean samePath(RoutePattern other) {
         return prefix == other.prefix && segments.equals(other.segments);
     }
 
-    /** Whether this pattern has every constraint on class and method that the other one has. */
+    /** Returns whether this pattern has every constraint on class and method that the other one has. */
     public boolean constrainsAllOf(RoutePattern other) {
         return (other.requestClass == null || Objects.equals(requestClass, other.requestClass))
                 && (other.method == null || Objects.equals(method, other.method));
--- a/decision/src/main/java/weldhitch/decision/routing/RouteTable.java
+++ b/decision/src/main/java/weldhitch/decision/routing/RouteTable.java
@@ -7,10 +7,11 @@
 import java.util.Set;
 
 /**
- * Finds the route of a request. Paths are compared segment by segment from the left: a literal segment takes
- * precedence over a wildcard, and that over the end of a prefix. Among routes with the same path the higher
- * precedence wins, then the one that specifies method and class, then method, then class. The path is used as
- * it stands in the request line up to its query, without decoding.
+ * Finds the route of a request. Paths are compared segment by segment from the left: a literal segment takes precedence
+ * over a wildcard, and a wildcard over a prefix that ends before the segment. Among routes with the same path, the one
+ * with the highest precedence wins. If that is equal, a route that specifies method and class wins over one that
+ * specifies the method only, and that over one that specifies the class only. The path is compared as it appears in the
+ * request line up to its query, without decoding.
  *
  * <p>Immutable and thread-safe. A lookup walks a tree of segments, visits each node at most once and allocates
  * nothing.
@@ -19,8 +20,8 @@
     /**
      * One route.
      *
-     * @param name unique; the part before {@code @} is the group, whose members share retry budgets, quotas
-     * and latencies     where their policies are the same
+     * @param name the unique name; the part before {@code @} is the group, whose members share retry budgets, quotas
+     *     and latencies where their policies are the same
      * @param precedence decides between routes with the same path: the higher one wins
      */
     public record Route(String name, int precedence, RoutePattern pattern, RoutePolicy policy) {
@@ -51,14 +52,15 @@
         root.sort();
     }
 
-    /** Returns all routes in their given order. */
+    /** Returns all routes in the order in which they were given. */
     public List<Route> routes() {
         return routes;
     }
 
     /**
-     * Returns the most specific route that matches, or null. {@code target} is the request target; its query is
-     * ignored.
+     * Returns the most specific route that matches, or null.
+     *
+     * @param target the request target; its query is ignored
      */
     public Route match(String requestClass, String method, String target) {
         int end = target.indexOf('?');
@@ -114,13 +116,14 @@
             for (Route route : routes) {
                 RoutePattern pattern = route.pattern();
                 if (!seen.add(route.precedence() + " " + pattern.method() + " " + pattern.requestClass())) {
-                    throw new IllegalArgumentException("two routes match alike: " + route.name());
+                    throw new IllegalArgumentException(
+                            "another route matches the same requests with the same precedence: " + route.name());
                 }
             }
         }
 
         /**
-         * Returns the best route below this node for the path from index {@code start}, which follows a slash.
+         * Returns the best route at or below this node for the path from index {@code start}, which follows a slash.
          */
         Route match(String requestClass, String method, String target, int start, int end) {
             Route match = null;
@@ -128,7 +131,7 @@
                 int stop = target.indexOf('/', start);
                 stop = stop < 0 || stop > end ? end : stop;
                 int next = stop < end ? stop + 1 : end;
-                PathNode literal = literalChildren(target, start, stop);
+                PathNode literal = findLiteralChild(target, start, stop);
                 match = literal == null ? null : literal.match(requestClass, method, target, next, end);
                 if (match == null && wildcardChild != null && stop > start) {
                     match = wildcardChild.match(requestClass, method, target, next, end);
@@ -139,7 +142,7 @@
             return match != null ? match : firstMatching(prefixRoutes, requestClass, method);
         }
 
-        private PathNode literalChildren(String target, int start, int stop) {
+        private PathNode findLiteralChild(String target, int start, int stop) {
             int low = 0;
             int high = literalChildren.size() - 1;
             while (low <= high) {
--- a/decision/src/main/java/weldhitch/decision/settings/BalancerSettings.java
+++ b/decision/src/main/java/weldhitch/decision/settings/BalancerSettings.java
@@ -6,7 +6,7 @@
 /**
  * The settings of one balancer node.
  *
- * @param tier the node's tier, 0 for the first, which alone limits admission
+ * @param tier the node's tier; only nodes of the first tier, 0, limit admission
  * @param nodeIndex the node's index among all nodes, from 0
  * @param nodeCount the number of nodes, this one included
  * @param overQuotaWeight the factor on the priority weight of a tenant's requests above its quota
@@ -15,7 +15,7 @@
  * @param weightKind what endpoint weights mean
  * @param loadReportFields the fields of a load report
  * @param crossZoneCost the cost of a call to another zone
- * @param clockResolution the clock resolution: the shortest time between the clocks of two events
+ * @param clockResolution the clock resolution in nanoseconds: the smallest difference between the times of two events
  */
 public record BalancerSettings(
         String zone,
@@ -46,7 +46,7 @@
                 zones.size() < 2 || (zone != null && !zone.isEmpty()),
                 "zone",
                 zone,
-                "the zone of this node, as there are several");
+                "the zone of this node, because there are several zones");
         SettingRange.require(tier >= 0, "tier", tier, "0 or more");
         SettingRange.require(nodeCount >= 1, "siblings", nodeCount, "1 or more");
         SettingRange.require(nodeIndex >= 0, "self", nodeIndex, "0 or more");
--- a/decision/src/main/java/weldhitch/decision/settings/DeduplicationScope.java
+++ b/decision/src/main/java/weldhitch/decision/settings/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package weldhitch.decision.settings;
 
-/** The endpoints that discard each other's repeats of a request with an idempotency key. */
+/** The set of endpoints that discard each other's repeats of a request with an idempotency key. */
 public enum DeduplicationScope {
     ALL,
     ZONE,
--- a/decision/src/main/java/weldhitch/decision/settings/FlatSettingsParser.java
+++ b/decision/src/main/java/weldhitch/decision/settings/FlatSettingsParser.java
@@ -6,9 +6,9 @@
 import java.util.TreeSet;
 
 /**
- * Parses balancer settings from flat paths such as {@code limits.maxAttempts}: the form of the simulator's
- * wire protocol, to which a node's configuration is flattened as well, so that both are interpreted alike.
- * Unknown paths are ignored. Immutable; used by the node's configuration and the simulator adapter.
+ * Parses balancer settings from flat paths such as {@code limits.maxAttempts}. The simulator's wire protocol has this
+ * form, and a node's configuration is flattened to it, so that both are interpreted in the same way. Unknown paths are
+ * ignored. Immutable; used by the node's configuration and the simulator adapter.
  */
 public final class FlatSettingsParser {
     private static final Map<String, Idempotency> IDEMPOTENCY_BY_NAME = Map.of(
@@ -45,12 +45,12 @@
 
     private final Map<String, String> valuesByPath;
 
-    /** Creates a parser of these values by path. */
+    /** Creates a parser for values by path. */
     public FlatSettingsParser(Map<String, String> valuesByPath) {
         this.valuesByPath = Map.copyOf(valuesByPath);
     }
 
-    /** Thrown if a setting cannot be parsed; values out of range are rejected by the settings records. */
+    /** Thrown if a setting cannot be parsed. Values out of range are rejected by the settings records instead. */
     public static final class MalformedSettingException extends IllegalArgumentException {
         private static final long serialVersionUID = 1L;
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Returns the balancer's settings; those that are not given have their defaults. */
+    /** Returns the balancer's settings; a setting that is not given has its default. */
     public BalancerSettings settings() {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count("classes"); i++) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Returns in nanoseconds a duration that is given in seconds; 0 if it is not given. */
+    /** Returns, in nanoseconds, a duration that is given in seconds; 0 if it is not given. */
     public long durationNanos(String path) {
         return Math.round(number(path, 0) * 1e9);
     }
--- a/decision/src/main/java/weldhitch/decision/settings/Idempotency.java
+++ b/decision/src/main/java/weldhitch/decision/settings/Idempotency.java
@@ -4,7 +4,7 @@
 public enum Idempotency {
     /** Idempotent: may be executed any number of times. */
     IDEMPOTENT,
-    /** Carries an idempotency key: the endpoints of one deduplication scope discard repeats for a while. */
+    /** Has an idempotency key: the endpoints of one deduplication scope discard repeats during a limited time. */
     IDEMPOTENCY_KEY,
     /** Not idempotent: must not be executed twice. */
     NON_IDEMPOTENT
--- a/decision/src/main/java/weldhitch/decision/settings/PlatformLimits.java
+++ b/decision/src/main/java/weldhitch/decision/settings/PlatformLimits.java
@@ -1,15 +1,15 @@
 package weldhitch.decision.settings;
 
 /**
- * What the platform permits.
+ * The limits that the platform sets.
  *
- * @param maxAttempts attempts of a request, the first included
+ * @param maxAttempts the maximum number of attempts of a request, the first included
  * @param hedgingAllowed whether hedged requests are allowed
  * @param cancellationAllowed whether attempts may be cancelled
  * @param healthChecksAllowed whether health checks are allowed
  * @param retryAfterAllowed whether rejections may carry Retry-After advice
- * @param maxRetryAfter the longest such advice in nanoseconds
- * @param connectTimeout nanoseconds
+ * @param maxRetryAfter the longest Retry-After advice in nanoseconds
+ * @param connectTimeout the connect timeout in nanoseconds
  */
 public record PlatformLimits(
         int maxAttempts,
--- a/decision/src/main/java/weldhitch/decision/settings/PlatformRules.java
+++ b/decision/src/main/java/weldhitch/decision/settings/PlatformRules.java
@@ -1,14 +1,14 @@
 package weldhitch.decision.settings;
 
 /**
- * Thresholds of the platform's rules for slow start, draining and discovery; durations in nanoseconds.
+ * Thresholds of the platform's rules for slow start, draining and discovery. Durations are in nanoseconds.
  *
- * @param initialCapacity the share of its capacity that an endpoint has when it starts, 0 to 1
- * @param slowStartWindow the slow-start window after an endpoint's start
+ * @param initialCapacity the fraction of its capacity that an endpoint has when it starts, 0 to 1
+ * @param slowStartWindow the duration of slow start after an endpoint's start
  * @param overloadMultiple the multiple of its present capacity at which an endpoint in slow start is overloaded
  * @param overloadWindow the window over which that load is counted
- * @param drainGracePeriod how long after an endpoint began to drain it may still be sent requests
- * @param answerGracePeriod how long after its deadline a request may still be answered by the node
+ * @param drainGracePeriod how long requests may still be sent to an endpoint after it began to drain
+ * @param answerGracePeriod how long the node may still answer a request after its deadline
  * @param maxPollInterval the longest time between two discovery polls
  */
 public record PlatformRules(
--- a/decision/src/main/java/weldhitch/decision/settings/RequestClass.java
+++ b/decision/src/main/java/weldhitch/decision/settings/RequestClass.java
@@ -8,10 +8,10 @@
  * @param deduplicationScope the deduplication scope of requests with an idempotency key
  * @param deduplicationWindow the deduplication window in nanoseconds
  * @param latencyObjective the latency objective in nanoseconds; 0 for none
- * @param objectivePerWork by which multiple of a request's own work its objective grows
+ * @param objectivePerWork the multiple of a request's own work by which its latency objective grows
  * @param deadline the longest time from a request's arrival to its deadline in nanoseconds; 0 if not stated
  * @param priorityWeight the priority weight of a request
- * @param lateWeight the weight of an answer after the objective
+ * @param lateWeight the weight of an answer that arrives after the latency objective
  * @param streamed whether answers are streamed
  */
 public record RequestClass(
--- a/decision/src/main/java/weldhitch/decision/settings/SettingRange.java
+++ b/decision/src/main/java/weldhitch/decision/settings/SettingRange.java
@@ -7,10 +7,10 @@
     /**
      * Rejects a setting that is out of range.
      *
-     * @param valid whether it is in range
-     * @param setting its name in configuration files
-     * @throws IllegalArgumentException if it is out of range; names the setting, the actual and the expected
-     * value
+     * @param valid whether the setting is in range
+     * @param setting the setting's name in configuration files
+     * @throws IllegalArgumentException if the setting is out of range; the message names the setting, its actual value
+     *     and the expected one
      */
     static void require(boolean valid, String setting, Object actual, String expected) {
         if (!valid) {
--- a/decision/src/main/java/weldhitch/decision/settings/WeightKind.java
+++ b/decision/src/main/java/weldhitch/decision/settings/WeightKind.java
@@ -1,6 +1,6 @@
 package weldhitch.decision.settings;
 
-/** What an endpoint's weight in the endpoint list means. */
+/** The meaning of an endpoint's weight in the endpoint list. */
 public enum WeightKind {
     NONE,
     NOMINAL,
--- a/decision/src/main/java/weldhitch/decision/settings/package-info.java
+++ b/decision/src/main/java/weldhitch/decision/settings/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The settings that a balancer starts with, and their reading from flat key-value pairs. Immutable.
+ * The settings that a balancer starts with, and their parser for flat key-value pairs. Immutable.
  */
 package weldhitch.decision.settings;
