--- a/decision/src/main/java/weldhitch/decision/connection/package-info.java
+++ b/decision/src/main/java/weldhitch/decision/connection/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions on single upstream connections: whether an attempt may still start, and whether an idle connection
- * may be reused.
+ * Decisions on single connections: whether an attempt may still start, whether an idle upstream connection may be
+ * reused, and when input on a downstream connection arrived.
  */
 package weldhitch.decision.connection;
--- a/decision/src/main/java/weldhitch/decision/discovery/DiscoveryPolling.java
+++ b/decision/src/main/java/weldhitch/decision/discovery/DiscoveryPolling.java
@@ -3,15 +3,14 @@
 import weldhitch.decision.random.SeededRandom;
 
 /**
- * Schedules a node's polls of discovery: when to poll, how long a watch (long poll) may wait, how long to wait
- * for an answer, and when to request the full list after invalid answers. All nodes lose their watches, or
- * learn of another discovery service, at the same moment, so the polls that follow are jittered over a time
- * that grows with the number of nodes. An agent on the node's own machine can be polled at any rate; for a
- * service that all nodes share, their total rate is limited. Used by the node's discovery client. Times are
- * nanoseconds. Not thread-safe.
+ * Schedules a node's polls of the discovery service: when to poll, how long a watch (long poll) may wait, how long to
+ * wait for an answer, and when to request the full list after invalid answers. All nodes may lose their watches, or
+ * switch to another discovery service, at the same moment, so the polls that follow are jittered over a time that grows
+ * with the number of nodes. An agent on the node's own machine can be polled at any rate; for a service that all nodes
+ * share, the total rate is limited. Used by the node's discovery client. Times are in nanoseconds. Not thread-safe.
  */
 public final class DiscoveryPolling {
-    /** Why a poll failed. */
+    /** The reason why a poll failed. */
     public enum PollFailure {
         /** No answer arrived in time; the connection is not used again. */
         TIMED_OUT,
@@ -21,28 +20,29 @@
         REJECTED,
         /** The answer is not an endpoint list. */
         MALFORMED,
-        /** The answer is older than the node's list, or a delta to a different one. */
+        /** The answer is older than the node's list, or a delta to a different list. */
         STALE
     }
 
     private static final long MILLI = 1_000_000L;
     /**
-     * Polls are repeated within a second of a failure, or the node would learn of draining endpoints too late.
+     * Longest backoff when polling an agent: polls are repeated within a second of a failure, because the node would
+     * otherwise learn of draining endpoints too late.
      */
     private static final long MAX_BACKOFF = 1000 * MILLI;
-    /** What each node adds to the time over which the nodes' polls are spread. */
+    /** The time that each node adds to the time over which the nodes' polls are spread. */
     private static final long BACKOFF_PER_NODE = 50 * MILLI;
 
     private static final long MIN_RESPONSE_TIMEOUT = 500 * MILLI;
     private static final long MAX_RESPONSE_TIMEOUT = 2500 * MILLI;
-    /** Invalid answers in a row after which the full list is requested. */
+    /** Number of consecutive invalid answers after which the full list is requested. */
     private static final int INVALID_ANSWERS_BEFORE_FULL_LIST = 2;
 
     private static final long MIN_WATCH = 2000 * MILLI;
 
-    // Agent mode. A change counts as delivered 6 s after discovery had it and was reachable, whatever failed
-    // meanwhile. These values fit a watch that timed out, a hanging connect or a second lost poll, and the
-    // backoffs between, into that.
+    // Agent mode. An update counts as delivered 6 s after discovery had it and was reachable, whatever failed in the
+    // meantime. With these values a watch that timed out, a hanging connect or a second lost poll, and the backoffs
+    // between them, fit into that time.
     /**
      * Longest duration of a watch including its response timeout: the longer the timeout, the shorter the
      * requested wait.
@@ -52,62 +52,64 @@
     private static final long AGENT_MIN_WATCH = 1000 * MILLI;
     /** Response timeout of the poll after a failed watch; that poll itself requests no wait. */
     private static final long AGENT_TIMEOUT_AFTER_FAILED_WATCH = 1500 * MILLI;
-    /** Backoff after a timeout: time was lost already, and an agent has only this one client. */
+    /** Backoff after a timeout. It is short because time was already lost and an agent has only this one client. */
     private static final long AGENT_BACKOFF_AFTER_TIMEOUT = 250 * MILLI;
-    /** The agent is on the node's own machine: a connect that takes longer has failed. */
+    /** Connect timeout. The agent is on the node's own machine, so a connect that takes longer has failed. */
     private static final long AGENT_CONNECT_TIMEOUT = 500 * MILLI;
 
     private static final long SHARED_CONNECT_TIMEOUT = 1000 * MILLI;
 
     // Shared-service mode.
-    /** One node's slot: all nodes together repeat polls at 40 calls per second. */
+    /** The poll slot of one node: all nodes together repeat polls at 40 calls per second. */
     private static final long POLL_SLOT = 25 * MILLI;
-    /** Doublings of the slot while the service is unreachable: down to 10 calls per second. */
+    /** Maximum doublings of the poll slot while the service is unreachable: down to 10 calls per second. */
     private static final int MAX_UNREACHABLE_DOUBLINGS = 2;
-    /** Doublings while the service is overloaded: down to 2.5 calls per second. */
+    /** Maximum doublings of the poll slot while the service is overloaded: down to 2.5 calls per second. */
     private static final int MAX_OVERLOAD_DOUBLINGS = 4;
     /**
-     * What each node adds to the duration of a watch: without updates, all nodes together poll 50 times per
+     * The time that each node adds to the duration of a watch: without updates, all nodes together poll 50 times per
      * second.
      */
     private static final long WATCH_PER_NODE = 20 * MILLI;
 
     private static final long MAX_WATCH = 10_000 * MILLI;
     /**
-     * With a connect it stays below the 10 s within which all nodes must have a list once the service is back.
+     * The longest time over which the nodes' polls of an unreachable service are spread. With a connect it stays below
+     * the 10 s within which all nodes must have a list once the service is reachable again.
      */
     private static final long MAX_SPREAD = 5000 * MILLI;
 
     private static final long MAX_OVERLOAD_SPREAD = 16_000 * MILLI;
     /**
-     * Response timeout of a poll that requests no wait. With the backoff after it, a change is received within
-     * the six seconds after which it counts as delivered, however the previous poll ended.
+     * Response timeout of a poll that requests no wait. With the backoff after it, an update is received within the 6 s
+     * after which it counts as delivered, however the previous poll ended.
      */
     private static final long SHARED_POLL_TIMEOUT = 3500 * MILLI;
     /**
-     * Response timeout beyond a watch's wait: what a lost watch misses counts as delivered 2 s after that wait.
+     * Response timeout after a watch's wait. An update that a lost watch misses counts as delivered 2 s after that
+     * wait.
      */
     private static final long SHARED_WATCH_TIMEOUT = 1500 * MILLI;
-    /** Longest backoff of a node that has a list: with a hanging connect it stays within the six seconds. */
+    /** Longest backoff of a node that has a list: with a hanging connect it stays within the 6 s of an update. */
     private static final long MAX_BACKOFF_WITH_LIST = 4000 * MILLI;
 
     private static final long MAX_BACKOFF_AFTER_TIMEOUT = 2000 * MILLI;
     /**
-     * Short, as watches begin at different moments, so that nodes whose watches are lost time out at different
-     * ones.
+     * Longest backoff after a watch that timed out. It is short because watches begin at different moments, so nodes
+     * whose watches are lost time out at different moments too.
      */
     private static final long BACKOFF_AFTER_WATCH_TIMEOUT = 250 * MILLI;
     /**
-     * Response timeout before the first answer. A node without any answer loses nothing by waiting, while an
-     * abandoned poll is work that the service does in vain and repeats, which sustains an overload after its
-     * cause has ended.
+     * Response timeout before the first answer. A node without any answer loses nothing by waiting, whereas the service
+     * does the work of an abandoned poll in vain and has to repeat it, which sustains an overload after its cause has
+     * ended.
      */
     private static final long SHARED_FIRST_RESPONSE_TIMEOUT = 10_000 * MILLI;
-    /** Half of the 200 ms within which the next poll must continue a watch. */
+    /** Longest pause between polls: half of the 200 ms within which the next poll must continue a watch. */
     private static final long MAX_PAUSE = 100 * MILLI;
 
     private static final long PAUSE_PER_NODE = MILLI;
-    /** Successful answers in a row after which the service is assumed to bear twice the load again. */
+    /** Number of consecutive successful answers after which the service is assumed to sustain twice the load again. */
     private static final int SUCCESSES_TO_HALVE_LOAD = 4;
 
     private final SeededRandom random;
@@ -121,8 +123,8 @@
     /** Why the last poll failed; null if it succeeded. */
     private PollFailure lastFailure;
     /**
-     * Doublings of all backoffs: one for each sign of an overloaded service, less those that successes took
-     * back.
+     * Number of doublings of all backoffs: each sign of an overloaded service adds one, and successes remove them
+     * again.
      */
     private int overloadDoublings;
 
@@ -131,19 +133,19 @@
     private boolean hasAnswered;
 
     /**
-     * Polls an agent on the node's own machine, which answers at once and at no cost.
+     * Creates the schedule for an agent on the node's own machine, which answers at once and at no cost.
      *
-     * @param nodeCount number of nodes that poll like this one, 1 or more
+     * @param nodeCount the number of nodes that poll in the same way, 1 or more
      */
     public DiscoveryPolling(long seed, int nodeCount) {
         this(seed, nodeCount, false, 0);
     }
 
     /**
-     * Polls one service that all nodes share.
+     * Creates the schedule for one service that all nodes share.
      *
-     * @param nodeCount number of nodes that poll the same service, 1 or more
-     * @param maxPollInterval the longest interval between polls before updates count as delivered; 0 if unknown
+     * @param nodeCount the number of nodes that poll the service, 1 or more
+     * @param maxPollInterval the longest interval between two polls before updates count as delivered; 0 if unknown
      */
     public static DiscoveryPolling ofSharedService(long seed, int nodeCount, long maxPollInterval) {
         return new DiscoveryPolling(seed, nodeCount, true, maxPollInterval);
@@ -158,8 +160,8 @@
     }
 
     /**
-     * Returns how long a watch requests to wait for an update: 2 to 10 s of a shared service, 2 s until it has
-     * answered once; 1 to 2 s of an agent.
+     * Returns how long a watch requests to wait for an update. For a shared service that is 2 to 10 s, but 2 s until it
+     * has answered once; for an agent it is 1 to 2 s.
      */
     public long watchDuration() {
         if (!shared) {
@@ -171,8 +173,8 @@
     }
 
     /**
-     * Returns the wait that the next poll requests: that of a watch, but 0 of an agent after a failure and of
-     * a shared service after a timeout, so that a missed update arrives at once.
+     * Returns the wait that the next poll requests. It is that of a watch, but 0 for an agent after a failure and for a
+     * shared service after a timeout, so that a missed update arrives at once.
      */
     public long requestedWait() {
         return consecutiveFailures > 0 && (!shared || lastFailure == PollFailure.TIMED_OUT && hasAnswered)
@@ -186,55 +188,56 @@
     }
 
     /**
-     * Returns the pause between an answer and the poll that continues the watch: 0 to 100 ms; 0 for an agent.
+     * Returns the pause between an answer and the poll that continues the watch: 0 to 100 ms for a shared service, 0
+     * for an agent.
      */
     public long pauseBetweenPolls() {
         return shared ? (long) (random.nextDouble() * Math.min(MAX_PAUSE, nodeCount * PAUSE_PER_NODE)) : 0;
     }
 
-    /** Returns the response timeout, which runs after the wait that a poll requested. */
+    /** Returns the response timeout, which starts after the wait that a poll requested. */
     public long responseTimeout() {
         if (!shared) {
-            // From the second failure on no watch preceded the poll, so a slow agent gets the full timeout
-            // again.
+            // From the second consecutive failure on, the failed poll was no watch, so a slow agent gets the full
+            // timeout again.
             return consecutiveFailures == 1
                     ? Math.min(responseTimeout, AGENT_TIMEOUT_AFTER_FAILED_WATCH)
                     : responseTimeout;
         }
-        // A shared service may be slow for all nodes, and an abandoned poll adds one more: use all the time
-        // available.
+        // A shared service may be slow for all nodes, and an abandoned poll adds to its load, so all of the available
+        // time is used.
         return !hasAnswered
                 ? SHARED_FIRST_RESPONSE_TIMEOUT
                 : requestedWait() > 0 ? SHARED_WATCH_TIMEOUT : SHARED_POLL_TIMEOUT;
     }
 
-    /** Whether the next poll must request the full list. */
+    /** Returns whether the next poll must request the full list. */
     public boolean needsFullList() {
         return invalidAnswers >= INVALID_ANSWERS_BEFORE_FULL_LIST;
     }
 
-    /** Returns the number of failed polls in a row. */
+    /** Returns the number of consecutive failed polls. */
     public int consecutiveFailures() {
         return consecutiveFailures;
     }
 
-    /** Whether the service has recently shown signs of overload. */
+    /** Returns whether the service has recently shown signs of overload. */
     public boolean overloaded() {
         return overloadDoublings > 0;
     }
 
     /**
-     * A poll failed. Returns the random backoff before the next: 0 to 1 s for an agent; for a shared service
-     * up to 4 s, or 16 s if the node has no list or the poll was rejected.
+     * Records a failed poll. Returns the random backoff before the next poll: 0 to 1 s for an agent; up to 4 s for a
+     * shared service, or up to 16 s if the node has no list or the poll was rejected.
      */
     public long recordFailure(PollFailure failure) {
         return recordFailure(failure, 0);
     }
 
     /**
-     * A poll failed.
+     * Records a failed poll.
      *
-     * @param retryAfter discovery's Retry-After advice, 0 for none; respected only of a shared service
+     * @param retryAfter the Retry-After advice of discovery, 0 for none; an agent's advice is ignored
      * @return the backoff before the next poll
      */
     public long recordFailure(PollFailure failure, long retryAfter) {
@@ -255,8 +258,8 @@
         int doublings = Math.min(5, consecutiveFailures - 1) + (failure == PollFailure.REJECTED ? 1 : 0);
         long jitterRange = Math.min(MAX_BACKOFF, backoffBase << doublings);
         if (shared) {
-            // A few nodes poll at the rate for an agent; many are limited to the total rate that the service
-            // bears.
+            // A small number of nodes polls at the rate for an agent; a large number is limited to the total rate that
+            // the service sustains.
             jitterRange = Math.max(
                     Math.min(MAX_BACKOFF, BACKOFF_PER_NODE << doublings),
                     pollCycle(
@@ -265,12 +268,12 @@
         if (!shared && failure == PollFailure.TIMED_OUT) {
             jitterRange = Math.min(jitterRange, AGENT_BACKOFF_AFTER_TIMEOUT);
         }
-        // An agent serves one node only, so there is no load to reduce, and endpoints may start to drain
-        // meanwhile.
+        // An agent serves one node only, so there is no load to reduce, and endpoints may start to drain in the
+        // meantime.
         long minBackoff = shared ? Math.min(MAX_OVERLOAD_SPREAD, Math.max(0, retryAfter)) : 0;
         if (shared && hasAnswered && failure != PollFailure.REJECTED) {
-            // A node with a list needs updates on draining endpoints in time; only a rejected poll backs off
-            // longer.
+            // A node with a list must learn of draining endpoints in time, so it backs off for longer only after a
+            // rejected poll.
             jitterRange = Math.min(
                     jitterRange,
                     wasWatch && failure == PollFailure.TIMED_OUT ? BACKOFF_AFTER_WATCH_TIMEOUT : maxBackoff());
@@ -278,7 +281,7 @@
         return minBackoff + (long) (random.nextDouble() * jitterRange);
     }
 
-    /** Returns the longest delay of the next poll after a failure, including by discovery's advice. */
+    /** Returns the longest possible delay of the next poll after a failure, Retry-After advice included. */
     public long maxBackoff() {
         if (!shared || !hasAnswered || lastFailure == PollFailure.REJECTED) {
             return MAX_OVERLOAD_SPREAD;
@@ -286,7 +289,7 @@
         return lastFailure == PollFailure.TIMED_OUT ? MAX_BACKOFF_AFTER_TIMEOUT : MAX_BACKOFF_WITH_LIST;
     }
 
-    /** Returns the time in which each node has had one slot. */
+    /** Returns the time in which each node has one poll slot. */
     private long pollCycle(int doublings) {
         return Math.min(
                 doublings > MAX_UNREACHABLE_DOUBLINGS ? MAX_OVERLOAD_SPREAD : maxSpread,
@@ -294,9 +297,9 @@
     }
 
     /**
-     * A poll brought a list.
+     * Records that a poll returned a list.
      *
-     * @param lateness how long after the end of the requested wait it arrived; below 0 if before
+     * @param lateness how long after the end of the requested wait the answer arrived; negative if before the end
      */
     public void recordSuccess(long lateness) {
         consecutiveFailures = 0;
@@ -312,7 +315,8 @@
     }
 
     /**
-     * The node changes to another discovery service, about which nothing is known, and so do all nodes at once.
+     * Resets the schedule because the node changes to another discovery service, of which nothing is known. All nodes
+     * change at the same time.
      *
      * @return the random delay of the first poll: 0 to 2 s; 0 for an agent
      */
--- a/decision/src/main/java/weldhitch/decision/discovery/EndpointListStaleness.java
+++ b/decision/src/main/java/weldhitch/decision/discovery/EndpointListStaleness.java
@@ -1,9 +1,9 @@
 package weldhitch.decision.discovery;
 
 /**
- * Tracks how stale the endpoint list is and when to warn: first 3 s after discovery last confirmed it, then
- * each time its age has doubled, later every five minutes. Used by the node's discovery client. Times are
- * nanoseconds of one clock. Not thread-safe.
+ * Tracks how stale the endpoint list is and when to warn: first 3 s after discovery last confirmed it, then each time
+ * its age has doubled, and later every five minutes. Used by the node's discovery client. Times are nanoseconds of one
+ * clock. Not thread-safe.
  */
 public final class EndpointListStaleness {
     private static final long SECOND = 1_000_000_000L;
@@ -15,15 +15,15 @@
     private long nextWarningAge = FIRST_WARNING_AGE;
 
     /**
-     * Starts with a list of unknown age.
+     * Creates a tracker for a list of unknown age.
      *
-     * @param startedAt when the node started
+     * @param startedAt the time at which the node started
      */
     public EndpointListStaleness(long startedAt) {
         confirmedAt = startedAt;
     }
 
-    /** Discovery confirmed the list in force, or sent a newer one. */
+    /** Records that discovery confirmed the current list or sent a newer one. */
     public void confirm(long now) {
         confirmedAt = now;
         everConfirmed = true;
@@ -38,7 +38,7 @@
         return Math.max(0, now - confirmedAt);
     }
 
-    /** Whether discovery has ever confirmed the list. */
+    /** Returns whether discovery has ever confirmed the list. */
     public boolean everConfirmed() {
         return everConfirmed;
     }
@@ -53,8 +53,8 @@
         long seconds = age / SECOND;
         return everConfirmed
                 ? "serving by a list that discovery last confirmed " + seconds
-                        + " s ago; look whether it runs and can be reached"
-                : "serving by the list of the configuration, not heard of discovery in the " + seconds
-                        + " s since the start; look at GW_DISCOVERY and whether it runs";
+                        + " s ago; check that discovery is running and reachable"
+                : "serving by the list of the configuration, no answer from discovery in the " + seconds
+                        + " s since the start; check GW_DISCOVERY and that discovery is running and reachable";
     }
 }
--- a/decision/src/main/java/weldhitch/decision/lifecycle/ProcessLifecycle.java
+++ b/decision/src/main/java/weldhitch/decision/lifecycle/ProcessLifecycle.java
@@ -1,24 +1,25 @@
 package weldhitch.decision.lifecycle;
 
 /**
- * The state machine of a node process: it decides what to do at each signal, whenever it arrives. The process
- * starts, serves, drains and exits, and reloads its configuration in between, one reload at a time. Used by
- * the node's service; not thread-safe, without I/O or clock.
+ * The state machine of a node process, which decides what to do at each signal, whenever the signal arrives. The
+ * process starts, serves, drains and exits; in between it reloads its configuration, one reload at a time. Used by the
+ * node's service. Not thread-safe; performs no I/O and reads no clock.
  *
  * <table>
  * <caption>Effect of a signal by state</caption>
  * <tr><th></th><th>SIGHUP</th><th>SIGTERM</th></tr>
- * <tr><td>before listening</td><td>a reload, once it listens</td><td>exit, as it has accepted nothing; it never
- * listens</td></tr>
+ * <tr><td>before listening</td><td>a reload, once the listener is open</td><td>exit, as no connection has been
+ * accepted; the listener is never opened</td></tr>
  * <tr><td>serving</td><td>a reload</td><td>drain</td></tr>
- * <tr><td>reloading</td><td>one more reload afterwards, however many signals: it reads the newest
+ * <tr><td>reloading</td><td>one more reload afterwards, however many signals arrive, as it reads the newest
  * files</td><td>drain at once, as a reload may wait for a slow disk</td></tr>
- * <tr><td>draining</td><td>a reload: what is still served uses the newest list</td><td>nothing</td></tr>
- * <tr><td>terminated</td><td>nothing</td><td>nothing</td></tr>
+ * <tr><td>draining</td><td>a reload, so that the remaining requests use the newest endpoint list</td><td>no
+ * effect</td></tr>
+ * <tr><td>terminated</td><td>no effect</td><td>no effect</td></tr>
  * </table>
  */
 public final class ProcessLifecycle {
-    /** What the caller has to do now. */
+    /** The action that the caller must take now. */
     public enum LifecycleAction {
         NONE,
         RELOAD,
@@ -32,30 +33,30 @@
     private boolean reloading;
     private boolean reloadPending;
 
-    /** Called right before the listener opens; returns whether it may. */
+    /** Records that the listener is about to open; returns whether it may. */
     public boolean tryOpenListener() {
         listenerOpen = !terminationRequested;
         return listenerOpen;
     }
 
-    /** The listener is open; returns a reload if one was requested before. */
+    /** Records that the listener is open; returns a reload if one was requested before. */
     public LifecycleAction onListening() {
         return nextAction();
     }
 
-    /** SIGHUP was received. */
+    /** Handles SIGHUP. */
     public LifecycleAction onHangUp() {
         reloadPending = true;
         return nextAction();
     }
 
-    /** A reload has ended, successfully or not. */
+    /** Records that a reload has ended, successfully or not. */
     public LifecycleAction onReloaded() {
         reloading = false;
         return nextAction();
     }
 
-    /** SIGTERM was received. */
+    /** Handles SIGTERM. */
     public LifecycleAction onTerminate() {
         if (terminationRequested) {
             return LifecycleAction.NONE;
@@ -68,7 +69,7 @@
         return LifecycleAction.DRAIN;
     }
 
-    /** The drain has ended. */
+    /** Records that the drain has ended. */
     public void onDrained() {
         terminated = true;
     }
--- a/decision/src/main/java/weldhitch/decision/lifecycle/package-info.java
+++ b/decision/src/main/java/weldhitch/decision/lifecycle/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The life of a process: start, reload and graceful shutdown, decided without clock, signals or threads.
+ * The lifecycle of a process: start, reload and graceful shutdown, decided without clock, signals or threads.
  */
 package weldhitch.decision.lifecycle;
--- a/decision/src/test/java/weldhitch/decision/discovery/EndpointListStalenessTest.java
+++ b/decision/src/test/java/weldhitch/decision/discovery/EndpointListStalenessTest.java
@@ -29,7 +29,7 @@
         EndpointListStaleness staleness = new EndpointListStaleness(0);
         assertNull(staleness.warning(2 * SECOND));
         assertFalse(staleness.everConfirmed());
-        assertTrue(staleness.warning(4 * SECOND).contains("not heard of discovery in the 4 s since the start"));
+        assertTrue(staleness.warning(4 * SECOND).contains("no answer from discovery in the 4 s since the start"));
         staleness.confirm(10 * SECOND);
         assertNull(staleness.warning(12 * SECOND));
         assertTrue(staleness.warning(14 * SECOND).contains("last confirmed 4 s ago"));
