--- a/cli/src/test/java/weldhitch/cli/CertificateCommandsTest.java
+++ b/cli/src/test/java/weldhitch/cli/CertificateCommandsTest.java
@@ -138,6 +138,8 @@
                         directory.toString(),
                         "--days",
                         "11"));
-        assertTrue(errors.toString().contains("the authority itself ends at"), errors.toString());
+        assertTrue(
+                errors.toString().contains("would expire later than the authority's own, which expires at"),
+                errors.toString());
     }
 }
--- a/consensus/src/main/java/weldhitch/certificates/CertificateAuthority.java
+++ b/consensus/src/main/java/weldhitch/certificates/CertificateAuthority.java
@@ -42,9 +42,9 @@
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
 /**
- * The fleet's own certificate authority: signs the certificates of agents and operators (X.509, RFC 5280; keys
- * on P-256). Stored as PEM: {@code ca.pem} is public, {@code ca.key} is readable by its owner only. Immutable
- * and thread-safe.
+ * The fleet's own certificate authority, which signs the certificates of agents and operators (X.509, RFC 5280; keys
+ * on P-256). It is stored as PEM: {@code ca.pem} is public, {@code ca.key} is readable by its owner only. Immutable and
+ * thread-safe.
  */
 public final class CertificateAuthority {
     private static final SecureRandom RANDOM = new SecureRandom();
@@ -63,7 +63,7 @@
         /**
          * Writes {@code NAME.pem}, and {@code NAME.key} with read permission for its owner only.
          *
-         * @throws IOException also if one of the files exists already: nothing is overwritten
+         * @throws IOException if the files cannot be written, or one of them exists already; nothing is overwritten
          */
         public void write(Path directory, String name) throws IOException {
             Files.createDirectories(directory);
@@ -113,10 +113,10 @@
         try (PEMParser certificates = new PEMParser(new StringReader(Files.readString(certificateFile)));
                 PEMParser keys = new PEMParser(new StringReader(Files.readString(keyFile)))) {
             if (!(certificates.readObject() instanceof X509CertificateHolder holder)) {
-                throw new IOException(certificateFile + ": holds no certificate");
+                throw new IOException(certificateFile + ": contains no certificate");
             }
             if (!(keys.readObject() instanceof PrivateKeyInfo key)) {
-                throw new IOException(keyFile + ": holds no private key");
+                throw new IOException(keyFile + ": contains no private key");
             }
             return new IssuedCertificate(
                     new JcaX509CertificateConverter().getCertificate(holder),
@@ -137,16 +137,18 @@
     }
 
     /**
-     * Issues a certificate: for an agent, valid for servers and clients; for an operator, for clients only.
+     * Issues a certificate. That of an agent is valid for servers and clients, that of an operator for clients only.
      *
      * @param hosts DNS names and IP addresses of an agent; empty for operators
-     * @throws GeneralSecurityException also if the certificate would outlive the authority's own
+     * @throws GeneralSecurityException if the certificate cannot be created, or would be valid for longer than the
+     *     authority's own
      */
     public IssuedCertificate issue(Identity identity, List<String> hosts, Instant notBefore, Instant notAfter)
             throws GeneralSecurityException {
         if (notAfter.isAfter(certificate.getNotAfter().toInstant())) {
             throw new GeneralSecurityException(
-                    "the authority itself ends at " + certificate.getNotAfter().toInstant());
+                    "the certificate would expire later than the authority's own, which expires at "
+                            + certificate.getNotAfter().toInstant());
         }
         KeyPair keyPair = generateKeyPair();
         JcaX509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(
@@ -161,7 +163,7 @@
         for (String host : hosts) {
             alternativeNames.add(new GeneralName(isAddress(host) ? GeneralName.iPAddress : GeneralName.dNSName, host));
         }
-        // Agents are clients of each other too, to learn committed states.
+        // Agents also connect to each other as clients, to learn committed states.
         KeyPurposeId[] purposes = identity.isAgent()
                 ? new KeyPurposeId[] {KeyPurposeId.id_kp_serverAuth, KeyPurposeId.id_kp_clientAuth}
                 : new KeyPurposeId[] {KeyPurposeId.id_kp_clientAuth};
@@ -217,7 +219,7 @@
     private static String toPem(Object object) throws IOException {
         StringWriter output = new StringWriter();
         try (JcaPEMWriter writer = new JcaPEMWriter(output)) {
-            // PKCS #8, which other programs read too; by default the writer would use the older format for this
+            // PKCS #8, which other programs can read too; by default the writer would use the older format for this
             // curve.
             writer.writeObject(object instanceof PrivateKey key ? new JcaPKCS8Generator(key, null) : object);
         }
--- a/consensus/src/main/java/weldhitch/certificates/Identity.java
+++ b/consensus/src/main/java/weldhitch/certificates/Identity.java
@@ -11,19 +11,19 @@
  * The subject of a fleet certificate, encoded as the only URI among its subject alternative names (RFC 5280,
  * section 4.2.1.6): {@code weldhitch://agent/NAME} or {@code weldhitch://operator/ROLE/NAME}. Immutable.
  *
- * @param role null for an agent
+ * @param role the operator's role; null for an agent
  */
 public record Identity(Role role, String name) {
-    /** What an operator is authorized to do; each role includes all roles before it. */
+    /** The permissions of an operator; each role includes those of all roles before it. */
     public enum Role {
-        /** Read only. */
+        /** May only read. */
         VIEWER,
-        /** Issue commands. */
+        /** May issue commands. */
         OPERATOR,
-        /** Issue commands that override the capacity guard, and change the membership. */
+        /** May issue commands that override the capacity guard, and may change the membership. */
         ADMIN;
 
-        /** Whether this role includes the permissions of the other one. */
+        /** Returns whether this role includes the permissions of the other one. */
         public boolean covers(Role required) {
             return compareTo(required) >= 0;
         }
@@ -38,11 +38,11 @@
     public Identity {
         if (!NAME_PATTERN.matcher(name).matches()) {
             throw new IllegalArgumentException(
-                    "\"" + name + "\" is no name: use 1 to 64 letters, digits, dots, - and _");
+                    "\"" + name + "\" is not a valid name: use 1 to 64 letters, digits, dots, - and _");
         }
     }
 
-    /** Whether this is an agent; otherwise it is an operator. */
+    /** Returns whether this is an agent; otherwise it is an operator. */
     public boolean isAgent() {
         return role == null;
     }
@@ -54,7 +54,7 @@
     /**
      * Extracts the identity from a certificate whose chain has already been verified.
      *
-     * @throws IllegalArgumentException if the certificate names no identity of a fleet, or more than one
+     * @throws IllegalArgumentException if the certificate does not contain exactly one identity of a fleet
      */
     public static Identity fromCertificate(X509Certificate certificate) {
         String uriName = null;
@@ -63,18 +63,18 @@
                 for (List<?> alternativeName : certificate.getSubjectAlternativeNames()) {
                     if (alternativeName.get(0).equals(SAN_TYPE_URI)) {
                         if (uriName != null) {
-                            throw new IllegalArgumentException("the certificate has more than one URI");
+                            throw new IllegalArgumentException("the certificate contains more than one URI");
                         }
                         uriName = (String) alternativeName.get(1);
                     }
                 }
             }
         } catch (CertificateParsingException e) {
-            throw new IllegalArgumentException("the certificate's names cannot be read", e);
+            throw new IllegalArgumentException("the certificate's subject alternative names are malformed", e);
         }
         Matcher matcher = URI_PATTERN.matcher(String.valueOf(uriName));
         if (!matcher.matches()) {
-            throw new IllegalArgumentException("the certificate names nobody of a fleet: " + uriName);
+            throw new IllegalArgumentException("the certificate contains no identity of a fleet; found URI " + uriName);
         }
         return new Identity(
                 matcher.group(1) == null ? null : Role.valueOf(matcher.group(1).toUpperCase(Locale.ROOT)),
--- a/consensus/src/main/java/weldhitch/certificates/package-info.java
+++ b/consensus/src/main/java/weldhitch/certificates/package-info.java
@@ -1,2 +1,2 @@
-/** Certificates of a fleet: the certificate authority, and the identity that a certificate names. */
+/** Certificates of a fleet: the certificate authority, and the identity that a certificate contains. */
 package weldhitch.certificates;
--- a/consensus/src/main/java/weldhitch/consensus/Acceptor.java
+++ b/consensus/src/main/java/weldhitch/consensus/Acceptor.java
@@ -11,11 +11,11 @@
 import weldhitch.consensus.Reply.Superseded;
 
 /**
- * An acceptor of Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2) that runs one instance per generation
- * and discards an instance when the next one starts. A proposer of a generation has seen the previous one
- * committed, so nothing is lost by that.
+ * An acceptor of Paxos (Lamport, "Paxos Made Simple", 2001, section 2.2) that runs one instance per generation and
+ * discards an instance when the next one starts. Nothing is lost by that, because a proposer of a generation has seen
+ * the previous generation committed.
  *
- * <p>A reply is valid only once the {@link AcceptorState} is on disk: write first, then reply.
+ * <p>A reply may be sent only once the {@link AcceptorState} is on disk.
  *
  * <p>Not thread-safe.
  */
@@ -30,7 +30,7 @@
         this.state = state;
     }
 
-    /** Returns the state to write to disk before the last reply is sent. */
+    /** Returns the state, which must be on disk before the last reply is sent. */
     public AcceptorState state() {
         return state;
     }
@@ -40,7 +40,7 @@
         return state.committed();
     }
 
-    /** Whether a promise or an accepted value of the current generation is not yet committed. */
+    /** Returns whether a promise or an accepted value of the current generation is not yet committed. */
     public boolean hasOpenProposal() {
         return state.generation() > state.committed().generation() && state.promised() != null;
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Returns a proposer that completes the open generation on behalf of this acceptor. */
+    /** Returns a proposer that completes the open generation in the name of this acceptor. */
     public Proposer recoveryProposer(List<String> acceptors, long round) {
         return new Proposer(name, acceptors, state.committed(), Command.noOp(name), round);
     }
--- a/consensus/src/main/java/weldhitch/consensus/AcceptorState.java
+++ b/consensus/src/main/java/weldhitch/consensus/AcceptorState.java
@@ -1,7 +1,8 @@
 package weldhitch.consensus;
 
 /**
- * The state that must survive a crash. Immutable; written to the state log before a reply is sent.
+ * The state of an acceptor, which must survive a crash. Immutable; it is written to the state log before a reply is
+ * sent.
  *
  * @param committed the last state known to be committed
  * @param generation the generation that the promise and the accepted value belong to
@@ -24,12 +25,12 @@
         return new AcceptorState(committed, generation, ballot, acceptedBallot, accepted);
     }
 
-    /** Returns the state after {@code value} is accepted, which promises its ballot too. */
+    /** Returns the state after {@code value} is accepted, which includes a promise of its ballot. */
     AcceptorState withAccepted(Ballot ballot, CommittedState value) {
         return new AcceptorState(committed, generation, ballot, ballot, value);
     }
 
-    /** Returns the state after {@code learned} is known to be committed; generations up to its own are over. */
+    /** Returns the state after {@code learned} is committed, which closes all generations up to its own. */
     AcceptorState withCommitted(CommittedState learned) {
         return learned.generation() >= generation
                 ? new AcceptorState(learned, learned.generation() + 1, null, null, null)
--- a/consensus/src/main/java/weldhitch/consensus/CommittedState.java
+++ b/consensus/src/main/java/weldhitch/consensus/CommittedState.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * The complete state after a command was committed, so that a process that missed some generations needs only
- * the last. Immutable.
+ * The complete state after a command was committed. A process that missed some generations needs only the last one.
+ * Immutable.
  *
- * @param generation number of committed commands, 0 for none
+ * @param generation the number of committed commands, 0 for none
  * @param command the command that was committed last, null for generation 0
- * @param activeCommands the last command by target
+ * @param activeCommands the last command for each target
  */
 public record CommittedState(long generation, Command command, Map<String, Command> activeCommands) {
     /** The state before any command is committed. */
--- a/consensus/src/main/java/weldhitch/consensus/Message.java
+++ b/consensus/src/main/java/weldhitch/consensus/Message.java
@@ -1,14 +1,14 @@
 package weldhitch.consensus;
 
-/** The Paxos messages that proposers send to acceptors, and acceptors to each other. Immutable. */
+/** A Paxos message that a proposer sends to acceptors, or an acceptor to another acceptor. Immutable. */
 public sealed interface Message {
-    /** The generation that the message belongs to. */
+    /** Returns the generation that the message belongs to. */
     long generation();
 
-    /** Phase 1a: requests the promise to accept no lower ballot. */
+    /** Phase 1a: requests a promise to accept no lower ballot. */
     record Prepare(long generation, Ballot ballot) implements Message {}
 
-    /** Phase 2a: requests to accept this state. */
+    /** Phase 2a: requests the acceptance of this state. */
     record Accept(Ballot ballot, CommittedState state) implements Message {
         @Override
         public long generation() {
--- a/consensus/src/main/java/weldhitch/consensus/Proposer.java
+++ b/consensus/src/main/java/weldhitch/consensus/Proposer.java
@@ -12,10 +12,10 @@
 import weldhitch.consensus.Reply.Promise;
 
 /**
- * A Paxos proposer that brings one command to a decision, in the generation after the one that its operator has
- * seen. It ends with that generation committed, by this command or by another one, or stays pending without a
- * majority of the acceptors. A command that another proposer had started is completed instead of this one, so
- * that a proposal whose operator crashed does not stay incomplete.
+ * A Paxos proposer of one command, in the generation after the one that its operator has seen. Its outcome is known
+ * when that generation is committed, with this command or with another one; it stays pending without a majority of the
+ * acceptors. If another proposer has started a command, that command is completed instead of this one, so that a
+ * proposal whose operator crashed does not stay incomplete.
  *
  * <p>Not thread-safe; its owner sends the returned messages to all acceptors.
  */
@@ -30,8 +30,8 @@
     public record Committed(CommittedState state) implements Outcome {}
 
     /**
-     * Another command was committed first, or was completed in place of this one; {@code state} is the last
-     * committed one and names its operator and when it was issued.
+     * Another command was committed first, or was completed instead of this one; {@code state} is the last committed
+     * one and contains the operator and the issue time of its command.
      */
     public record Conflict(CommittedState state) implements Outcome {}
 
@@ -51,9 +51,9 @@
     /**
      * Creates a proposer; {@link #startRound} starts it.
      *
-     * @param name unique among all active proposers
-     * @param acceptors all acceptors of the fleet: a majority of them decides
-     * @param baseState the state that the operator's command is based on, known to be committed
+     * @param name the proposer's name, unique among all active proposers
+     * @param acceptors all acceptors of the fleet, a majority of which decides
+     * @param baseState the committed state that the operator's command is based on
      * @param firstRound the first round to use, from 1
      */
     public Proposer(String name, List<String> acceptors, CommittedState baseState, Command command, long firstRound) {
@@ -69,7 +69,7 @@
         return outcome;
     }
 
-    /** Starts a round above all ballots seen so far; the message returned goes to every acceptor. */
+    /** Starts a round with a ballot above all those seen so far; returns the message to send to every acceptor. */
     public Message startRound() {
         ballot = new Ballot(++highestRound, name);
         promisedBy.clear();
@@ -80,7 +80,7 @@
         return new Prepare(baseState.generation() + 1, ballot);
     }
 
-    /** Handles a reply; returns the message to send to every acceptor now, or null for none. */
+    /** Handles a reply and returns the message to send to every acceptor now, or null for none. */
     public Message onReply(Reply reply) {
         if (!(outcome instanceof Pending)) {
             return null;
--- a/consensus/src/main/java/weldhitch/consensus/durable/ConsensusJson.java
+++ b/consensus/src/main/java/weldhitch/consensus/durable/ConsensusJson.java
@@ -11,14 +11,14 @@
 import weldhitch.consensus.Reply;
 
 /**
- * The JSON names of the consensus types, in the state log and in messages between processes. They are data: other
- * versions have written them, so they are fixed even where the component of the record has another name. The consensus
- * types themselves do not depend on Jackson. Stateless and thread-safe.
+ * The JSON names of the consensus types, in the state log and in messages between processes. Other versions have
+ * written them, so they are fixed even where the component of the record has another name. The consensus types
+ * themselves do not depend on Jackson. Stateless and thread-safe.
  */
 public final class ConsensusJson {
     private ConsensusJson() {}
 
-    /** Registers the fixed names with a mapper, and returns it. */
+    /** Registers the fixed names with a mapper and returns the mapper. */
     public static ObjectMapper register(ObjectMapper mapper) {
         mapper.addMixIn(AcceptorState.class, AcceptorStateNames.class);
         mapper.addMixIn(CommittedState.class, CommittedStateNames.class);
--- a/consensus/src/main/java/weldhitch/consensus/durable/DurableAcceptor.java
+++ b/consensus/src/main/java/weldhitch/consensus/durable/DurableAcceptor.java
@@ -29,7 +29,7 @@
     /**
      * Opens the log and restores the acceptor from it.
      *
-     * @throws IOException if the log cannot be opened or does not hold a state of this version
+     * @throws IOException if the log cannot be opened or does not contain a state of this version
      */
     public DurableAcceptor(String name, Path file) throws IOException {
         this.name = name;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Whether this acceptor votes; false if its log is suspect. */
+    /** Returns whether this acceptor votes; false if its log is suspect. */
     public boolean isVoting() {
         return !log.suspect();
     }
@@ -55,10 +55,9 @@
     }
 
     /**
-     * Handles a message and returns the reply, once the new state is on disk.
+     * Handles a message and returns the reply once the new state is on disk.
      *
-     * @throws IOException if the new state could not be written: nothing may be replied, and the previous state
-     *     stays in force
+     * @throws IOException if the new state could not be written; no reply may be sent, and the state is unchanged
      */
     public Reply onMessage(Message message) throws IOException {
         if (!isVoting() && !(message instanceof Message.Learn)) {
--- a/consensus/src/main/java/weldhitch/consensus/durable/package-info.java
+++ b/consensus/src/main/java/weldhitch/consensus/durable/package-info.java
@@ -1,2 +1,2 @@
-/** The durable part of the consensus: an acceptor that persists its state before it replies. */
+/** Durable consensus: an acceptor that persists its state before it replies. */
 package weldhitch.consensus.durable;
--- a/consensus/src/main/java/weldhitch/consensus/package-info.java
+++ b/consensus/src/main/java/weldhitch/consensus/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Paxos consensus on conflicting commands: pure decisions, free of I/O, clocks and threads. See
+ * Paxos consensus on conflicting commands. Performs no I/O, reads no clock and starts no threads. See
  * docs/design/consensus.md.
  */
 package weldhitch.consensus;
--- a/consensus/src/main/java/weldhitch/rollout/CapacityGuard.java
+++ b/consensus/src/main/java/weldhitch/rollout/CapacityGuard.java
@@ -17,12 +17,12 @@
     /**
      * Creates a guard.
      *
-     * @param minReadyFraction minimum fraction of a site's or tier's instances, 0 to 1, that must stay ready whatever
-     *     is commanded
+     * @param minReadyFraction the minimum fraction of a site's or tier's instances, 0 to 1, that must stay ready
+     *     whatever command is issued
      */
     public CapacityGuard(double minReadyFraction) {
         if (!(minReadyFraction >= 0 && minReadyFraction <= 1)) {
-            throw new IllegalArgumentException("wanted: a share from 0 to 1");
+            throw new IllegalArgumentException("minReadyFraction: expected 0 to 1");
         }
         this.minReadyFraction = minReadyFraction;
     }
@@ -31,7 +31,7 @@
      * A site or tier that would have too few ready instances.
      *
      * @param group the site or tier
-     * @param instances how many instances it has in total
+     * @param instances the number of its instances
      */
     public record Shortage(String group, int instances, int readyNow, int readyAfter, int requiredReady) {
         @Override
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Returns the groups that would fall short; empty if the command is permitted. A group that is below its
-     * minimum already counts only if the command removes more of its instances.
+     * Returns the groups that would have too few ready instances; empty if the command is permitted. A group that is
+     * already below its minimum counts only if the command removes more of its ready instances.
      *
      * @param removed names of the instances that the command takes out of service
      */
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Returns how many of that number of instances must stay ready. */
+    /** Returns how many of the given number of instances must stay ready. */
     int requiredReady(int instances) {
         return (int) Math.ceil(minReadyFraction * instances - 1e-9);
     }
--- a/consensus/src/main/java/weldhitch/rollout/InstanceSelector.java
+++ b/consensus/src/main/java/weldhitch/rollout/InstanceSelector.java
@@ -7,11 +7,11 @@
 /**
  * Selects the instances that meet all given conditions. Immutable.
  *
- * @param name a glob that matches the whole name, {@code *} any characters, {@code ?} exactly one; null for any
- *     name
- * @param sites any of these; empty for all
- * @param tiers any of these; empty for all
- * @param labels all of these
+ * @param name a glob for the complete name, in which {@code *} matches any characters and {@code ?} exactly one; null
+ *     for any name
+ * @param sites the sites to select from; empty for all
+ * @param tiers the tiers to select from; empty for all
+ * @param labels the labels that an instance must have, all of them
  */
 public record InstanceSelector(String name, Set<String> sites, Set<Integer> tiers, Map<String, String> labels) {
     /** Copies the collections. */
@@ -35,7 +35,7 @@
                                 label.getValue().equals(instance.labels().get(label.getKey())));
     }
 
-    /** Backtracks to the last star only, so that the cost is at most the product of the two lengths. */
+    /** Matches a glob. Backtracks to the last star only, so the cost is at most the product of the two lengths. */
     private static boolean globMatches(String pattern, int patternIndex, String text, int textIndex) {
         int starIndex = -1;
         int resumeIndex = 0;
--- a/consensus/src/main/java/weldhitch/rollout/RestartBackoff.java
+++ b/consensus/src/main/java/weldhitch/rollout/RestartBackoff.java
@@ -4,9 +4,8 @@
 import java.util.Deque;
 
 /**
- * Decides when to restart an instance that has exited by itself: after an exponential backoff up to a maximum,
- * and not at all in a crash loop, which another restart will not fix. Times are nanoseconds of the caller's
- * clock.
+ * Decides when to restart an instance that has exited by itself: after an exponential backoff up to a maximum, but not
+ * at all in a crash loop, which another restart would not fix. Times are nanoseconds of the caller's clock.
  *
  * <p>Not thread-safe.
  */
@@ -14,7 +13,7 @@
     /** The result of {@link #onExited} when the instance is not to be restarted. */
     public static final long CRASH_LOOP = -1;
 
-    /** Doublings after which the delay is at its maximum in any case, and a shift could overflow. */
+    /** Number of doublings after which the delay is at its maximum in any case, and a shift could overflow. */
     private static final int MAX_DOUBLINGS = 40;
 
     private final long initialDelay;
@@ -29,15 +28,16 @@
     /**
      * Creates the backoff state of one instance.
      *
-     * @param initialDelay delay before the first restart
-     * @param maxDelay maximum delay, where doubling stops
+     * @param initialDelay the delay before the first restart
+     * @param maxDelay the maximum delay, at which doubling stops
      * @param resetAfter how long the instance must run for the delay to be reset
-     * @param maxExits this many exits ...
-     * @param exitWindow ... within this time are a crash loop
+     * @param maxExits the number of exits within {@code exitWindow} that is a crash loop
+     * @param exitWindow the period over which exits are counted
      */
     public RestartBackoff(long initialDelay, long maxDelay, long resetAfter, int maxExits, long exitWindow) {
         if (initialDelay <= 0 || maxDelay < initialDelay || resetAfter <= 0 || maxExits < 1 || exitWindow <= 0) {
-            throw new IllegalArgumentException("wanted: spans over 0, the longest wait no shorter than the first");
+            throw new IllegalArgumentException(
+                    "expected durations above 0, maxExits of 1 or more, and maxDelay not below initialDelay");
         }
         this.initialDelay = initialDelay;
         this.maxDelay = maxDelay;
@@ -67,7 +67,7 @@
         return doublings > MAX_DOUBLINGS || initialDelay > maxDelay >> doublings ? maxDelay : initialDelay << doublings;
     }
 
-    /** Resets all counts, because an operator requests another attempt. */
+    /** Resets all counts because an operator requests another start. */
     public void reset() {
         exitTimes.clear();
         consecutiveExits = 0;
--- a/consensus/src/main/java/weldhitch/rollout/Rollout.java
+++ b/consensus/src/main/java/weldhitch/rollout/Rollout.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 
 /**
- * A rolling update of many instances in waves, one site after another, with a bounded fraction of each site
- * unavailable at once. A wave starts when all instances of the previous one are ready again; the first that
- * fails ends the rollout, and the updated instances are listed for a rollback.
+ * A rolling update of many instances in waves, one site after another, with a bounded fraction of each site unavailable
+ * at once. A wave starts when all instances of the previous one are ready again. The first instance that fails ends the
+ * rollout, and the updated instances are listed for a rollback.
  *
  * <p>Not thread-safe.
  */
@@ -35,14 +35,14 @@
     /**
      * Plans the waves.
      *
-     * @param fleet all instances: the fraction refers to these, not to the targets
+     * @param fleet all instances; the fraction refers to these and not to the targets
      * @param targets names of the instances to update
      * @param maxUnavailableFraction fraction of a site's instances, above 0 and up to 1, that may be unavailable at
      *     once; one instance always may
      */
     public Rollout(List<Instance> fleet, Set<String> targets, double maxUnavailableFraction) {
         if (!(maxUnavailableFraction > 0 && maxUnavailableFraction <= 1)) {
-            throw new IllegalArgumentException("wanted: a share over 0 and up to 1");
+            throw new IllegalArgumentException("maxUnavailableFraction: expected above 0 and up to 1");
         }
         Map<String, List<Instance>> sites = new LinkedHashMap<>();
         fleet.forEach(instance -> sites.computeIfAbsent(instance.site(), newSite -> new ArrayList<>())
@@ -54,7 +54,7 @@
     }
 
     private void planWaves(List<Instance> site, Set<String> targets, double maxUnavailableFraction) {
-        // An instance that is unavailable already and is no target uses up capacity for the whole rollout.
+        // An instance that is already unavailable and not a target reduces the wave size of the whole rollout.
         long alreadyUnavailable = site.stream()
                 .filter(instance -> !instance.ready() && !targets.contains(instance.name()))
                 .count();
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Starts the next wave and returns its instances; empty while a wave is in progress and after the rollout
+     * Starts the next wave and returns its instances. Returns none while a wave is in progress and after the rollout
      * has ended.
      */
     public List<String> nextWave() {
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Starts no more waves; the current wave is not cancelled. */
+    /** Stops the rollout: no more waves are started, but the current wave is not cancelled. */
     public void stop(String cause) {
         if (state == State.RUNNING) {
             state = State.STOPPED;
@@ -122,7 +122,7 @@
     }
 
     /**
-     * Returns the instances whose update was completed or started, the latest first: the order for a rollback.
+     * Returns the instances whose update was completed or started, the latest first, which is the order for a rollback.
      * Empty unless the rollout failed.
      */
     public List<String> rollbackOrder() {
--- a/consensus/src/main/java/weldhitch/statelog/StateLog.java
+++ b/consensus/src/main/java/weldhitch/statelog/StateLog.java
@@ -14,14 +14,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * An append-only file of states in which each record is a complete state, so that only the last valid record
- * counts. A record is its length (4 bytes), the CRC32C of length and state (4) and the state, big-endian.
- * {@link #write} returns once the state is on the device; a write that fails leaves the file as it was, and the
- * previous state in force.
+ * An append-only file of states in which each record is a complete state, so that only the last valid record counts. A
+ * record consists of its length (4 bytes), the CRC32C of length and state (4 bytes) and the state, big-endian. {@link
+ * #write} returns once the state is on the device. A failed write leaves the file unchanged, and the previous state
+ * remains the current one.
  *
- * <p>A record that ends before its length says was never acknowledged: it is truncated at the next open. A
- * record of full length with a wrong checksum may have been acknowledged, so the log is marked
- * {@link #suspect}. One process at a time locks the log.
+ * <p>A record that is shorter than its length field states was never acknowledged and is truncated at the next open. A
+ * record of full length with a wrong checksum may have been acknowledged, so the log is marked {@link #suspect}. Only
+ * one process at a time can open a log, which it locks.
  *
  * <p>Not thread-safe.
  */
@@ -53,7 +53,7 @@
      * Opens a log or creates one, readable by its owner only.
      *
      * @param compactionThreshold file size in bytes from which on the file is rewritten with its last state only
-     * @throws IOException also if another process has locked the log
+     * @throws IOException if the log cannot be read or created, or another process has locked it
      */
     public static StateLog open(Path file, long compactionThreshold) throws IOException {
         return open(file, compactionThreshold, new StorageDevice() {});
@@ -70,7 +70,7 @@
                 lock = null;
             }
             if (lock == null) {
-                throw new IOException(file + ": another agent holds it");
+                throw new IOException(file + ": locked by another process");
             }
             StateLog log = new StateLog(file, compactionThreshold, lockChannel, device);
             log.recover();
@@ -82,7 +82,7 @@
     }
 
     private void recover() throws IOException {
-        // Left over from a compaction that was interrupted.
+        // A compaction that was interrupted may have left this file behind.
         Files.deleteIfExists(compactionFile());
         boolean created = !Files.exists(file);
         channel = openOwnerOnly(file, StandardOpenOption.CREATE);
@@ -127,7 +127,7 @@
         ByteBuffer bytes = ByteBuffer.allocate(length);
         while (bytes.hasRemaining()) {
             if (channel.read(bytes, offset + bytes.position()) < 0) {
-                throw new IOException(file + ": ends while it is read");
+                throw new IOException(file + ": unexpected end of file");
             }
         }
         return bytes.flip();
@@ -138,15 +138,15 @@
         return state == null ? null : state.clone();
     }
 
-    /** Returns how many bytes were truncated at the open. */
+    /** Returns how many bytes were truncated when the log was opened. */
     public long truncatedBytes() {
         return truncatedBytes;
     }
 
     /**
-     * Whether bytes that were truncated, now or at an earlier open, may have been acknowledged: a process that
-     * continues from here may have lost a state. A file next to the log, named {@code .suspect}, records this
-     * until an administrator deletes it.
+     * Returns whether bytes that were truncated, now or at an earlier open, may have been acknowledged. A process that
+     * continues from here may then have lost a state. A file next to the log, with the suffix {@code .suspect}, records
+     * this until an administrator deletes it.
      */
     public boolean suspect() {
         return suspect;
@@ -160,14 +160,15 @@
     /**
      * Appends the state and syncs it to the device.
      *
-     * @throws IOException if that fails; the previous state stays in force, here and after a reopen
+     * @throws IOException if that fails; the previous state remains the current one, also after a reopen
      */
     public void write(byte[] newState) throws IOException {
         if (newState.length > MAX_STATE_BYTES) {
-            throw new IOException(file + ": a state of " + newState.length + " bytes, " + MAX_STATE_BYTES + " at most");
+            throw new IOException(
+                    file + ": state of " + newState.length + " bytes, expected " + MAX_STATE_BYTES + " at most");
         }
         if (failed) {
-            throw new IOException(file + ": a write or rename before may not hold; open it again");
+            throw new IOException(file + ": an earlier write or rename failed with unknown effect; reopen the log");
         }
         ByteBuffer record = encodeRecord(newState);
         try {
@@ -194,8 +195,8 @@
     }
 
     /**
-     * Rewrites the file and replaces it by a rename, so that there is a complete file at any moment. After a
-     * failure the long file, which is valid, stays in use.
+     * Rewrites the file and replaces it by a rename, so that a complete file exists at any moment. After a failure the
+     * longer file, which is valid, stays in use.
      */
     private void compact(ByteBuffer record) {
         try {
@@ -214,13 +215,13 @@
             try {
                 syncDirectory();
             } catch (IOException e) {
-                // A crash might bring the longer file back, without the records written from here on.
+                // A crash might restore the longer file, without the records written from here on.
                 failed = true;
             }
             previous.close();
         } catch (IOException e) {
-            // The file in use is complete, whether long or short; the compaction of a long one is retried at
-            // the next write.
+            // The file in use is complete, whether compacted or not; the compaction of a long one is retried at the
+            // next write.
         }
     }
 
@@ -239,7 +240,7 @@
         }
     }
 
-    /** Writes the whole record at {@code offset}, in as many writes as it takes. */
+    /** Writes the complete record at {@code offset}, in as many writes as necessary, and syncs it to the device. */
     public static void append(FileChannel target, ByteBuffer record, long offset) throws IOException {
         long position = offset;
         while (record.hasRemaining()) {
@@ -248,7 +249,7 @@
         target.force(true);
     }
 
-    /** Exists for as long as the log is suspect. */
+    /** Returns the path of the file that exists for as long as the log is suspect. */
     private Path suspectMarker() {
         return file.resolveSibling(file.getFileName() + ".suspect");
     }
--- a/consensus/src/test/java/weldhitch/certificates/CertificatesTest.java
+++ b/consensus/src/test/java/weldhitch/certificates/CertificatesTest.java
@@ -173,6 +173,6 @@
         IOException e = assertThrows(
                 IOException.class,
                 () -> CertificateAuthority.readPem(directory.resolve("ca.key"), directory.resolve("ca.key")));
-        assertTrue(e.getMessage().endsWith("ca.key: holds no certificate"), e.getMessage());
+        assertTrue(e.getMessage().endsWith("ca.key: contains no certificate"), e.getMessage());
     }
 }
--- a/consensus/src/test/java/weldhitch/statelog/StateLogTest.java
+++ b/consensus/src/test/java/weldhitch/statelog/StateLogTest.java
@@ -180,7 +180,7 @@
     void onlyOneProcessAtATimeLocksTheLog() throws Exception {
         try (StateLog log = open()) {
             IOException e = assertThrows(IOException.class, this::open);
-            assertTrue(e.getMessage().contains("another agent holds it"), e.getMessage());
+            assertTrue(e.getMessage().contains("locked by another process"), e.getMessage());
             log.write(bytes("mine"));
         }
         write("next");
