--- a/consensus/src/test/java/weldhitch/certificates/CertificatesTest.java
+++ b/consensus/src/test/java/weldhitch/certificates/CertificatesTest.java
@@ -29,7 +29,7 @@
 import weldhitch.certificates.CertificateAuthority.IssuedCertificate;
 import weldhitch.certificates.Identity.Role;
 
-/** Uses the certificates in TLS handshakes of both sides, over loopback. */
+/** Tests certificates in TLS handshakes with client authentication, over loopback. */
 class CertificatesTest {
     private static final Instant NOW = Instant.now();
     private static final Instant NOT_BEFORE = NOW.minus(Duration.ofHours(1));
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Returns the identity that a server sees when it requires a certificate of the fleet; fails if either side
-     * does.
+     * Returns the client's identity as seen by a server that requires a certificate of the fleet. Fails if either side
+     * rejects the handshake.
      */
     private Identity handshake(IssuedCertificate server, IssuedCertificate client) throws Exception {
         SSLContext serverSide = sslContext(server, authority.certificate());
@@ -104,7 +104,7 @@
                 socket.setSSLParameters(parameters);
                 socket.startHandshake();
                 if (socket.getInputStream().read() != 1) {
-                    throw new IOException("refused");
+                    throw new IOException("the server rejected the connection");
                 }
             }
             return clientIdentity.get(20, TimeUnit.SECONDS);
@@ -136,11 +136,11 @@
     }
 
     @Test
-    void operatorCertificateIsForClientsOnlyAndSignsNothing() throws Exception {
+    void operatorCertificateIsValidForClientsOnlyAndCannotSign() throws Exception {
         IssuedCertificate operatorCertificate = issue(authority, new Identity(Role.ADMIN, "ann"), NOT_AFTER);
         assertThrows(IOException.class, () -> handshake(operatorCertificate, operatorCertificate));
         assertEquals(-1, operatorCertificate.certificate().getBasicConstraints());
-        assertEquals(0, authority.certificate().getBasicConstraints(), "and the authority makes no further ones");
+        assertEquals(0, authority.certificate().getBasicConstraints(), "no subordinate authorities are allowed");
     }
 
     @Test
@@ -151,7 +151,7 @@
                 GeneralSecurityException.class,
                 () -> authority.issue(
                         new Identity(Role.VIEWER, "ann"), List.of(), NOT_BEFORE, NOW.plus(Duration.ofDays(11))),
-                "longer than the authority itself");
+                "a certificate that expires after the authority's own");
     }
 
     @Test
--- a/consensus/src/test/java/weldhitch/consensus/AcceptorStateTest.java
+++ b/consensus/src/test/java/weldhitch/consensus/AcceptorStateTest.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The transitions of an acceptor's state. */
+/** Tests the transitions of an acceptor's state. */
 class AcceptorStateTest {
     private static final Ballot LOW = new Ballot(1, "a");
     private static final Ballot HIGH = new Ballot(2, "b");
--- a/consensus/src/test/java/weldhitch/consensus/ConcurrentProposersTest.java
+++ b/consensus/src/test/java/weldhitch/consensus/ConcurrentProposersTest.java
@@ -17,9 +17,9 @@
 import weldhitch.consensus.Proposer.Pending;
 
 /**
- * Operators issue conflicting commands for the same instances at the same time, over a network that loses,
- * duplicates, delays and reorders messages, while proposers crash, and acceptors crash before and after their
- * state is on disk.
+ * Tests operators that issue conflicting commands for the same instances at the same time. The simulated network loses,
+ * duplicates, delays and reorders messages, proposers crash, and acceptors crash before and after their state is on
+ * disk.
  */
 class ConcurrentProposersTest {
     private static final int SCHEDULES = 10_000;
@@ -29,7 +29,7 @@
         return new Command(operator + "-1", operator, "because", action, TARGETS, 0);
     }
 
-    /** One random schedule of messages and crashes. */
+    /** A random schedule of messages and crashes. */
     private static final class RandomSchedule {
         final SplittableRandom random;
         final List<String> acceptorNames = new ArrayList<>();
@@ -79,7 +79,7 @@
             }
             Reply reply = acceptor.onMessage(message);
             if (random.nextDouble() < crashRate) {
-                // Crashes before the state is on disk: as if the message had never arrived.
+                // Crashes before the state is on disk, as if the message had never arrived.
                 running.remove(acceptorName);
                 return;
             }
@@ -101,12 +101,12 @@
             persisted.put(acceptorName, acceptor.state());
             CommittedState committed = acceptor.committed();
             CommittedState other = committedByGeneration.putIfAbsent(committed.generation(), committed);
-            assertTrue(other == null || other.equals(committed), "two orders decided in one generation");
+            assertTrue(other == null || other.equals(committed), "two states committed in one generation");
         }
 
         void step() {
             if (random.nextInt(60) == 0 && !activeProposers.isEmpty()) {
-                // The proposer's machine crashes, at whatever point, or starts another round.
+                // The proposer's machine crashes at a random point, or starts another round.
                 String proposerName = pick(List.copyOf(activeProposers.keySet()));
                 if (random.nextInt(3) == 0) {
                     stoppedProposers.add(activeProposers.remove(proposerName));
@@ -135,8 +135,8 @@
         }
 
         /**
-         * Restarts all acceptors and lets them reach each other: they exchange committed states and complete
-         * open generations.
+         * Restarts all acceptors and makes them reachable for each other, so that they exchange committed states and
+         * complete open generations.
          */
         void converge() {
             acceptorNames.forEach(
@@ -190,14 +190,14 @@
                 schedule.step();
             }
             schedule.converge();
-            assertTrue(schedule.converged(), "seed " + seed + " does not come to rest");
+            assertTrue(schedule.converged(), "seed " + seed + " does not converge");
             CommittedState first = schedule.committedByGeneration.get(1L);
             for (Proposer proposer : schedule.stoppedProposers) {
                 if (proposer.outcome() instanceof Committed committed) {
                     assertEquals(
                             first.command(),
                             committed.state().activeCommands().get("n1"),
-                            "seed " + seed + ": told to have won");
+                            "seed " + seed + ": the proposer reports another command as committed");
                     committedCount++;
                 } else if (proposer.outcome() instanceof Conflict conflict) {
                     assertTrue(
@@ -213,7 +213,7 @@
                                     .noneMatch(proposer -> proposer.outcome() instanceof Committed)
                     ? 1
                     : 0;
-            // All instances are in the state of one command, or of none.
+            // All instances have the same last command, or none.
             assertTrue(
                     finalState.activeCommands().isEmpty()
                             || finalState.activeCommands().keySet().equals(TARGETS)
@@ -223,10 +223,10 @@
                                             == 1,
                     "seed " + seed + ": " + finalState);
         }
-        // The schedules are useful only if each of these outcomes is frequent.
+        // The test is meaningful only if each of these outcomes is frequent.
         assertTrue(
                 committedCount > SCHEDULES / 2 && conflictCount > SCHEDULES / 4 && recoveredCount > SCHEDULES / 100,
-                committedCount + " won, " + conflictCount + " lost, " + recoveredCount + " ended by others");
+                committedCount + " committed, " + conflictCount + " conflicts, " + recoveredCount + " recovered");
     }
 
     @Test
@@ -235,7 +235,7 @@
         Map<String, Acceptor> running = new HashMap<>();
         acceptors.forEach(name -> running.put(name, new Acceptor(name, AcceptorState.INITIAL)));
         Proposer first = new Proposer("ann", acceptors, CommittedState.INITIAL, command("ann", Action.DRAIN), 1);
-        // Acceptor "c" is not reached.
+        // Acceptor "c" cannot be reached.
         runProposer(first, running, List.of("a", "b"));
         CommittedState drained =
                 assertInstanceOf(Committed.class, first.outcome()).state();
@@ -247,7 +247,7 @@
                         .state()
                         .command()
                         .operator());
-        assertEquals(drained, running.get("c").committed(), "the loser has told the one that was not reached");
+        assertEquals(drained, running.get("c").committed(), "the conflicting proposer informs acceptor c");
         Proposer retry = new Proposer("ben", acceptors, drained, command("ben", Action.UNDRAIN), 1);
         runProposer(retry, running, acceptors);
         assertEquals(
--- a/consensus/src/test/java/weldhitch/consensus/durable/DurableAcceptorTest.java
+++ b/consensus/src/test/java/weldhitch/consensus/durable/DurableAcceptorTest.java
@@ -26,7 +26,7 @@
 import weldhitch.consensus.Proposer.Committed;
 import weldhitch.consensus.Reply;
 
-/** Restarts, suspect logs and unknown payloads of {@link DurableAcceptor}, on real files. */
+/** Tests {@link DurableAcceptor} with restarts, suspect logs and unknown payloads, on real files. */
 class DurableAcceptorTest {
     private static final Command DRAIN =
             new Command("1", "ann", "disk change", Action.DRAIN, Set.of("n1"), 1_764_000_000_000L);
@@ -102,7 +102,7 @@
             assertEquals(1, acceptor.committed().generation());
         }
         try (DurableAcceptor acceptor = open("a")) {
-            assertFalse(acceptor.isVoting(), "a restart does not bring back what was forgotten");
+            assertFalse(acceptor.isVoting(), "a restart does not restore a lost promise");
             assertEquals(1, acceptor.committed().generation());
         }
     }
@@ -115,7 +115,7 @@
         }
         IOException e = assertThrows(IOException.class, () -> open("a"));
         assertTrue(e.getMessage().startsWith(file + ": not a state of this version"), e.getMessage());
-        // The failed open has released its lock.
+        // The failed open must have released its lock.
         assertThrows(IOException.class, () -> open("a"));
     }
 }
--- a/consensus/src/test/java/weldhitch/consensus/durable/RecordedAcceptorStateTest.java
+++ b/consensus/src/test/java/weldhitch/consensus/durable/RecordedAcceptorStateTest.java
@@ -26,8 +26,8 @@
 import weldhitch.statelog.StateLog;
 
 /**
- * Reads acceptor states that an earlier version (32a2790) wrote to disk. The files are never recorded again: a
- * change that breaks this test would lose promises and committed states at an upgrade.
+ * Reads acceptor states that an earlier version (32a2790) wrote to disk. The files must never be recorded again: a
+ * change that breaks this test would lose promises and committed states in an upgrade.
  */
 class RecordedAcceptorStateTest {
     private static final Path RECORDED = Path.of("consensus/src/test/resources/weldhitch/recorded");
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aDecidedOrderIsInForceAfterTheUpgrade() throws IOException {
+    void committedStateSurvivesTheUpgrade() throws IOException {
         try (DurableAcceptor acceptor = new DurableAcceptor("a1", copy("acceptor-decided.log"))) {
             assertEquals(CommittedState.INITIAL.apply(DRAIN), acceptor.committed());
             assertEquals(
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void promisesAndAcceptedValuesHoldAfterTheUpgrade() throws IOException {
+    void promisesAndAcceptedValuesSurviveTheUpgrade() throws IOException {
         CommittedState first = CommittedState.INITIAL.apply(DRAIN);
         Ballot promised = new Ballot(5, "amina");
         Ballot accepted = new Ballot(3, "eric");
@@ -72,7 +72,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"acceptor-decided.log", "acceptor-undecided.log"})
-    void theStateIsWrittenInTheSameForm(String name) throws IOException {
+    void stateIsWrittenInTheRecordedFormat(String name) throws IOException {
         try (StateLog log = StateLog.open(copy(name), 1 << 20)) {
             byte[] recorded = log.state();
             AcceptorState state = JSON.readValue(recorded, AcceptorState.class);
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Sorts the targets of all commands: they are a set, whose order differs between processes. */
+    /** Sorts the targets of all commands, because they are sets, whose order differs between processes. */
     private static JsonNode withSortedTargets(JsonNode node) {
         for (JsonNode child : node) {
             withSortedTargets(child);
--- a/consensus/src/test/java/weldhitch/rollout/RolloutDecisionsTest.java
+++ b/consensus/src/test/java/weldhitch/rollout/RolloutDecisionsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.rollout.Rollout.State;
 
-/** Selection, minimum capacity, rolling updates and restart backoff. */
+/** Tests selection, minimum capacity, rolling updates and restart backoff. */
 class RolloutDecisionsTest {
     private static final long SECOND = 1_000_000_000L;
 
@@ -86,8 +86,8 @@
                 instance("e", "y", 1, true));
         CapacityGuard guard = new CapacityGuard(0.5);
         assertEquals(
-                List.of(), guard.findShortages(instances, Set.of("a", "d")), "one that is away takes nothing away");
-        assertEquals(2, guard.findShortages(instances, Set.of("c")).size(), "its site and its tier");
+                List.of(), guard.findShortages(instances, Set.of("a", "d")), "removing an unavailable instance");
+        assertEquals(2, guard.findShortages(instances, Set.of("c")).size(), "expected a shortage of site and tier");
     }
 
     @Test
@@ -108,7 +108,7 @@
             boolean mayFail = random.nextInt(3) == 0;
             while (rollout.state() == State.RUNNING) {
                 List<String> wave = rollout.nextWave();
-                assertTrue(!wave.isEmpty(), "seed " + seed + " stands still");
+                assertTrue(!wave.isEmpty(), "seed " + seed + " makes no progress");
                 assertEquals(
                         1,
                         instances.stream()
@@ -129,7 +129,7 @@
                 assertTrue(
                         wave.size() == 1 || wave.size() + otherUnavailable <= maxUnavailableFraction * siteSize + 1e-6,
                         "seed " + seed);
-                assertEquals(List.of(), rollout.nextWave(), "no wave before the one under way is ready");
+                assertEquals(List.of(), rollout.nextWave(), "a wave starts before the previous one is ready");
                 for (String name : wave) {
                     if (mayFail && random.nextInt(5) == 0) {
                         rollout.markFailed(name, "not ready after 30 s");
@@ -140,7 +140,7 @@
                         break;
                     }
                     rollout.markReady(name);
-                    assertTrue(updated.add(name), "changed twice");
+                    assertTrue(updated.add(name), "updated twice");
                 }
             }
             assertEquals(List.of(), rollout.nextWave());
@@ -175,7 +175,7 @@
         now += 60 * SECOND;
         assertEquals(SECOND, backoff.onExited(now));
         backoff.onStarted(now);
-        assertEquals(-1, backoff.onExited(now + SECOND), "seven ends in ten minutes");
+        assertEquals(-1, backoff.onExited(now + SECOND), "seven exits in ten minutes");
         backoff.reset();
         backoff.onStarted(now);
         assertEquals(SECOND, backoff.onExited(now + SECOND));
--- a/consensus/src/test/java/weldhitch/statelog/StateLogTest.java
+++ b/consensus/src/test/java/weldhitch/statelog/StateLogTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Recovery, compaction, locking and write failures of {@link StateLog}, on real files. */
+/** Tests recovery, compaction, locking and write failures of {@link StateLog}, on real files. */
 class StateLogTest {
     private static final long COMPACTION_THRESHOLD = 1 << 20;
 
@@ -64,7 +64,7 @@
         assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(file())));
     }
 
-    /** A crash may leave any prefix of the last record. */
+    /** A crash may leave any prefix of the last record on disk. */
     @Test
     void tornLastRecordIsTruncatedWhereverItIsTorn() throws Exception {
         write("one", "two");
@@ -73,9 +73,9 @@
         for (int length = secondRecordOffset; length < original.length; length++) {
             Files.write(file(), Arrays.copyOf(original, length));
             try (StateLog log = open()) {
-                assertArrayEquals(bytes("one"), log.state(), "cut at " + length);
+                assertArrayEquals(bytes("one"), log.state(), "truncated to length " + length);
                 assertEquals(length - secondRecordOffset, log.truncatedBytes());
-                assertFalse(log.suspect(), "what was never whole was never acknowledged");
+                assertFalse(log.suspect(), "an incomplete record was never acknowledged");
                 log.write(bytes("three"));
             }
             try (StateLog log = open()) {
@@ -93,10 +93,10 @@
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(file(), flipped);
             try (StateLog log = open()) {
-                assertArrayEquals(bytes("one"), log.state(), "bit " + bit);
+                assertArrayEquals(bytes("one"), log.state(), "flipped bit " + bit);
                 assertTrue(log.truncatedBytes() > 0);
                 boolean lengthGrew = bit < (8 + 3 + 4) * 8;
-                assertTrue(log.suspect() || lengthGrew, "bit " + bit + " may have been acknowledged");
+                assertTrue(log.suspect() || lengthGrew, "bit " + bit + ": the record may have been acknowledged");
             }
             Files.deleteIfExists(directory.resolve("orders.log.suspect"));
         }
@@ -111,7 +111,7 @@
             }
         }
         assertTrue(Files.size(file()) < 1100);
-        // An interrupted compaction leaves its file behind, which is ignored.
+        // An interrupted compaction leaves its file behind, which must be ignored.
         Files.write(directory.resolve("orders.log.next"), bytes("half"));
         try (StateLog log = open()) {
             assertArrayEquals(bytes("state 499"), log.state());
@@ -119,7 +119,7 @@
         assertFalse(Files.exists(directory.resolve("orders.log.next")));
     }
 
-    /** Half of the record is written to the disk; the rest goes to Linux's {@code /dev/full}. */
+    /** Half of the record is written to the file; the rest goes to Linux's {@code /dev/full}. */
     @Test
     void writeOnAFullDiskFailsAndThePreviousStateRemains() throws Exception {
         write("one");
@@ -138,7 +138,7 @@
             IOException e = assertThrows(IOException.class, () -> log.write(bytes("two")));
             assertTrue(e.getMessage().contains("No space left"), e.toString());
             assertArrayEquals(bytes("one"), log.state());
-            assertEquals(log.size(), Files.size(file()), "what was begun is taken back");
+            assertEquals(log.size(), Files.size(file()), "the partial record is removed");
             diskFull.set(false);
             log.write(bytes("three"));
         }
@@ -149,7 +149,7 @@
         }
     }
 
-    /** The rename is visible to this process, but a crash might still bring the longer file back. */
+    /** The rename is visible to this process, but a crash might still restore the longer file. */
     @Test
     void noWriteIsAcknowledgedAfterARenameThatWasNotSynced() throws Exception {
         AtomicBoolean syncFails = new AtomicBoolean();
@@ -157,7 +157,7 @@
             @Override
             public void syncDirectory(Path syncedDirectory) throws IOException {
                 if (syncFails.get()) {
-                    throw new IOException("the device refuses");
+                    throw new IOException("injected sync failure");
                 }
                 StateLog.StorageDevice.super.syncDirectory(syncedDirectory);
             }
@@ -186,7 +186,7 @@
         write("next");
     }
 
-    /** Writes states, and prints each once it is on the device, until the process is killed. */
+    /** Writes states until the process is killed, and prints each one once it is on the device. */
     static final class StateWriter {
         private StateWriter() {}
 
@@ -219,12 +219,14 @@
                 writer.toHandle().destroyForcibly();
                 out.lines().forEach(outputLines::add);
             }
-            assertEquals(137, writer.waitFor(), "killed, not ended");
-            assertEquals(acknowledged + 1, Integer.parseInt(outputLines.get(0)), "went on from the last state");
+            assertEquals(137, writer.waitFor(), "expected the exit code of a killed process");
+            assertEquals(acknowledged + 1, Integer.parseInt(outputLines.get(0)), "resumes after the last state");
             acknowledged = Integer.parseInt(outputLines.get(outputLines.size() - 1));
             try (StateLog log = open()) {
                 int last = Integer.parseInt(new String(log.state()).trim());
-                assertTrue(last == acknowledged || last == acknowledged + 1, last + " after " + acknowledged);
+                assertTrue(
+                        last == acknowledged || last == acknowledged + 1,
+                        last + " recovered, last acknowledged state " + acknowledged);
                 assertFalse(log.suspect());
                 acknowledged = last;
             }
--- a/decision/src/test/java/weldhitch/decision/connection/ConnectionReusePolicyTest.java
+++ b/decision/src/test/java/weldhitch/decision/connection/ConnectionReusePolicyTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests how long connections may be idle before a request that is not idempotent. */
+/** Tests how long a connection may be idle before a request that is not idempotent reuses it. */
 class ConnectionReusePolicyTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long NOW = 1_764_000_000L * SECOND;
@@ -42,7 +42,7 @@
         assertEquals(0, policy.maxIdle(NOW + 11 * SECOND - 1));
         assertEquals(ConnectionReusePolicy.DEFAULT_MAX_IDLE, policy.maxIdle(NOW + 11 * SECOND));
         policy.recordFailure(NOW + 5 * SECOND);
-        assertTrue(policy.maxIdle(NOW + 14 * SECOND) == 0, "a second break counts from its own time");
+        assertTrue(policy.maxIdle(NOW + 14 * SECOND) == 0, "a second failure suspends reuse from its own time on");
     }
 
     @Test
--- a/decision/src/test/java/weldhitch/decision/connection/DispatchGuardTest.java
+++ b/decision/src/test/java/weldhitch/decision/connection/DispatchGuardTest.java
@@ -7,7 +7,7 @@
 
 /** Tests all combinations of the conditions under which an attempt may be dispatched. */
 class DispatchGuardTest {
-    /** All combinations: allowed if all conditions hold, up to the last nanosecond, and otherwise not. */
+    /** An attempt is allowed only if all conditions hold, up to the last nanosecond before a time limit. */
     @Test
     void attemptIsAllowedOnlyIfAllConditionsHold() {
         int allowed = 0;
--- a/decision/src/test/java/weldhitch/decision/connection/PollHistoryTest.java
+++ b/decision/src/test/java/weldhitch/decision/connection/PollHistoryTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What {@link PollHistory} concludes from the times of polls, and that it never takes input for younger than it is. */
+/**
+ * Tests what {@link PollHistory} determines from the times of polls, and that an assumed arrival is never later than
+ * the actual one by more than the ignored age.
+ */
 class PollHistoryTest {
     private static final long MILLI = 1_000_000L;
     private static final long POLL = PollHistory.MAX_POLL_INTERVAL;
@@ -16,7 +19,7 @@
     private final PollHistory history = new PollHistory(0);
 
     @Test
-    void pollStartedReportsStallsAlone() {
+    void pollStartedReportsOnlyStalls() {
         assertEquals(0, history.pollStarted(POLL));
         assertEquals(0, history.pollStarted(POLL + PollHistory.STALL));
         long stall = PollHistory.STALL + 1;
@@ -32,7 +35,7 @@
     }
 
     @Test
-    void arrivedNotBeforeOnTheFirstPollOfAConnectionIsWhenItCanHaveConnected() {
+    void firstPollOfAConnectionMayReportInputFromBeforeItWasAccepted() {
         history.pollStarted(10 * MILLI);
         history.pollStarted(500 * MILLI);
         long acceptedAt = 501 * MILLI;
@@ -44,12 +47,12 @@
     }
 
     @Test
-    void assumedArrivalIgnoresTheAgeThatALoopCausesThatRuns() {
+    void assumedArrivalIgnoresTheAgeThatNormalPollingCauses() {
         long now = 1000 * MILLI;
         assertEquals(now, PollHistory.assumedArrival(now, now));
         assertEquals(now, PollHistory.assumedArrival(now, now - PollHistory.IGNORED_AGE));
         assertEquals(now - 1, PollHistory.assumedArrival(now, now - PollHistory.IGNORED_AGE - 1));
-        assertTrue(PollHistory.IGNORED_AGE < 150 * MILLI, "more than a server may be told too much");
+        assertTrue(PollHistory.IGNORED_AGE < 150 * MILLI, "exceeds the time that a server may be sent in excess");
     }
 
     @Test
@@ -71,8 +74,8 @@
     }
 
     /**
-     * A loop with random stalls, before polls, after them and while connections wait to be accepted: no request
-     * counts from later than it arrived, but for the ignored age.
+     * Simulates an event loop with random stalls before polls, after polls and while connections wait to be accepted.
+     * The assumed arrival of a request may be later than its actual arrival by the ignored age at most.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -83,7 +86,7 @@
             long now = 0;
             long polledAt = 0;
             for (int pass = 0; pass < 50; pass++) {
-                // Arrives between what one poll reports and what the next does.
+                // Arrives after the previous poll and before the next one.
                 long arrivedAt = polledAt + random.nextLong(1, pause(random));
                 now = Math.max(now, arrivedAt) + random.nextLong(pause(random));
                 polls.pollStarted(now);
@@ -103,7 +106,7 @@
                 long assumed = PollHistory.assumedArrival(now, notBefore);
                 assertTrue(
                         assumed <= arrivedAt + PollHistory.IGNORED_AGE,
-                        "seed " + seed + ": arrived at " + arrivedAt + ", taken for " + assumed);
+                        "seed " + seed + ": arrived at " + arrivedAt + ", assumed arrival " + assumed);
             }
         }
     }
--- a/decision/src/test/java/weldhitch/decision/discovery/DiscoveryPollingTest.java
+++ b/decision/src/test/java/weldhitch/decision/discovery/DiscoveryPollingTest.java
@@ -10,12 +10,12 @@
 import weldhitch.decision.discovery.DiscoveryPolling.PollFailure;
 
 /**
- * Tests discovery polling: timeouts, backoff, jitter and load on a shared service, against the delivery
- * deadlines.
+ * Tests timeouts, backoff, jitter and load on a shared service of discovery polling, against the delivery deadlines of
+ * updates.
  */
 class DiscoveryPollingTest {
     /**
-     * An update counts as delivered 2 s after a poll's wait has ended; draining must be respected 2 s later.
+     * An update counts as delivered 2 s after a poll's wait has ended, and draining must be respected 2 s later.
      */
     @Test
     void pollIsRepeatedBeforeTheDrainGracePeriodEnds() {
@@ -37,14 +37,14 @@
         polling.recordFailure(PollFailure.TIMED_OUT);
         assertEquals(SECOND, polling.responseTimeout());
         polling.recordSuccess(900 * MS);
-        assertTrue(polling.responseTimeout() >= 1800 * MS, "twice what the last answer took");
+        assertTrue(polling.responseTimeout() >= 1800 * MS, "expected twice the lateness of the last answer");
         for (int i = 0; i < 10; i++) {
             polling.recordSuccess(15 * MS);
         }
         assertEquals(500 * MS, polling.responseTimeout());
     }
 
-    /** All watches end at the same moment. */
+    /** All nodes fail at the same moment. */
     @Test
     void pollsAfterASharedFailureAreJittered() {
         int[] byTenth = new int[10];
@@ -53,8 +53,8 @@
                     (int) (new DiscoveryPolling(1000 + node, 28).recordFailure(PollFailure.CONNECTION_FAILED)
                             / (100 * MS))]++;
         }
-        for (int polling : byTenth) {
-            assertTrue(polling <= 9, polling + " of 28 calls within 100 ms");
+        for (int count : byTenth) {
+            assertTrue(count <= 9, count + " of 28 polls within 100 ms");
         }
     }
 
@@ -86,13 +86,13 @@
         polling.recordSuccess(0);
         assertFalse(polling.needsFullList());
         polling.onServiceChanged();
-        assertTrue(polling.needsFullList(), "versions of another discovery say nothing");
+        assertTrue(polling.needsFullList(), "versions of another discovery service are not comparable");
     }
 
     /**
-     * The users' requirement: an update is delivered 6 s after discovery had it and was reachable, whatever
-     * failed: the poll in progress at that moment and one more, each lost, rejected, broken, answered
-     * malformed, or hanging in connect.
+     * An update must be delivered within 6 s after discovery had it and was reachable, whatever failed. Up to two polls
+     * fail, the one in progress at that moment and one more: each is lost, rejected, broken, answered malformed, or
+     * hangs in connect.
      */
     @Test
     void agentChangeArrivesWithinSixSecondsAfterAnyFailure() {
@@ -119,12 +119,12 @@
             }
             max = Math.max(max, now + 50 * MS - reachable);
         }
-        System.out.println("an agent's change is heard " + max / MS
-                + " ms after it could be reached, at the latest of 20,000 histories");
+        System.out.println("agent: update received " + max / MS
+                + " ms after discovery was reachable, the latest of 20,000 histories");
         assertTrue(max < 6 * SECOND, max / MS + " ms");
     }
 
-    /** Regression: an agent whose answers take 2 s or more was never received again after a failed poll. */
+    /** An agent whose answers take 2 s or more must be received again after a failed poll. */
     @Test
     void slowAgentAnswersInTimeAfterAnyFailure() {
         for (PollFailure failure : PollFailure.values()) {
@@ -135,11 +135,11 @@
                 polling.recordFailure(PollFailure.TIMED_OUT);
                 timeouts++;
             }
-            assertTrue(timeouts <= 4, failure + ": still not heard after " + timeouts + " silent calls");
+            assertTrue(timeouts <= 4, failure + ": timeout still too short after " + timeouts + " unanswered polls");
         }
     }
 
-    // ---- one service for all nodes ----
+    // Tests of one service that all nodes share.
 
     private static DiscoveryPolling ofSharedService(long seed, int nodeCount) {
         return DiscoveryPolling.ofSharedService(seed, nodeCount, 10 * SECOND);
@@ -154,9 +154,9 @@
     }
 
     /**
-     * The users' requirement for a shared service: a node that has a list receives an update 6 s after the
-     * service had it and was reachable, or 2 s after the wait of a lost watch, whatever failed before. It does
-     * not apply to a node that the service rejects because of overload.
+     * A node that has a list must receive an update within 6 s after the shared service had it and was reachable, or
+     * within 2 s after the wait of a lost watch, whatever failed before. This does not apply to a node that the service
+     * rejects because of overload.
      */
     @Test
     void sharedServiceChangeArrivesInTimeAfterAnyFailure() {
@@ -172,7 +172,7 @@
                         PollFailure.values()[random.nextInt(PollFailure.values().length)],
                         random.nextInt(4) * 5 * SECOND);
             }
-            // The poll in progress begins at 0; at some time in it discovery is reachable again and has an
+            // The poll in progress begins at 0. At some time during it, discovery becomes reachable again and has an
             // update.
             PollFailure[] kinds = {
                 PollFailure.TIMED_OUT, PollFailure.CONNECTION_FAILED, PollFailure.MALFORMED, PollFailure.STALE
@@ -193,16 +193,16 @@
             max = Math.max(max, receivedAt - changedAt);
             assertTrue(
                     receivedAt <= limit,
-                    failure + " after " + requestedWait / MS + " ms: heard at " + receivedAt / MS
-                            + ", counts as told at " + limit / MS);
+                    failure + " after " + requestedWait / MS + " ms: update received at " + receivedAt / MS
+                            + " ms, expected by " + limit / MS);
         }
-        System.out.println("of a shared service's: heard " + max / MS
-                + " ms after it could be reached, at the latest of 20,000 histories");
+        System.out.println("shared service: update received " + max / MS
+                + " ms after discovery was reachable, the latest of 20,000 histories");
     }
 
     /**
-     * A new configuration reaches all nodes at once: their polls are spread over a time that grows with them,
-     * up to 2 s.
+     * A new configuration reaches all nodes at once, so their polls are spread over a time that grows with the number
+     * of nodes, up to 2 s.
      */
     @Test
     void firstPollsOfANewServiceAreSpreadByFleetSize() {
@@ -211,8 +211,10 @@
             for (int node = 0; node < nodes; node++) {
                 max = Math.max(max, ofSharedService(node, nodes).onServiceChanged());
             }
-            assertTrue(max <= Math.min(2 * SECOND, nodes * 25 * MS), nodes + " nodes: " + max);
-            assertTrue(nodes < 20 || max > 0.7 * Math.min(2 * SECOND, nodes * 25 * MS), nodes + " nodes: " + max);
+            assertTrue(max <= Math.min(2 * SECOND, nodes * 25 * MS), nodes + " nodes: longest delay in ns: " + max);
+            assertTrue(
+                    nodes < 20 || max > 0.7 * Math.min(2 * SECOND, nodes * 25 * MS),
+                    nodes + " nodes: longest delay in ns: " + max);
         }
     }
 
@@ -227,8 +229,8 @@
     }
 
     /**
-     * The service works on an abandoned poll all the same: a node without a list does not poll an overloaded
-     * one twice.
+     * The service continues to work on an abandoned poll, so a node without a list must not poll an overloaded service
+     * twice.
      */
     @Test
     void firstResponseOfASharedServiceHasALongerTimeout() {
@@ -236,7 +238,9 @@
         assertEquals(10 * SECOND, polling.responseTimeout());
         polling.recordSuccess(0);
         assertEquals(
-                1500 * MS, polling.responseTimeout(), "what a silent watch misses counts as told 2 s after its wait");
+                1500 * MS,
+                polling.responseTimeout(),
+                "updates that a lost watch misses count as delivered 2 s after its wait");
         polling.onServiceChanged();
         assertEquals(10 * SECOND, polling.responseTimeout());
     }
@@ -250,7 +254,7 @@
         for (int i = 0; i < 200; i++) {
             max = Math.max(max, polling.recordFailure(PollFailure.REJECTED));
         }
-        assertTrue(max > 14 * SECOND && max <= 16 * SECOND, "" + max);
+        assertTrue(max > 14 * SECOND && max <= 16 * SECOND, "longest backoff in ns: " + max);
         assertEquals(10 * SECOND, polling.watchDuration());
         for (int i = 0; i < 16; i++) {
             polling.recordSuccess(0);
@@ -272,14 +276,14 @@
             assertTrue(ofSharedService(seed, 4).recordFailure(PollFailure.REJECTED, 3 * SECOND) >= 3 * SECOND);
             assertTrue(
                     ofSharedService(seed, 4).recordFailure(PollFailure.REJECTED, 3600 * SECOND) <= 17 * SECOND,
-                    "nobody is kept away for good");
+                    "the backoff is bounded, however long the Retry-After advice");
             assertTrue(
                     new DiscoveryPolling(seed, 4).recordFailure(PollFailure.REJECTED, 3 * SECOND) <= SECOND,
-                    "an agent is asked as before");
+                    "an agent's Retry-After advice is ignored");
         }
     }
 
-    /** Polling never stops, whatever happens, and the time between two polls is bounded. */
+    /** After any history of failures and successes there is another poll within a bounded time. */
     @Test
     void everyHistoryLeadsToAnotherPollInTime() {
         java.util.SplittableRandom random = new java.util.SplittableRandom(11);
@@ -293,7 +297,7 @@
                 if (step == 6) {
                     polling.recordSuccess(random.nextLong(-SECOND, 3 * SECOND));
                 }
-                assertTrue(wait >= 0 && wait <= 16 * SECOND, "" + wait);
+                assertTrue(wait >= 0 && wait <= 16 * SECOND, "wait in ns: " + wait);
                 assertTrue(polling.watchDuration() >= 2 * SECOND && polling.watchDuration() <= 10 * SECOND);
                 assertTrue(polling.responseTimeout() >= 500 * MS && polling.responseTimeout() <= 10 * SECOND);
             }
--- a/decision/src/test/java/weldhitch/decision/lifecycle/GracefulShutdownTest.java
+++ b/decision/src/test/java/weldhitch/decision/lifecycle/GracefulShutdownTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests graceful shutdown: with a deadline of 3 s and an objective of 1.2 s the last answer is sent at 3.5 s.
+ * Tests graceful shutdown. With a deadline of 3 s and a latency objective of 1.2 s the last answer is sent at 3.5 s.
  */
 class GracefulShutdownTest {
     private static final long MILLI = 1_000_000L;
@@ -46,11 +46,11 @@
         assertEquals(
                 500 * MILLI,
                 shutdown.allowedTime(timeAfter(3000), 500 * MILLI, 1200 * MILLI),
-                "a short patience is kept whole");
+                "a short client timeout is not reduced");
         assertEquals(
                 0,
                 shutdown.allowedTime(timeAfter(600), 3000 * MILLI, 0),
-                "without an aim all of the patience is wanted");
+                "without a latency objective, the complete client timeout is required");
     }
 
     @Test
@@ -61,7 +61,7 @@
             int remaining = shutdown.idleConnectionsToKeep(timeAfter(t), 40);
             assertTrue(
                     remaining <= previous && previous - remaining <= 3,
-                    "at " + t + " ms from " + previous + " to " + remaining);
+                    "at " + t + " ms: expected a gradual decrease, found " + previous + " to " + remaining);
             previous = remaining;
         }
         assertEquals(0, previous);
@@ -72,7 +72,7 @@
         shutdown.start(STARTED_AT);
         assertTrue(shutdown.acceptsConnections(timeAfter(499), 0, 0));
         assertFalse(shutdown.acceptsConnections(timeAfter(500), 0, 0));
-        assertTrue(shutdown.acceptsConnections(timeAfter(700), timeAfter(600), 0), "one came a moment ago");
+        assertTrue(shutdown.acceptsConnections(timeAfter(700), timeAfter(600), 0), "a connection arrived recently");
         assertFalse(shutdown.acceptsConnections(timeAfter(1500), timeAfter(1490), 0));
         assertFalse(shutdown.acceptsConnections(timeAfter(1900), 0, 3));
     }
@@ -85,7 +85,7 @@
         assertTrue(shutdown.isComplete(timeAfter(3550)));
     }
 
-    /** Deadlines of 14 s do not delay the platform's kill, which waits for 3 s of them plus 0.7 s. */
+    /** The platform waits for 3 s plus 0.7 s at most, so deadlines of 14 s do not delay its kill. */
     @Test
     void shutdownCompletesBeforeTheKillWithLongDeadlines() {
         GracefulShutdown longDeadlines = new GracefulShutdown(13_967 * MILLI, 5587 * MILLI);
@@ -93,12 +93,12 @@
         assertTrue(longDeadlines.isComplete(timeAfter(3550)));
         for (long t = 0; t <= 3700; t += 10) {
             long allowed = longDeadlines.allowedTime(timeAfter(t), 6981 * MILLI, 2793 * MILLI);
-            assertTrue(allowed == 0 || t + allowed / MILLI <= 3500, allowed / MILLI + " ms given at " + t + " ms");
+            assertTrue(allowed == 0 || t + allowed / MILLI <= 3500, allowed / MILLI + " ms allowed at " + t + " ms");
         }
         assertEquals(
                 3500 * MILLI,
                 longDeadlines.allowedTime(timeAfter(0), 13_967 * MILLI, 5587 * MILLI),
-                "an aim past the kill");
+                "a latency objective that ends after the kill");
         assertEquals(1500 * MILLI, longDeadlines.allowedTime(timeAfter(2000), 6981 * MILLI, 2793 * MILLI));
         assertEquals(0, longDeadlines.allowedTime(timeAfter(2001), 6981 * MILLI, 2793 * MILLI));
         assertTrue(longDeadlines.acceptsConnections(timeAfter(1599), timeAfter(1590), 9));
@@ -107,7 +107,7 @@
         assertEquals(
                 0,
                 longDeadlines.idleConnectionsToKeep(timeAfter(2000), 9),
-                "all are told to go half a wait before the end");
+                "all idle connections are closed 1.5 s before the last answer");
     }
 
     @Test
--- a/decision/src/test/java/weldhitch/decision/lifecycle/ProcessLifecycleTest.java
+++ b/decision/src/test/java/weldhitch/decision/lifecycle/ProcessLifecycleTest.java
@@ -11,16 +11,16 @@
 class ProcessLifecycleTest {
     private static final int SEQUENCE_LENGTH = 9;
 
-    /** All sequences of up to nine events: two million. */
+    /** Tests all sequences of nine events, about two million. */
     @Test
     void everySequenceOfSignalsLeadsToValidActions() {
         int[] events = new int[SEQUENCE_LENGTH];
-        int played = 0;
+        int sequenceCount = 0;
         do {
-            play(events);
-            played++;
+            runSequence(events);
+            sequenceCount++;
         } while (nextSequence(events));
-        assertEquals((int) Math.pow(5, SEQUENCE_LENGTH), played);
+        assertEquals((int) Math.pow(5, SEQUENCE_LENGTH), sequenceCount);
     }
 
     private static boolean nextSequence(int[] events) {
@@ -34,10 +34,10 @@
     }
 
     /**
-     * 0 SIGHUP, 1 SIGTERM, 2 next step of the start, 3 reload ended, 4 drain ended; impossible events are
-     * skipped.
+     * Applies a sequence of events: 0 SIGHUP, 1 SIGTERM, 2 next step of the start, 3 reload ended, 4 drain ended.
+     * Events that are impossible in the current state are skipped.
      */
-    private static void play(int[] events) {
+    private static void runSequence(int[] events) {
         ProcessLifecycle lifecycle = new ProcessLifecycle();
         int startupPhase = 0;
         boolean terminated = false;
@@ -53,7 +53,7 @@
             } else if (event == 1) {
                 action = lifecycle.onTerminate();
                 if (terminated) {
-                    assertEquals(LifecycleAction.NONE, action, "told to end twice");
+                    assertEquals(LifecycleAction.NONE, action, "a second SIGTERM has an effect");
                 } else {
                     assertEquals(startupPhase > 0 ? LifecycleAction.DRAIN : LifecycleAction.EXIT, action);
                 }
@@ -64,7 +64,7 @@
                 assertTrue(lifecycle.tryOpenListener());
                 startupPhase = 1;
             } else if (event == 2 && startupPhase == 0) {
-                assertFalse(lifecycle.tryOpenListener(), "listens though it was told to end");
+                assertFalse(lifecycle.tryOpenListener(), "the listener opens after SIGTERM");
             } else if (event == 2 && startupPhase == 1) {
                 startupPhase = 2;
                 action = lifecycle.onListening();
@@ -76,13 +76,13 @@
                 ended = true;
             }
             if (action == LifecycleAction.RELOAD) {
-                assertFalse(reloading, "two reloads at once");
-                assertTrue(reloadPending && startupPhase > 0 && !ended, "a reload that nobody asked for");
+                assertFalse(reloading, "two reloads at the same time");
+                assertTrue(reloadPending && startupPhase > 0 && !ended, "a reload that was not requested");
                 reloading = true;
                 reloadPending = false;
             }
             // A requested reload is running or waits for the running one, unless the node is not listening.
-            assertTrue(!reloadPending || reloading || startupPhase < 2 || ended, "a reload was forgotten");
+            assertTrue(!reloadPending || reloading || startupPhase < 2 || ended, "a requested reload was not started");
         }
     }
 }
--- a/decision/src/test/java/weldhitch/decision/routing/RouteTableTest.java
+++ b/decision/src/test/java/weldhitch/decision/routing/RouteTableTest.java
@@ -54,7 +54,10 @@
         assertEquals("cancel", nameOfMatch(routes, "book", "GET", "/book/1/cancel?why=/x"));
         assertEquals("mine", nameOfMatch(routes, "book", "GET", "/book/mine/cancel"));
         assertEquals("me", nameOfMatch(routes, "book", "GET", "/book/mine?x"));
-        assertEquals("book", nameOfMatch(routes, "book", "GET", "/book//cancel"), "an empty part is no open one");
+        assertEquals(
+                "book",
+                nameOfMatch(routes, "book", "GET", "/book//cancel"),
+                "a wildcard does not match an empty segment");
         assertEquals("all", nameOfMatch(routes, "book", "GET", "/bookings"));
     }
 
@@ -89,7 +92,7 @@
                 () -> new RouteTable(List.of(route("a", null, null, "/x/*"), route("b", null, null, "/x/*"))));
     }
 
-    /** Compares the tree with a linear search, over patterns and paths of few segments so that many overlap. */
+    /** Compares the tree with a linear search, over patterns and paths of few segments so that many of them overlap. */
     @Test
     void lookupAgreesWithALinearScan() {
         String[] patternSegments = {"a", "b", "*"};
@@ -113,7 +116,7 @@
                 assertEquals(
                         bestByLinearScan(routes, method, target),
                         nameOfMatch(table, "x", method, target.isEmpty() ? "/" : target),
-                        seed + ": " + method + " " + target + " of " + seen);
+                        seed + ": " + method + " " + target + " with patterns " + seen);
             }
         }
     }
@@ -149,8 +152,8 @@
     }
 
     /**
-     * Sort key of specificity: per segment 3 for a literal, 2 for a wildcard; then 1 for a prefix's end, 2 for
-     * an end.
+     * Returns a sort key of specificity: for each segment 3 if it is a literal and 2 if it is a wildcard, then 1 for
+     * a prefix and 4 for an exact path, then 1 if a method is given.
      */
     private static String specificity(RoutePattern pattern) {
         StringBuilder key = new StringBuilder();
--- a/decision/src/test/java/weldhitch/decision/settings/BalancerSettingsTest.java
+++ b/decision/src/test/java/weldhitch/decision/settings/BalancerSettingsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.function.Executable;
 import weldhitch.decision.balancing.BalancerHarness;
 
-/** Tests that settings out of range are rejected by name. */
+/** Tests that a setting out of range is rejected with an error that names it. */
 class BalancerSettingsTest {
     private static void assertNamesSetting(String setting, Executable construction) {
         IllegalArgumentException e = assertThrows(IllegalArgumentException.class, construction);
