--- a/consensus/src/main/java/weldhitch/rollout/RestartBackoff.java
+++ b/consensus/src/main/java/weldhitch/rollout/RestartBackoff.java
@@ -31,7 +31,7 @@
      * @param initialDelay the delay before the first restart
      * @param maxDelay the maximum delay, at which doubling stops
      * @param resetAfter how long the instance must run for the delay to be reset
-     * @param maxExits the number of exits within {@code exitWindow} that is a crash loop
+     * @param maxExits the number of exits within {@code exitWindow} that constitutes a crash loop
      * @param exitWindow the period over which exits are counted
      */
     public RestartBackoff(long initialDelay, long maxDelay, long resetAfter, int maxExits, long exitWindow) {
--- a/consensus/src/test/java/weldhitch/rollout/RolloutDecisionsTest.java
+++ b/consensus/src/test/java/weldhitch/rollout/RolloutDecisionsTest.java
@@ -86,7 +86,7 @@
                 instance("e", "y", 1, true));
         CapacityGuard guard = new CapacityGuard(0.5);
         assertEquals(
-                List.of(), guard.findShortages(instances, Set.of("a", "d")), "removing an unavailable instance");
+                List.of(), guard.findShortages(instances, Set.of("a", "d")), "unavailable instances are no loss");
         assertEquals(2, guard.findShortages(instances, Set.of("c")).size(), "expected a shortage of site and tier");
     }
 
--- a/decision/src/main/java/weldhitch/decision/connection/ConnectionReusePolicy.java
+++ b/decision/src/main/java/weldhitch/decision/connection/ConnectionReusePolicy.java
@@ -16,9 +16,12 @@
  */
 public final class ConnectionReusePolicy {
     private static final long MILLI = 1_000_000L;
-    /** Allowed without any observation: an endpoint hardly ever closes a connection so soon after using it. */
+    /**
+     * The idle time that is allowed without any observation, because an endpoint hardly ever closes a connection so
+     * soon after using it.
+     */
     public static final long DEFAULT_MAX_IDLE = 100 * MILLI;
-    /** How long a failure suspends reuse, and how long an answer proves the idle time that preceded it. */
+    /** The time for which a failure suspends reuse, and for which an answer proves the idle time before it. */
     static final long OBSERVATION_LIFETIME = 10_000 * MILLI;
 
     private long suspendedUntil = Long.MIN_VALUE;
--- a/decision/src/main/java/weldhitch/decision/discovery/DiscoveryPolling.java
+++ b/decision/src/main/java/weldhitch/decision/discovery/DiscoveryPolling.java
@@ -120,7 +120,7 @@
     private long responseTimeout = MIN_RESPONSE_TIMEOUT;
     private int consecutiveFailures;
     private int invalidAnswers;
-    /** Why the last poll failed; null if it succeeded. */
+    /** The reason why the last poll failed; null if it succeeded. */
     private PollFailure lastFailure;
     /**
      * Number of doublings of all backoffs: each sign of an overloaded service adds one, and successes remove them
--- a/decision/src/main/java/weldhitch/decision/lifecycle/ProcessLifecycle.java
+++ b/decision/src/main/java/weldhitch/decision/lifecycle/ProcessLifecycle.java
@@ -8,11 +8,11 @@
  * <table>
  * <caption>Effect of a signal by state</caption>
  * <tr><th></th><th>SIGHUP</th><th>SIGTERM</th></tr>
- * <tr><td>before listening</td><td>a reload, once the listener is open</td><td>exit, as no connection has been
+ * <tr><td>before listening</td><td>a reload, once the listener is open</td><td>exit, because no connection has been
  * accepted; the listener is never opened</td></tr>
  * <tr><td>serving</td><td>a reload</td><td>drain</td></tr>
- * <tr><td>reloading</td><td>one more reload afterwards, however many signals arrive, as it reads the newest
- * files</td><td>drain at once, as a reload may wait for a slow disk</td></tr>
+ * <tr><td>reloading</td><td>one more reload afterwards, however many signals arrive, because it reads the
+ * newest files</td><td>drain at once, because a reload may wait for a slow disk</td></tr>
  * <tr><td>draining</td><td>a reload, so that the remaining requests use the newest endpoint list</td><td>no
  * effect</td></tr>
  * <tr><td>terminated</td><td>no effect</td><td>no effect</td></tr>
--- a/decision/src/test/java/weldhitch/decision/connection/PollHistoryTest.java
+++ b/decision/src/test/java/weldhitch/decision/connection/PollHistoryTest.java
@@ -52,7 +52,7 @@
         assertEquals(now, PollHistory.assumedArrival(now, now));
         assertEquals(now, PollHistory.assumedArrival(now, now - PollHistory.IGNORED_AGE));
         assertEquals(now - 1, PollHistory.assumedArrival(now, now - PollHistory.IGNORED_AGE - 1));
-        assertTrue(PollHistory.IGNORED_AGE < 150 * MILLI, "exceeds the time that a server may be sent in excess");
+        assertTrue(PollHistory.IGNORED_AGE < 150 * MILLI, "the ignored age exceeds the 150 ms that are tolerated");
     }
 
     @Test
--- a/decision/src/test/java/weldhitch/decision/discovery/DiscoveryPollingTest.java
+++ b/decision/src/test/java/weldhitch/decision/discovery/DiscoveryPollingTest.java
@@ -44,7 +44,7 @@
         assertEquals(500 * MS, polling.responseTimeout());
     }
 
-    /** All nodes fail at the same moment. */
+    /** The polls of all nodes fail at the same moment. */
     @Test
     void pollsAfterASharedFailureAreJittered() {
         int[] byTenth = new int[10];
@@ -124,7 +124,7 @@
         assertTrue(max < 6 * SECOND, max / MS + " ms");
     }
 
-    /** An agent whose answers take 2 s or more must be received again after a failed poll. */
+    /** Regression: after a failed poll, answers of an agent that took 2 s or more were never received again. */
     @Test
     void slowAgentAnswersInTimeAfterAnyFailure() {
         for (PollFailure failure : PollFailure.values()) {
