--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -46,10 +46,10 @@
                     .orElseThrow();
             int fromEntry = fleet.eventLog.entries().size();
             fleet.submit(follower, CoordinatedFleet.routeVersion(2600));
-            fleet.eventLog.awaitEntry(fromEntry, 20, e -> e.event().contains("version 2 is committed"));
+            fleet.eventLog.awaitEntry(fromEntry, 20, e -> e.event().contains("version 2 committed"));
             fleet.processes.get(leader).signal("KILL");
             fleet.eventLog.awaitEntry(
-                    fromEntry, 20, e -> !e.source().equals(leader) && e.event().contains("leads, followed by"));
+                    fromEntry, 20, e -> !e.source().equals(leader) && e.event().contains("became leader, followed by"));
             fleet.processes.get(leader).start();
             fleet.awaitActive(2);
             // 3: the leader is suspended after the submission until another one leads, and resumes with
@@ -67,7 +67,7 @@
             fleet.eventLog.awaitEntry(
                     fromEntry,
                     20,
-                    e -> !e.source().equals(pausedLeader) && e.event().contains("leads, followed by"));
+                    e -> !e.source().equals(pausedLeader) && e.event().contains("became leader, followed by"));
             fleet.processes.get(pausedLeader).signal("CONT");
             fleet.awaitActive(3);
             List<String> violations = fleet.stopAndCheckInvariants(false);
@@ -307,10 +307,10 @@
                     .awaitEntry(
                             fromEntry,
                             20,
-                            e -> e.source().equals("s1") && e.event().contains("is aborted"))
+                            e -> e.source().equals("s1") && e.event().contains(" aborted"))
                     .event();
             assertTrue(
-                    abortEvent.contains("version 1 is aborted: n2: version-1.toml:3: error: class.read.attempts: 4 is "
+                    abortEvent.contains("version 1 aborted: n2: version-1.toml:3: error: class.read.attempts: 4 is "
                             + "more than the platform's 3"),
                     abortEvent);
             fleet.eventLog.awaitEntry(
@@ -354,7 +354,7 @@
             String description = "seed " + seed + "\n" + Fault.format(schedule) + "\n";
             Thread submitter = TestSupport.startDaemon(() -> {
                 fleet.submit(fleet.coordinators().get((int) (seed % 3)), CoordinatedFleet.routeVersion(2500));
-                fleet.eventLog.awaitEntry(0, 30, e -> e.event().matches(".*version 1 is (in force\"|aborted.*)"));
+                fleet.eventLog.awaitEntry(0, 30, e -> e.event().matches(".*version 1 (active\"|aborted.*)"));
                 fleet.submit(fleet.coordinators().get((int) ((seed + 1) % 3)), CoordinatedFleet.routeVersion(2600));
             });
             fleet.faultInjector.runSchedule(schedule);
--- a/coordinator/src/main/java/weldhitch/coordinator/core/ConsensusDriver.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/ConsensusDriver.java
@@ -12,18 +12,19 @@
 import weldhitch.fleet.activation.LeaseTiming;
 
 /**
- * Drives the consensus of {@code weldhitch.consensus}: this coordinator's acceptor, at most one proposal of its
- * own at a time with its retries, and the recovery of coordinators that missed a commit.
+ * Drives the consensus of {@code weldhitch.consensus} on behalf of one coordinator. It owns the coordinator's acceptor,
+ * runs at most one proposal of this coordinator at a time, retries that proposal, and brings coordinators that missed a
+ * commit up to date.
  *
  * <p>Not thread-safe; owned by {@link CoordinatorCore}. Times are nanoseconds of this process's monotonic clock.
  */
 final class ConsensusDriver {
     /** Receives the results of proposals, synchronously and before the next message is sent. */
     interface Listener {
-        /** The committed state may have changed, by whichever proposer. */
+        /** Called when the committed state may have changed, whichever coordinator proposed the change. */
         void onCommitted(long now, List<Effect> effects);
 
-        /** The no-op by which this coordinator confirms its leadership is committed. */
+        /** Called when the no-op by which this coordinator confirms its leadership is committed. */
         void onLeadershipConfirmed(long now);
     }
 
@@ -35,9 +36,9 @@
     private final Jitter jitter;
     private final Listener listener;
     private Acceptor acceptor;
-    /** Since when the acceptor has had a promise or an accepted value that is not committed. */
+    /** Time since which the acceptor has had a promise or an accepted value that is not committed. */
     private long proposalOpenSince;
-    /** The proposal in progress, or null. */
+    /** The proposal in progress; null if there is none. */
     private Proposer proposer;
 
     private Command proposedCommand;
@@ -46,7 +47,7 @@
     private long commandCount;
 
     /**
-     * Restores the acceptor.
+     * Creates a driver whose acceptor continues from a restored state.
      *
      * @param voting whether the acceptor votes; if not, it only learns what others have committed
      */
@@ -72,13 +73,13 @@
         return acceptor.committed().generation();
     }
 
-    /** Returns to the state on disk and abandons the proposal in progress. */
+    /** Restores the state that is on disk and abandons the proposal in progress. */
     void rollBack(AcceptorState persistedState) {
         acceptor = new Acceptor(config.name(), persistedState);
         proposer = null;
     }
 
-    /** A leadership begins: the age of an open proposal counts from now. */
+    /** Starts a leadership: abandons the proposal in progress and measures the age of an open proposal from now. */
     void startLeadership(long now) {
         proposer = null;
         proposalOpenSince = now;
@@ -92,12 +93,12 @@
         return proposer != null;
     }
 
-    /** Whether the proposal in progress has that action. */
+    /** Returns whether the command of the proposal in progress has this action. */
     boolean isProposing(Command.Action action) {
         return proposer != null && proposedCommand.action() == action;
     }
 
-    /** Whether a proposal of another coordinator has been open for longer than a leader's lease. */
+    /** Returns whether a proposal of another coordinator has been open for longer than a leader lease. */
     boolean hasAbandonedProposal(long now) {
         if (!acceptor.hasOpenProposal()) {
             proposalOpenSince = now;
@@ -105,17 +106,17 @@
         return now - proposalOpenSince > timing.leaderLease();
     }
 
-    /** Returns a command id that is unique among all coordinators and starts. */
+    /** Returns a command id that is unique among all coordinators and all starts of a coordinator. */
     String nextCommandId() {
         return config.proposerName() + "/" + ++commandCount;
     }
 
-    /** Proposes a no-op, which also completes whatever another coordinator left undecided. */
+    /** Proposes a no-op, which also completes a proposal that another coordinator left undecided. */
     void proposeLeadershipNoOp(long now, List<Effect> effects) {
         propose(FleetState.leadershipNoOp(config.name(), LEADERSHIP_COMMAND_PREFIX + nextCommandId()), now, effects);
     }
 
-    /** Starts a proposal; there must be none in progress. */
+    /** Starts a proposal; no other proposal may be in progress. */
     void propose(Command command, long now, List<Effect> effects) {
         proposedCommand = command;
         proposer = new Proposer(config.proposerName(), config.coordinators(), acceptor.committed(), command, ++round);
@@ -123,7 +124,7 @@
         sendToAcceptors(proposer.startRound(), now, effects);
     }
 
-    /** Starts another round of the proposal in progress once it has waited for a random time. */
+    /** Starts another round of the proposal in progress if a randomized retry delay has passed. */
     void retryIfDue(long now, List<Effect> effects) {
         if (proposer != null && now - proposedAt > timing.leaderLease() / 2 + jitter.below(timing.leaderLease() / 2)) {
             proposedAt = now;
@@ -132,8 +133,8 @@
     }
 
     /**
-     * Sends a proposer's message to all acceptors, this coordinator's own included, and handles the reply of
-     * the latter.
+     * Sends a proposer's message to all acceptors, this coordinator's own included, and handles the reply of its own
+     * acceptor.
      */
     private void sendToAcceptors(Message message, long now, List<Effect> effects) {
         Message next = message;
@@ -159,7 +160,7 @@
         }
     }
 
-    /** Replies as an acceptor to another coordinator's proposer. */
+    /** Handles a consensus message of another coordinator's proposer and replies as its acceptor. */
     void onRequest(long now, String from, PeerMessage.ConsensusRequest request, List<Effect> effects) {
         Reply reply = voting || request.message() instanceof Message.Learn
                 ? acceptor.onMessage(request.message())
@@ -168,7 +169,7 @@
         effects.add(new Send(from, new PeerMessage.ConsensusReply(request.proposer(), reply)));
     }
 
-    /** Handles an acceptor's reply; learns the committed state if the reply shows a later one. */
+    /** Handles an acceptor's reply and adopts the committed state in it if that is later than the one known here. */
     void onReply(long now, PeerMessage.ConsensusReply response, List<Effect> effects) {
         if (proposer != null && response.proposer().equals(config.proposerName())) {
             sendToAcceptors(proposer.onReply(response.reply()), now, effects);
@@ -180,7 +181,7 @@
         }
     }
 
-    /** Sends the committed state to another coordinator if that one knows an earlier one. */
+    /** Sends the committed state to another coordinator if that one knows only an earlier generation. */
     void catchUp(String peer, long knownGeneration, List<Effect> effects) {
         if (knownGeneration < generation()) {
             effects.add(new Send(
--- a/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorConfig.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorConfig.java
@@ -7,9 +7,9 @@
  * The configuration of one coordinator. Immutable.
  *
  * @param name this coordinator's name, one of {@code coordinators}
- * @param incarnation unique for each start, as no two active proposers may share a name
+ * @param incarnation unique for each start, because no two active proposers may share a name
  * @param coordinators names of all coordinators
- * @param missingMemberPolicy what becomes of a version when a member does not vote
+ * @param missingMemberPolicy how a version is decided when a member does not vote
  */
 public record CoordinatorConfig(
         String name,
--- a/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorCore.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorCore.java
@@ -13,11 +13,12 @@
 import weldhitch.fleet.activation.MemberHeartbeatResponse;
 
 /**
- * The decisions of a coordinator, as a pure event handler. It routes each event to the collaborator in charge and
- * decides which command is proposed next; election, heartbeats, consensus, membership, voting and submissions each
- * have a class of their own. Every event carries the time of this process's monotonic clock, in nanoseconds. After each
- * event the owner writes {@link #acceptorState} to disk if it has changed, before it executes the returned effects; if
- * the write fails, it executes none of them and calls {@link #rollBack}.
+ * Makes the decisions of a coordinator as a pure event handler. It routes each event to the class in charge and decides
+ * which command is proposed next. Election, heartbeats, consensus, membership, voting and submissions each have a class
+ * of their own. Every event carries the time of this process's monotonic clock, in nanoseconds.
+ *
+ * <p>After each event, if {@link #acceptorState} has changed, the owner writes it to disk before it executes the
+ * returned effects. If the write fails, the owner executes none of the effects and calls {@link #rollBack}.
  *
  * <p>Not thread-safe.
  */
@@ -35,7 +36,7 @@
     private final VersionVoting versionVoting;
     private final SubmissionQueue submissions;
     private FleetState fleetState;
-    /** Whether the first command of this leadership is committed, so that all earlier ones are known too. */
+    /** Whether the first command of this leadership is committed, which implies that all earlier ones are known. */
     private boolean leaderReady;
 
     private long leadingSince;
@@ -44,15 +45,15 @@
      * Restores a coordinator that has just started.
      *
      * @param acceptorState the acceptor's state on disk
-     * @param voting whether it votes; false if its disk may have lost a promise
+     * @param voting whether this coordinator votes; false if its disk may have lost a promise
      * @param now time of this process's monotonic clock, in nanoseconds
-     * @param seed of the random election and retry delays, and of the first term
+     * @param seed seed of the random election and retry delays, and of the first term
      */
     public CoordinatorCore(CoordinatorConfig config, AcceptorState acceptorState, boolean voting, long now, long seed) {
         this(config, acceptorState, voting, now, seed, Safeguards.ALL);
     }
 
-    /** As above with some safeguards disabled, for tests that show what breaks without them. */
+    /** Restores a coordinator with some safeguards disabled, for tests that show what breaks without them. */
     CoordinatorCore(
             CoordinatorConfig config,
             AcceptorState acceptorState,
@@ -82,8 +83,8 @@
     }
 
     /**
-     * The state that {@link #acceptorState} returned could not be written: returns to the state on disk, and abandons
-     * the proposal and the leadership of this coordinator.
+     * Returns to the state on disk after a state returned by {@link #acceptorState} could not be written, and abandons
+     * this coordinator's proposal and leadership.
      */
     public void rollBack(AcceptorState persistedState) {
         consensus.rollBack(persistedState);
@@ -92,27 +93,27 @@
         leaderReady = false;
     }
 
-    /** Returns the route versions and members as committed. */
+    /** Returns the committed route versions and members. */
     public FleetState fleetState() {
         return fleetState;
     }
 
-    /** Returns the last generation known here to be committed. */
+    /** Returns the last generation that this coordinator knows to be committed. */
     public long generation() {
         return consensus.generation();
     }
 
-    /** Whether this coordinator is the leader, knows all committed commands, and may act. */
+    /** Returns whether this coordinator is the leader, knows all committed commands, and may act. */
     public boolean isLeader(long now) {
         return elections.isLeader(now) && leaderReady;
     }
 
-    /** Returns when this coordinator's leadership began, by its clock; 0 if it is not the leader. */
+    /** Returns when this coordinator's leadership began, by its own clock; 0 if it is not the leader. */
     public long leadingSince() {
         return leadingSince;
     }
 
-    /** Returns the leader as far as known here, or null. */
+    /** Returns the leader as far as this coordinator knows; null if it knows none. */
     public String leader(long now) {
         return elections.leader(now);
     }
@@ -122,17 +123,17 @@
         return elections.followerCount(now);
     }
 
-    /** Returns the members that hold a lease of this leader at {@code now}. */
+    /** Returns the members that hold a lease granted by this leader at {@code now}. */
     public Set<String> leaseHolders(long now) {
         return leases.holders(now);
     }
 
-    /** Returns the interval at which {@link #tick} has to be called, in nanoseconds. */
+    /** Returns the maximum interval between calls of {@link #tick}, in nanoseconds. */
     public long tickInterval() {
         return timing.leaderLease() / 40;
     }
 
-    /** Does what is due by now. To be called at least every {@link #tickInterval}. */
+    /** Does what is due by now. Must be called at least every {@link #tickInterval}. */
     public List<Effect> tick(long now) {
         List<Effect> effects = new ArrayList<>();
         expireLeadership(now, effects);
@@ -177,8 +178,8 @@
     }
 
     /**
-     * Handles a member's call, and answers it from the current state. The call may change what is proposed
-     * next, so the owner calls {@link #tick} soon after.
+     * Handles a member's call and returns the response according to the current state. The call may change what is
+     * proposed next, so the owner should call {@link #tick} soon after.
      */
     public MemberHeartbeatResponse onMemberCall(long now, MemberHeartbeat call) {
         if (!isLeader(now)) {
@@ -219,7 +220,7 @@
         List<Effect> effects = new ArrayList<>();
         expireLeadership(now, effects);
         if (fleetState.submissionIds().contains(submissionId)) {
-            // Prepared before this process started, or by another coordinator.
+            // The version was prepared before this process started, or by another coordinator.
             effects.add(new Submitted(submissionId, 0));
             return effects;
         }
@@ -229,7 +230,7 @@
     }
 
     /**
-     * Removes a member for good, at an operator's request. Only the leader can do so; returns false on any
+     * Removes a member permanently, at an operator's request. Only the leader can remove members; returns false on any
      * other coordinator.
      */
     public boolean removeMember(long now, String member) {
@@ -241,8 +242,8 @@
     }
 
     /**
-     * A leader whose lease has expired, for example because its process was suspended, steps down before it
-     * does anything else.
+     * Steps down if the leader's lease has expired, for example because the process was suspended. Called before any
+     * other action of an event.
      */
     private void expireLeadership(long now, List<Effect> effects) {
         if (leadingSince > 0 && !elections.isLeader(now)) {
@@ -268,11 +269,11 @@
         leases.clear();
         heartbeats.startLeadership(now);
         clock.startLeadership(now, fleetState, config.proposerName() + "/" + elections.term());
-        effects.add(new LogEvent("leads, followed by " + elections.followerCount(now) + " of "
+        effects.add(new LogEvent("became leader, followed by " + elections.followerCount(now) + " of "
                 + config.coordinators().size()));
     }
 
-    /** Proposes the next command, unless a proposal is in progress. */
+    /** Proposes the next command unless a proposal is in progress. */
     private void proposeNext(long now, List<Effect> effects) {
         if (!voting || consensus.isProposing()) {
             return;
@@ -283,7 +284,7 @@
         }
         boolean proposalAbandoned = consensus.hasAbandonedProposal(now);
         if (!leaderReady || proposalAbandoned) {
-            // Completes whatever a former leader, or a coordinator with a submission, left undecided.
+            // The no-op completes a proposal that a former leader, or a coordinator with a submission, left undecided.
             consensus.proposeLeadershipNoOp(now, effects);
             return;
         }
@@ -300,7 +301,7 @@
                 : versionVoting.nextCommand(now, fleetState, effects);
     }
 
-    /** Adopts what the consensus commits. */
+    /** Adopts the state that the consensus commits. */
     private final class CommitHandler implements ConsensusDriver.Listener {
         @Override
         public void onCommitted(long now, List<Effect> effects) {
--- a/coordinator/src/main/java/weldhitch/coordinator/core/Effect.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/Effect.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import weldhitch.fleet.error.FleetError;
 
-/** An effect that the owner of a {@link CoordinatorCore} executes, once the acceptor's state is on disk. Immutable. */
+/** An effect that a {@link CoordinatorCore}'s owner executes once the acceptor's state is on disk. Immutable. */
 public sealed interface Effect {
 
     /** Sends a message to another coordinator. */
@@ -21,8 +21,8 @@
     record ReportError(FleetError error) implements Effect {}
 
     /**
-     * The file submitted under that id has become a version; {@code versionNumber} is its number, 0 if that is
-     * not known any more.
+     * Reports that the file of a submission has become a version. {@code versionNumber} is its number, or 0 if the
+     * number is no longer known.
      */
     record Submitted(String submissionId, long versionNumber) implements Effect {}
 }
--- a/coordinator/src/main/java/weldhitch/coordinator/core/ElectionProtocol.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/ElectionProtocol.java
@@ -5,9 +5,9 @@
 import weldhitch.fleet.activation.LeaseTiming;
 
 /**
- * Runs elections: when this coordinator becomes a candidate, abandons a split vote and retries after a random
- * delay (the randomized election timeout of Raft), and how it replies to other candidates. Which votes are valid
- * is decided by {@link LeaderElection}.
+ * Runs elections. It decides when this coordinator becomes a candidate, abandons a split vote and retries after a
+ * random delay (the randomized election timeout of Raft), and it replies to other candidates. {@link LeaderElection}
+ * decides which votes are valid.
  *
  * <p>Not thread-safe; owned by {@link CoordinatorCore}. Times are nanoseconds of this process's monotonic clock.
  */
@@ -21,13 +21,13 @@
     private final Jitter jitter;
     private final LeaderElection election;
     private long nextElectionAt;
-    /** Until when this candidate waits for a majority of votes. */
+    /** Time until which this candidate waits for a majority of votes. */
     private long electionDeadline = NO_ELECTION;
 
     /**
      * Starts as a follower.
      *
-     * @param voting whether this coordinator votes and stands for election
+     * @param voting whether this coordinator votes and may become a candidate
      */
     ElectionProtocol(CoordinatorConfig config, boolean voting, Jitter jitter, long now) {
         this.config = config;
@@ -38,7 +38,7 @@
         nextElectionAt = now + timing.leaderLease() + jitter.below(timing.leaderLease() / 4);
     }
 
-    /** Whether this coordinator holds a valid majority of votes. */
+    /** Returns whether this coordinator holds a valid majority of votes. */
     boolean isLeader(long now) {
         return election.isLeader(now);
     }
@@ -51,7 +51,7 @@
         return election.followerCount(now);
     }
 
-    /** Returns the leader as far as known here, or null. */
+    /** Returns the leader as far as this coordinator knows; null if it knows none. */
     String leader(long now) {
         if (election.isLeader(now)) {
             return config.name();
@@ -61,13 +61,14 @@
     }
 
     /**
-     * Abandons an election without a majority, or starts one if it is due; to be called while not the leader.
-     * Returns whether an election was started, which a single coordinator wins at once.
+     * Abandons an election that has reached its deadline without a majority, or starts one if it is due. Must be called
+     * only while this coordinator is not the leader. Returns whether an election was started; a cluster of a single
+     * coordinator wins it at once.
      */
     boolean onTick(long now, List<Effect> effects) {
         if (electionDeadline > NO_ELECTION && now >= electionDeadline) {
-            // Two concurrent candidates may get half of the other votes each: both release them, and retry
-            // after random delays.
+            // Two concurrent candidates may each hold half of the other votes. Both release them and retry after
+            // random delays.
             electionDeadline = NO_ELECTION;
             nextElectionAt = now + jitter.below(timing.leaderLease());
             Send.toAll(config.peers(), new PeerMessage.VoteRelease(election.abandonElection(now)), effects);
@@ -81,7 +82,7 @@
         return false;
     }
 
-    /** Votes for the candidate if that is allowed, and postpones an election of this coordinator's own. */
+    /** Votes for the candidate if that is allowed, and then postpones this coordinator's own next election. */
     void onVoteRequest(long now, String from, PeerMessage.VoteRequest request, List<Effect> effects) {
         if (voting && !election.isLeader(now) && election.grantVote(from, request.term(), now)) {
             nextElectionAt =
@@ -98,7 +99,7 @@
         election.releaseVote(from, release.term(), now);
     }
 
-    /** Renews the vote for the sender of a heartbeat; false if this coordinator does not follow it. */
+    /** Renews the vote for the sender of a heartbeat; returns false if this coordinator does not follow it. */
     boolean renewVote(long now, String from, long term) {
         if (!voting || election.isLeader(now) || !election.grantVote(from, term, now)) {
             return false;
@@ -107,17 +108,17 @@
         return true;
     }
 
-    /** Records that the leader's next heartbeat is sent now; returns its sequence number. */
+    /** Records that the leader's next heartbeat is sent now, and returns its sequence number. */
     long nextHeartbeat(long now) {
         return election.nextHeartbeat(now);
     }
 
-    /** Counts the acknowledgement of a heartbeat as a vote; returns whether it is of the current term. */
+    /** Counts the acknowledgement of a heartbeat as a vote, and returns whether it belongs to the current term. */
     boolean onHeartbeatAck(String from, PeerMessage.HeartbeatAck ack) {
         return election.onHeartbeatAck(from, ack.term(), ack.sequence());
     }
 
-    /** Becomes the leader if a majority has voted for this coordinator; returns true only when that is new. */
+    /** Becomes the leader if a majority has voted for this coordinator; returns true only if it was not one before. */
     boolean becomeLeaderIfElected(long now) {
         if (!election.becomeLeaderIfElected(now)) {
             return false;
@@ -126,12 +127,12 @@
         return true;
     }
 
-    /** The lease of this leader has expired: schedules the next election after a random delay. */
+    /** Schedules the next election after a random delay, because this leader's lease has expired. */
     void onLeadershipExpired(long now) {
         nextElectionAt = now + jitter.below(timing.leaderLease());
     }
 
-    /** Gives up the leadership at once. */
+    /** Gives up leadership immediately. */
     void stepDown() {
         election.stepDown();
     }
--- a/coordinator/src/main/java/weldhitch/coordinator/core/FleetClock.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/FleetClock.java
@@ -4,16 +4,15 @@
 import weldhitch.fleet.activation.ClockEstimate;
 
 /**
- * The clock by which the leader announces activation times. A new leader continues its predecessor's clock if an
- * activation time was announced by that one, as precisely as it is known from heartbeats; otherwise it starts a
- * clock of its own.
+ * The clock in which the leader announces activation times. If a former leader has announced an activation time, a new
+ * leader continues that leader's clock, as precisely as it knows it from heartbeats. Otherwise it starts a new clock.
  *
  * <p>Not thread-safe; owned by {@link CoordinatorCore}. Times are nanoseconds.
  */
 final class FleetClock {
     private final ClockEstimate leaderClock;
     private String id;
-    /** The fleet clock reads this process's monotonic clock plus {@code offset}, to within {@code errorBound}. */
+    /** Difference of the fleet clock to this process's monotonic clock, known to within {@link #errorBound}. */
     private long offset;
 
     private long errorBound;
@@ -23,18 +22,18 @@
     }
 
     /**
-     * Records what a heartbeat shows of the leader's clock.
+     * Records a reading of the leader's clock that a heartbeat provides.
      *
-     * @param localTime when this process read its own clock
-     * @param reading the leader's clock at that time, to within {@code error}
+     * @param localTime time of this process's clock at the reading
+     * @param reading the leader's clock at {@code localTime}, to within {@code error}
      */
     void addLeaderReading(String clockId, long localTime, long reading, long error) {
         leaderClock.addReading(clockId, localTime, localTime, reading, error);
     }
 
     /**
-     * Continues the clock of the pending version's activation time if that is known here, otherwise starts a new
-     * one.
+     * Continues the clock of the pending version's activation time if this coordinator has readings of it, otherwise
+     * starts a new clock.
      *
      * @param newClockId id of the new clock
      */
@@ -52,7 +51,7 @@
         }
     }
 
-    /** Returns the id of the clock of this leadership; null before the first. */
+    /** Returns the id of the clock of this leadership; null before the first leadership. */
     String id() {
         return id;
     }
@@ -67,7 +66,7 @@
         return errorBound;
     }
 
-    /** Whether the activation time of {@code outcome} is a time of this clock. */
+    /** Returns whether the activation time of {@code outcome} refers to this clock. */
     boolean measures(ActivationOutcome outcome) {
         return outcome.clockId().equals(id);
     }
--- a/coordinator/src/main/java/weldhitch/coordinator/core/FleetState.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/FleetState.java
@@ -13,17 +13,17 @@
 import weldhitch.fleet.activation.RouteVersion;
 
 /**
- * The route versions and members according to the committed commands; also builds the commands that change
- * them. Immutable.
+ * The route versions and members according to the committed commands; also builds the commands that change them.
+ * Immutable.
  *
- * @param members incarnations by member
- * @param activeVersion the active version, the last one finalized
- * @param activeBundle its text; empty for {@link RouteVersion#OWN_FILE}
- * @param pendingVersion the version prepared after it, or null
- * @param pendingBundle its text, or null
- * @param outcome whether that version is committed or aborted, null while undecided
- * @param submissionIds ids of the submissions, the latest last; only the most recent are remembered
- * @param lastVersionNumber number of the version that was prepared last, 0 for none
+ * @param members incarnations by member name
+ * @param activeVersion the active version, which is the last one finalized
+ * @param activeBundle text of the active version; empty for {@link RouteVersion#OWN_FILE}
+ * @param pendingVersion the version that is prepared and not yet active; null if there is none
+ * @param pendingBundle text of the pending version; null if there is none
+ * @param outcome whether the version that was prepared last is committed or aborted; null while undecided
+ * @param submissionIds ids of the most recent submissions, the latest last
+ * @param lastVersionNumber number of the version that was prepared last; 0 if there is none
  */
 public record FleetState(
         Map<String, String> members,
@@ -95,7 +95,7 @@
                 List.of());
     }
 
-    /** Returns the text of that version if it is active or pending; otherwise null. */
+    /** Returns the text of the version with this number if it is active or pending; otherwise null. */
     public String bundleOf(long number) {
         return pendingVersion != null && pendingVersion.number() == number
                 ? pendingBundle
--- a/coordinator/src/main/java/weldhitch/coordinator/core/FleetStateChanges.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/FleetStateChanges.java
@@ -9,31 +9,31 @@
 final class FleetStateChanges {
     private FleetStateChanges() {}
 
-    /** Whether another version is pending in {@code current}. */
+    /** Returns whether {@code current} has a pending version that is not the pending one of {@code previous}. */
     static boolean isNewVersionPending(FleetState previous, FleetState current) {
         return current.pendingVersion() != null && !current.pendingVersion().equals(previous.pendingVersion());
     }
 
-    /** Returns the events of versions, in the order of their phases: pending, committed, aborted, active. */
+    /** Returns the events of versions in the order of the phases: pending, committed, aborted, active. */
     static List<LogEvent> versionEvents(FleetState previous, FleetState current) {
         List<LogEvent> events = new ArrayList<>();
         if (isNewVersionPending(previous, current)) {
             events.add(new LogEvent("version " + current.pendingVersion().number() + " "
-                    + current.pendingVersion().sha256() + " is laid before "
+                    + current.pendingVersion().sha256() + " proposed to "
                     + current.members().size() + " members"));
         }
         ActivationOutcome outcome = current.outcome();
         if (outcome != null && outcome.committed() && !outcome.equals(previous.outcome())) {
-            events.add(new LogEvent("version " + outcome.version() + " is committed for "
+            events.add(new LogEvent("version " + outcome.version() + " committed, activates at "
                     + outcome.activationTime() / 1_000_000 + " ms of clock "
                     + outcome.clockId()));
         }
         if (isAborted(previous, current)) {
             events.add(new LogEvent(
-                    "version " + previous.pendingVersion().number() + " is aborted" + abortReasons(previous, outcome)));
+                    "version " + previous.pendingVersion().number() + " aborted" + abortReasons(previous, outcome)));
         }
         if (current.activeVersion().number() > previous.activeVersion().number()) {
-            events.add(new LogEvent("version " + current.activeVersion().number() + " is in force"));
+            events.add(new LogEvent("version " + current.activeVersion().number() + " active"));
         }
         return events;
     }
@@ -50,7 +50,7 @@
         return reasonsKnown ? ": " + String.join("; ", outcome.reasons()) : "";
     }
 
-    /** Returns the event of a change of membership. */
+    /** Returns the event that reports a change of membership. */
     static LogEvent membershipEvent(FleetState current) {
         return new LogEvent("membership changed members=" + current.members().size());
     }
--- a/coordinator/src/main/java/weldhitch/coordinator/core/HeartbeatExchange.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/HeartbeatExchange.java
@@ -6,13 +6,13 @@
 import weldhitch.coordinator.core.Effect.Send;
 
 /**
- * The heartbeats between a leader and its followers: they renew the votes, and carry the readings from which a
- * follower estimates the leader's clock.
+ * Exchanges heartbeats between a leader and its followers. Heartbeats renew the votes and carry the clock readings from
+ * which a follower estimates the leader's clock.
  *
  * <p>Not thread-safe; owned by {@link CoordinatorCore}. Times are nanoseconds of this process's monotonic clock.
  */
 final class HeartbeatExchange {
-    /** An acknowledgement, and the fleet clock's reading when it arrived. */
+    /** The last acknowledgement of a follower, with the fleet clock's reading when it arrived. */
     private record ReceivedAck(long sequence, long receivedAt) {
         static final ReceivedAck NONE = new ReceivedAck(0, 0);
     }
@@ -31,13 +31,13 @@
         this.clock = clock;
     }
 
-    /** Drops the acknowledgements of an earlier leadership; the first heartbeat is due at once. */
+    /** Drops the acknowledgements of an earlier leadership and makes the first heartbeat due at once. */
     void startLeadership(long now) {
         lastAckByFollower.clear();
         nextHeartbeatAt = now;
     }
 
-    /** Sends a heartbeat to every follower if it is due; to be called while this coordinator leads. */
+    /** Sends a heartbeat to every follower if it is due. Must be called only while this coordinator is the leader. */
     void sendIfDue(long now, long generation, List<Effect> effects) {
         if (now < nextHeartbeatAt) {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Renews the vote for the sender and acknowledges; false, without a reply, if it is not followed. */
+    /** Renews the vote for the sender and acknowledges; returns false, without a reply, if it is not followed. */
     boolean onHeartbeat(long now, String from, PeerMessage.Heartbeat heartbeat, long generation, List<Effect> effects) {
         if (!elections.renewVote(now, from, heartbeat.term())) {
             return false;
@@ -68,8 +68,8 @@
         PeerMessage.Heartbeat previous = lastHeartbeatByLeader.put(from, heartbeat);
         Long answeredAt = answeredAtByLeader.put(from, now);
         if (previous != null && answeredAt != null && acknowledges(heartbeat, previous)) {
-            // The previous heartbeat was acknowledged at some moment between its sending and the arrival of the
-            // acknowledgement at the leader.
+            // The previous heartbeat was acknowledged between the time it was sent and the time the acknowledgement
+            // arrived at the leader.
             long halfRoundTrip = (heartbeat.ackedAt() - previous.clockReading()) / 2;
             clock.addLeaderReading(
                     heartbeat.clockId(),
@@ -87,7 +87,7 @@
                 && previous.clockId().equals(heartbeat.clockId());
     }
 
-    /** Counts a follower's acknowledgement as a vote, and echoes its arrival in the next heartbeat. */
+    /** Counts a follower's acknowledgement as a vote, and records its arrival for the next heartbeat. */
     void onHeartbeatAck(long now, String from, PeerMessage.HeartbeatAck ack) {
         if (elections.onHeartbeatAck(from, ack)) {
             lastAckByFollower.put(from, new ReceivedAck(ack.sequence(), clock.readingAt(now)));
--- a/coordinator/src/main/java/weldhitch/coordinator/core/Jitter.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/Jitter.java
@@ -3,10 +3,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The random delays of one coordinator, all from one seeded generator: the order of the calls determines the
+ * Generates the random delays of one coordinator from a single seeded generator. The order of the calls determines the
  * delays, so a run is reproducible.
  *
- * <p>Not thread-safe; shared by the collaborators of one {@link CoordinatorCore}.
+ * <p>Not thread-safe; shared by the classes that one {@link CoordinatorCore} consists of.
  */
 final class Jitter {
     private final SplittableRandom random;
@@ -15,12 +15,12 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Returns a random first election term, far from those of earlier starts with high probability. */
+    /** Returns a random first election term, which with high probability is far from those of earlier starts. */
     long firstTerm() {
         return random.nextLong() >>> 16;
     }
 
-    /** Returns a random delay from 0 to below {@code span}; 0, without a draw, if the span is not positive. */
+    /** Returns a random delay in [0, span); 0, without drawing a number, if {@code span} is not positive. */
     long below(long span) {
         return span <= 0 ? 0 : random.nextLong(span);
     }
--- a/coordinator/src/main/java/weldhitch/coordinator/core/LeaderElection.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/LeaderElection.java
@@ -5,11 +5,13 @@
 import weldhitch.fleet.activation.LeaseTiming;
 
 /**
- * Leader election with leases: at most one coordinator leads at a time, by votes that expire (after Gray and
- * Cheriton, "Leases", 1989). A coordinator votes for one leader for {@link LeaseTiming#leaderLease} from its reply on,
- * and for nobody else meanwhile. The leader counts the same vote from when it sent the message that the vote
- * answers, and for a shorter time, so that it stops before any coordinator may vote for another. Votes given
- * before a crash are unknown after it: a coordinator that has just started votes for nobody for the same time.
+ * Elects a leader with leases. At most one coordinator leads at a time, by votes that expire (after Gray and Cheriton,
+ * "Leases", 1989). A vote binds the coordinator that gives it for {@link LeaseTiming#leaderLease} from its reply on;
+ * meanwhile it votes for no other. The leader counts the same vote from when it sent the message that the vote answers,
+ * and for a shorter time, so it stops leading before any coordinator may vote for another.
+ *
+ * <p>Votes given before a crash are unknown after it. Therefore a coordinator that has just started votes for nobody
+ * for the duration of a leader lease.
  *
  * <p>Not thread-safe; owned by {@link CoordinatorCore}. Times are nanoseconds of this process's monotonic clock.
  */
@@ -17,12 +19,12 @@
     private final String name;
     private final int clusterSize;
     private final LeaseTiming timing;
-    /** The coordinator that this one has voted for, in which of its terms, and until when the vote is valid. */
+    /** The coordinator that this one voted for; the vote is for {@link #votedTerm} until {@link #voteExpiresAt}. */
     private String votedFor;
 
     private long votedTerm;
     private long voteExpiresAt;
-    /** This coordinator's own candidacy: its current term. */
+    /** The term of this coordinator's own candidacy. */
     private long term;
 
     private boolean leader;
@@ -42,11 +44,11 @@
         this.clusterSize = clusterSize;
         this.timing = timing;
         term = firstTerm;
-        // As if a vote had just been given: those given before this start are unknown.
+        // Votes given before this start are unknown, so behave as if one had just been given.
         voteExpiresAt = now + timing.leaderLease();
     }
 
-    /** Whether this coordinator may vote for {@code candidate} now. */
+    /** Returns whether this coordinator may vote for {@code candidate} now. */
     boolean canVoteFor(String candidate, long now) {
         return candidate.equals(votedFor) || now >= voteExpiresAt;
     }
@@ -61,8 +63,8 @@
     }
 
     /**
-     * Votes for {@code candidate} in its term {@code candidateTerm}, from now on; false if a vote for another
-     * one is still valid.
+     * Votes for {@code candidate} in its term {@code candidateTerm} from now on; returns false if a vote for another
+     * candidate is still valid.
      */
     boolean grantVote(String candidate, long candidateTerm, long now) {
         if (!canVoteFor(candidate, now)) {
@@ -74,7 +76,7 @@
         return true;
     }
 
-    /** The candidate that this coordinator voted for has abandoned that term, and will never lead in it. */
+    /** Ends the vote for a candidate that has abandoned this term and will never lead in it. */
     void releaseVote(String candidate, long candidateTerm, long now) {
         if (candidate.equals(votedFor) && candidateTerm == votedTerm) {
             voteExpiresAt = Math.min(voteExpiresAt, now);
@@ -82,7 +84,7 @@
     }
 
     /**
-     * Abandons this coordinator's candidacy in the current term, so that it may vote for others; returns the
+     * Abandons this coordinator's candidacy in the current term, so that it may vote for others, and returns the
      * abandoned term.
      */
     long abandonElection(long now) {
@@ -92,7 +94,7 @@
         return abandonedTerm;
     }
 
-    /** Starts an election; returns the new term. */
+    /** Starts an election and returns the new term. */
     long startElection(long now) {
         leader = false;
         term++;
@@ -105,14 +107,14 @@
         return term;
     }
 
-    /** Records a vote by another coordinator, in reply to the vote request of term {@code votedInTerm}. */
+    /** Records the vote of another coordinator in reply to the vote request of term {@code votedInTerm}. */
     void onVoteGranted(String voter, long votedInTerm) {
         if (votedInTerm == term) {
             votesCountFrom.merge(voter, electionStartedAt, Math::max);
         }
     }
 
-    /** Records that the next heartbeat is sent now; returns its sequence number. */
+    /** Records that the next heartbeat is sent now, and returns its sequence number. */
     long nextHeartbeat(long now) {
         heartbeatSentAt.put(++heartbeatSequence, now);
         heartbeatSentAt.remove(heartbeatSequence - 64);
@@ -122,8 +124,8 @@
     }
 
     /**
-     * Records another coordinator's acknowledgement of a heartbeat; returns whether that heartbeat belongs to
-     * the current term.
+     * Records another coordinator's acknowledgement of a heartbeat, and returns whether that heartbeat belongs to the
+     * current term.
      */
     boolean onHeartbeatAck(String voter, long ackedTerm, long sequence) {
         Long sentAt = ackedTerm == term ? heartbeatSentAt.get(sequence) : null;
@@ -138,8 +140,8 @@
     }
 
     /**
-     * Returns until when a majority, this coordinator included, has voted for it; {@link Long#MIN_VALUE}
-     * without a majority.
+     * Returns the time until which the votes of a majority, this coordinator's own included, are valid;
+     * {@link Long#MIN_VALUE} without a majority.
      */
     long leadershipExpiresAt() {
         long[] sortedStarts = votesCountFrom.values().stream()
@@ -152,13 +154,13 @@
                 : sortedStarts[sortedStarts.length - majority] + timing.usableLeaderLease();
     }
 
-    /** Whether this coordinator is the leader now; once it is not, it has to start another election. */
+    /** Returns whether this coordinator is the leader now; once it is not, it has to win another election. */
     boolean isLeader(long now) {
         leader &= now < leadershipExpiresAt();
         return leader;
     }
 
-    /** Becomes the leader if a majority has voted for this coordinator; returns true only when that is new. */
+    /** Becomes the leader if a majority has voted for this coordinator; returns true only if it was not one before. */
     boolean becomeLeaderIfElected(long now) {
         if (leader || now >= leadershipExpiresAt()) {
             return false;
--- a/coordinator/src/main/java/weldhitch/coordinator/core/MembershipChanges.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/MembershipChanges.java
@@ -10,8 +10,8 @@
 import weldhitch.fleet.activation.MemberHeartbeat;
 
 /**
- * The changes of membership that the leader has to propose: members that join, with their incarnations, and members
- * that leave.
+ * Collects the changes of membership that the leader has to propose: joining members with their incarnations, and
+ * leaving members.
  *
  * <p>Not thread-safe; owned by {@link CoordinatorCore}.
  */
@@ -32,7 +32,7 @@
         leaving.clear();
     }
 
-    /** Records a join or leave that a member requests; returns whether that incarnation is a current member. */
+    /** Records a join or leave that a member requests; returns whether its incarnation is a current member. */
     boolean onCall(MemberHeartbeat call, Map<String, String> members) {
         boolean joined = call.incarnation().equals(members.get(call.member()));
         if (call.leaving()) {
@@ -45,20 +45,20 @@
         return joined;
     }
 
-    /** Removes a member, if it is one. */
+    /** Records the removal of {@code member} if it is a member. */
     void remove(String member, Map<String, String> members) {
         if (members.containsKey(member)) {
             leaving.add(member);
         }
     }
 
-    /** Drops the changes that the committed members contain. */
+    /** Drops the changes that {@code members}, the committed membership, already contains. */
     void onCommitted(Map<String, String> members) {
         joining.entrySet().removeIf(join -> join.getValue().equals(members.get(join.getKey())));
         leaving.removeIf(member -> !members.containsKey(member));
     }
 
-    /** Returns the command that makes the changes, empty if there are none. */
+    /** Returns the command that applies the changes; empty if there are none. */
     Optional<Command> nextCommand(FleetState fleetState) {
         return joining.isEmpty() && leaving.isEmpty()
                 ? Optional.empty()
--- a/coordinator/src/main/java/weldhitch/coordinator/core/MissingMemberPolicy.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/MissingMemberPolicy.java
@@ -1,12 +1,12 @@
 package weldhitch.coordinator.core;
 
-/** What becomes of a version when a member does not vote. */
+/** Determines how a version is decided when a member does not vote. */
 public enum MissingMemberPolicy {
-    /** The version is aborted, and the missing members are reported. */
+    /** Aborts the version and reports the missing members. */
     ABORT,
     /**
-     * Members hold leases at all times, and a version is decided once the leases of the missing members
-     * have expired.
+     * Requires members to hold a lease at all times, and decides a version without the missing members once their
+     * leases have expired.
      */
     FENCE
 }
--- a/coordinator/src/main/java/weldhitch/coordinator/core/VersionVoting.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/VersionVoting.java
@@ -13,8 +13,9 @@
 import weldhitch.fleet.error.FleetError;
 
 /**
- * The two-phase commit of a route version, at the leader as its coordinator: collects the members' votes on the
- * pending version, decides to commit or to abort, and finalizes a committed version after its activation time.
+ * Runs the two-phase commit of a route version at the leader, which acts as the commit's coordinator. It collects the
+ * members' votes on the pending version, decides to commit or to abort, and finalizes a committed version after its
+ * activation time.
  *
  * <p>Not thread-safe; owned by {@link CoordinatorCore}. Times are nanoseconds of this process's monotonic clock.
  */
@@ -24,10 +25,10 @@
     /** Value of {@link #finalizeAt} while no time is set. */
     private static final long NEVER = Long.MAX_VALUE;
 
-    /** A member's vote on the pending version; {@code rejectionReasons} is empty if it accepts. */
+    /** A member's vote on the pending version; {@code rejectionReasons} is empty if the member accepts. */
     private record MemberVote(String incarnation, boolean accepts, List<String> rejectionReasons) {}
 
-    /** The votes as counted: reasons of the members that reject, and names of those that have not voted. */
+    /** The counted votes: the reasons of members that reject, and the names of members that have not voted. */
     private record Tally(List<String> rejections, List<String> missingMembers) {}
 
     private final CoordinatorConfig config;
@@ -40,7 +41,7 @@
     private long pendingSince;
     private long finalizeAt = NEVER;
 
-    /** Creates the state of a coordinator that does not lead yet; {@code commandIds} supplies unique ids. */
+    /** Creates the state of a coordinator that is not the leader yet; {@code commandIds} supplies unique ids. */
     VersionVoting(CoordinatorConfig config, Safeguards safeguards, FleetClock clock, Supplier<String> commandIds) {
         this.config = config;
         this.safeguards = safeguards;
@@ -49,7 +50,7 @@
         timing = config.timing();
     }
 
-    /** A leadership begins: the vote timeout of a pending version counts from now. */
+    /** Starts a leadership: drops all votes and measures the vote timeout of a pending version from now. */
     void startLeadership(long now) {
         memberVotes.clear();
         pendingSince = now;
@@ -60,12 +61,12 @@
         memberVotes.clear();
     }
 
-    /** Another version is pending: its vote timeout counts from now. */
+    /** Starts the vote timeout of a version that has just become pending. */
     void onVersionPending(long now) {
         pendingSince = now;
     }
 
-    /** Records the vote in the call of a current member, if it is on the pending version. */
+    /** Records the vote in the call of a current member if it is a vote on the pending version. */
     void onCall(MemberHeartbeat call, FleetState fleetState) {
         if (fleetState.pendingVersion() == null
                 || call.votedVersion() != fleetState.pendingVersion().number()) {
@@ -88,8 +89,8 @@
     }
 
     /**
-     * Returns the command that commits, aborts or finalizes the pending version, empty while it has to wait.
-     * There must be a pending version.
+     * Returns the command that commits, aborts or finalizes the pending version; empty while it has to wait. There
+     * must be a pending version.
      */
     Optional<Command> nextCommand(long now, FleetState fleetState, List<Effect> effects) {
         return fleetState.outcome() == null ? decide(now, fleetState, effects) : finalizeIfDue(now, fleetState);
@@ -136,8 +137,8 @@
     }
 
     /**
-     * Chooses an activation time after the expiry of every lease granted so far, by this leader or an earlier
-     * one; while the proposal is in progress, no lease is granted.
+     * Builds the commit with an activation time after the expiry of every lease granted so far, by this leader or an
+     * earlier one. No lease is granted while the proposal is in progress.
      */
     private Command commit(long now, FleetState fleetState) {
         long leaseExpiry = safeguards.awaitLeaseExpiry() ? timing.memberLease() : 0;
@@ -154,8 +155,8 @@
                     ? Optional.of(finalizeCommand(fleetState))
                     : Optional.empty();
         }
-        // The clock of the activation time is lost. That time was set by a bounded margin after the commit was
-        // proposed: once that margin has passed, so has the activation time.
+        // The clock of the activation time is lost. The activation time lies within a bounded margin after the commit
+        // was proposed, so it has passed once that margin has passed.
         if (finalizeAt == NEVER) {
             finalizeAt = now
                     + (long) ((timing.memberLease() + 3 * timing.activationDelay()) * (1 + 4 * timing.maxClockDrift()));
--- a/coordinator/src/test/java/weldhitch/coordinator/core/ConsensusDriverTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/ConsensusDriverTest.java
@@ -14,7 +14,7 @@
 import weldhitch.consensus.Reply;
 import weldhitch.coordinator.core.Effect.Send;
 
-/** Proposals of a coordinator, their retries, and the recovery of coordinators that missed a commit. */
+/** Tests a coordinator's proposals, their retries, and the recovery of coordinators that missed a commit. */
 class ConsensusDriverTest {
     private final List<String> notifications = new ArrayList<>();
     private final List<Effect> effects = new ArrayList<>();
@@ -53,7 +53,7 @@
         assertEquals(1, driver.generation());
         assertFalse(driver.isProposing());
         assertEquals("confirmed", notifications.get(notifications.size() - 1));
-        assertEquals(List.of(), effects, "there is no peer");
+        assertEquals(List.of(), effects, "no messages without peers");
     }
 
     @Test
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void catchUpSendsTheCommittedStateToWhoMissedIt() {
+    void catchUpSendsTheCommittedStateToACoordinatorThatMissedIt() {
         ConsensusDriver driver = driver(CoreFixtures.config(), true);
         Message.Learn learn = new Message.Learn(CoreFixtures.withMembers("m1"));
         driver.onRequest(0, "s2", new PeerMessage.ConsensusRequest("s2", learn), new ArrayList<>());
--- a/coordinator/src/test/java/weldhitch/coordinator/core/CoreFixtures.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/CoreFixtures.java
@@ -8,7 +8,7 @@
 import weldhitch.fleet.activation.LeaseTiming;
 import weldhitch.fleet.activation.MemberHeartbeat;
 
-/** Configurations, states and calls for the tests of a coordinator's collaborators. Stateless. */
+/** Configurations, states and calls for tests of the classes that a coordinator's core consists of. Stateless. */
 final class CoreFixtures {
     static final LeaseTiming TIMING = LeaseTiming.DEFAULT;
     static final String PREPARED_SHA256 = "sha";
@@ -33,12 +33,12 @@
         return apply(CommittedState.INITIAL, state -> state.membershipCommand("s1", "join", incarnations, Set.of()));
     }
 
-    /** Returns the state after another version is prepared by that submission. */
+    /** Returns the state after that submission has prepared another version. */
     static CommittedState withPendingVersion(CommittedState before, String submissionId) {
         return apply(before, state -> state.prepareCommand("s1", submissionId, PREPARED_SHA256, "bundle", "v.toml"));
     }
 
-    /** Returns the state after a command that depends on it. */
+    /** Returns the state after a command that is built from the state before it. */
     static CommittedState apply(CommittedState before, java.util.function.Function<FleetState, Command> command) {
         return before.apply(command.apply(FleetState.fromCommitted(before)));
     }
--- a/coordinator/src/test/java/weldhitch/coordinator/core/ElectionProtocolTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/ElectionProtocolTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.coordinator.core.Effect.Send;
 
-/** When a coordinator becomes a candidate, wins, or abandons an election. */
+/** Tests when a coordinator becomes a candidate, wins an election, or abandons it. */
 class ElectionProtocolTest {
     private static final long LEASE = CoreFixtures.TIMING.leaderLease();
     /** Later than any first election timeout. */
@@ -27,7 +27,7 @@
         elections.onVoteGranted("s3", new PeerMessage.VoteGranted(elections.term()));
         assertTrue(elections.becomeLeaderIfElected(FIRST_ELECTION));
         assertEquals("s1", elections.leader(FIRST_ELECTION));
-        assertFalse(elections.isLeader(FIRST_ELECTION + LEASE), "the votes have expired");
+        assertFalse(elections.isLeader(FIRST_ELECTION + LEASE), "leader although the votes have expired");
     }
 
     @Test
--- a/coordinator/src/test/java/weldhitch/coordinator/core/HeartbeatExchangeTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/HeartbeatExchangeTest.java
@@ -10,7 +10,7 @@
 import weldhitch.consensus.CommittedState;
 import weldhitch.coordinator.core.Effect.Send;
 
-/** Heartbeats renew votes and let a follower continue the leader's clock. */
+/** Tests that heartbeats renew votes and let a follower continue the leader's clock. */
 class HeartbeatExchangeTest {
     private static final long START = 2 * CoreFixtures.TIMING.leaderLease();
 
--- a/coordinator/src/test/java/weldhitch/coordinator/core/MembershipTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/MembershipTest.java
@@ -12,7 +12,7 @@
 import weldhitch.consensus.Command;
 import weldhitch.fleet.activation.MemberHeartbeat;
 
-/** Joins, leaves and leases of members, as the leader tracks them. */
+/** Tests how the leader tracks joins, leaves and leases of members. */
 class MembershipTest {
     private final MembershipChanges changes = new MembershipChanges("s1", () -> "id");
     private final FleetState state = FleetState.fromCommitted(CoreFixtures.withMembers("m1", "m2"));
--- a/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
@@ -16,8 +16,8 @@
 import weldhitch.fleet.activation.MemberHeartbeatResponse;
 
 /**
- * Coordinators and members in virtual time, each with a clock of its own, over a network that a {@link FaultModel}
- * controls. It knows the true time, and checks the versions that members serve against each other.
+ * Simulates coordinators and members in virtual time, each with a clock of its own, over a network that a
+ * {@link FaultModel} controls. The simulation knows the true time and compares the versions that members serve.
  *
  * <p>Single-threaded.
  */
@@ -28,19 +28,19 @@
     private static final long CALL_TIMEOUT = 800 * MILLI;
     private static final long TICK_INTERVAL = 100 * MILLI;
 
-    /** Decides the fate of each message, and other faults: one schedule. */
+    /** Determines the delivery of each message and the other faults of one schedule. */
     public interface FaultModel {
-        /** Returns the delay of a message in nanoseconds, below 0 if it is lost. */
+        /** Returns the delay of a message in nanoseconds; a negative value if the message is lost. */
         long delay(String from, String to, long now);
 
-        /** Whether the message is delivered twice. */
+        /** Returns whether the message is delivered twice. */
         default boolean duplicates() {
             return false;
         }
 
         /**
-         * Whether the coordinator crashes on this event: 0 for no, 1 before its state is on disk, 2 after that
-         * and before it sends anything.
+         * Returns whether the coordinator crashes on this event: 0 if it does not, 1 if it crashes before its state is
+         * on disk, 2 if it crashes after that and before it sends anything.
          */
         default int crash(String coordinator, String event, long now) {
             return 0;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** A safeguard that is disabled, to show that it is necessary. */
+    /** The safeguard that a run disables, to show that it is necessary. */
     enum DisabledSafeguard {
         NONE,
         COMMIT_AFTER_LEASE_EXPIRY,
@@ -72,7 +72,7 @@
         EVERY_VOTE
     }
 
-    /** Work scheduled for a time; events at the same time run in the order of their sequence numbers. */
+    /** An action scheduled for a time; events at the same time run in the order of their sequence numbers. */
     record ScheduledEvent(long at, long sequence, Runnable action) implements Comparable<ScheduledEvent> {
         @Override
         public int compareTo(ScheduledEvent other) {
@@ -105,7 +105,8 @@
         }
 
         /**
-         * Runs the work now, or once a paused process resumes; not at all if the process has been killed since.
+         * Runs the action now, or when a paused process resumes. Drops it if the process has been killed in the
+         * meantime.
          */
         void deliver(Runnable action) {
             int startNumber = startCount;
@@ -165,8 +166,8 @@
         void start() {
             startCount++;
             running = true;
-            // Without the lease in it, the activation time is earlier by as much; without a drift bound, clocks
-            // count as equally fast.
+            // Without the lease expiry, the activation time is earlier by the lease duration. Without a drift
+            // bound, all clocks are assumed to run at the same rate.
             LeaseTiming coordinatorTiming = disabledSafeguard == DisabledSafeguard.CLOCK_DRIFT_BOUND
                     ? new LeaseTiming(
                             timing.leaderLease(),
@@ -209,7 +210,7 @@
             });
         }
 
-        /** An event for the coordinator's core. */
+        /** Handles one event in the coordinator's core and returns the effects. */
         private interface Decision {
             List<Effect> run();
         }
@@ -247,7 +248,7 @@
 
         void submit(String submissionId, String sha256) {
             deliver(() -> handleEvent(
-                    "lay",
+                    "submit",
                     () -> core.submit(
                             localTime(), submissionId, submissionId + ".toml", sha256, "bundle of " + submissionId)));
         }
@@ -300,7 +301,7 @@
                             });
                             if (coordinator.running) {
                                 send(coordinatorName, name, () -> {
-                                    // An answer arrives at the process that sent the call, on its connection.
+                                    // A response reaches only the process that sent the call, over the same connection.
                                     if (startNumber == startCount) {
                                         deliver(() -> onAnswer(sentAt, number, answer[0]));
                                     }
@@ -311,7 +312,7 @@
                 });
                 schedule(CALL_TIMEOUT, () -> {
                     if (running && startNumber == startCount && number == callNumber) {
-                        // No answer: call the next coordinator.
+                        // There was no response: call the next coordinator.
                         deliver(() -> {
                             if (number == callNumber) {
                                 coordinatorIndex++;
@@ -334,7 +335,7 @@
                 int startNumber = startCount;
                 schedule(POLL_INTERVAL, () -> poll(startNumber));
             }
-            // A late answer is processed all the same, as one from a slow connection.
+            // A late response is processed too, like one that arrives over a slow connection.
             execute(core.onResponse(
                     disabledSafeguard == DisabledSafeguard.LEASE_FROM_SEND_TIME ? localTime() : sentAt,
                     localTime(),
@@ -368,8 +369,8 @@
         }
 
         /**
-         * Returns the version by which a request is handled now, on a route that differs in all versions; below
-         * 0 if it is rejected.
+         * Returns the version by which a request is handled now, on a route that differs between all versions; a
+         * negative value if the request is rejected.
          */
         long servedVersion() {
             if (!running
@@ -394,7 +395,7 @@
     private final Map<Long, CommittedState> committedByGeneration = new HashMap<>();
     private final Map<String, CommittedState> acceptedByBallot = new HashMap<>();
     private final Map<Long, Boolean> outcomes = new HashMap<>();
-    /** By version: the first and last true time at which any member served it. */
+    /** The first and last true time at which any member served a version, by version number. */
     final TreeMap<Long, long[]> servedIntervals = new TreeMap<>();
 
     final List<String> violations = new ArrayList<>();
@@ -446,7 +447,7 @@
     private void checkCommitted(CommittedState committed) {
         CommittedState other = committedByGeneration.putIfAbsent(committed.generation(), committed);
         if (other != null && !other.equals(committed)) {
-            violations.add("two decisions in generation " + committed.generation());
+            violations.add("two committed states in generation " + committed.generation());
         }
         FleetState fleetState = FleetState.fromCommitted(committed);
         if (committed.command() != null
@@ -462,19 +463,19 @@
         }
     }
 
-    /** Checks that no ballot stands for two values. */
+    /** Checks that no ballot is accepted with two values. */
     private void checkAccepted(AcceptorState acceptorState) {
         if (acceptorState.accepted() != null) {
             CommittedState other = acceptedByBallot.putIfAbsent(
                     acceptorState.generation() + " " + acceptorState.acceptedBallot(), acceptorState.accepted());
             if (other != null && !other.equals(acceptorState.accepted())) {
-                violations.add("two values by ballot " + acceptorState.acceptedBallot() + " of generation "
+                violations.add("two values accepted with ballot " + acceptorState.acceptedBallot() + " of generation "
                         + acceptorState.generation());
             }
         }
     }
 
-    /** Checks that no two coordinators consider themselves the leader at any moment. */
+    /** Checks that no two coordinators consider themselves the leader at the same time. */
     private void checkSingleLeader() {
         long leaders = coordinators.values().stream()
                 .filter(coordinator -> coordinator.running
@@ -483,11 +484,11 @@
                         && coordinator.core.isLeader(coordinator.localTime()))
                 .count();
         if (leaders > 1) {
-            violations.add("two coordinators lead at " + now / MILLI + " ms");
+            violations.add("two leaders at " + now / MILLI + " ms");
         }
     }
 
-    /** Checks that a lease granted after a version was committed carries that commit. */
+    /** Checks that a response that grants a lease after a version was committed includes that commit. */
     private void checkLease(SimulatedCoordinator leader, MemberHeartbeatResponse answer) {
         if (!answer.leaseGranted()) {
             return;
@@ -510,7 +511,7 @@
         while (!eventQueue.isEmpty() && eventQueue.peek().at <= until) {
             ScheduledEvent next = eventQueue.poll();
             if (next.at > now) {
-                // Observe the served versions just before time advances, and again after.
+                // Observe the served versions just before and just after time advances.
                 observeServedVersions();
                 now = next.at;
                 observeServedVersions();
@@ -534,8 +535,8 @@
     }
 
     /**
-     * Returns the maximum time for which an older version was still served after a newer one; below 0 if it
-     * never was.
+     * Returns the maximum time for which an older version was still served after a newer one; negative if that never
+     * happened.
      */
     long maxOverlap() {
         long maximum = Long.MIN_VALUE;
--- a/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
@@ -23,8 +23,8 @@
 import weldhitch.fleet.activation.LeaseTiming;
 
 /**
- * Coordinators and members together: each version has one outcome, one version is active at a time, and the
- * cluster converges once all processes reach each other.
+ * Tests coordinators and members together: each version has one outcome, one version is active at a time, and the
+ * cluster converges once all processes can reach each other.
  */
 class VersionActivationTest {
     private static final long MILLI = SimulatedCoordinators.MILLI;
@@ -52,7 +52,7 @@
                 cluster.maxOverlap() <= 4 * MILLI, "overlap " + cluster.maxOverlap() + "\n" + cluster.eventLogText());
         assertTrue(
                 cluster.servedIntervals.get(1L)[0] - cluster.servedIntervals.get(0L)[1] < 250 * MILLI,
-                "nobody served for long: " + cluster.eventLogText());
+                "no version was served for too long: " + cluster.eventLogText());
         cluster.coordinators.get("s1").submit("b", "bb");
         cluster.runUntil(40 * SECOND);
         assertEquals(Map.of(1L, true, 2L, true), cluster.outcomes());
@@ -83,9 +83,7 @@
         assertTrue(cluster.eventLogText().contains("had no vote in time from m2"), cluster.eventLogText());
     }
 
-    /**
-     * If members hold leases at all times, the missing member is left out, and rejects all requests meanwhile.
-     */
+    /** If members hold leases at all times, a version is committed without the missing member, which is fenced. */
     @Test
     void withFencingTheVersionCommitsWithoutTheMissingMember() {
         SimulatedCoordinators cluster = newCluster(RELIABLE_NETWORK, MissingMemberPolicy.FENCE);
@@ -107,11 +105,9 @@
         assertTrue(fencedCluster.maxOverlap() <= 4 * MILLI, "overlap " + fencedCluster.maxOverlap());
     }
 
-    // ---- schedules drawn from a seed ----
-
     /**
-     * Loss, duplication, reordering, clocks of different rates, crashes before and after the write to disk,
-     * pauses, partitions.
+     * The random faults of one seed: loss, duplication and reordering of messages, clocks of different rates, crashes
+     * before and after the write to disk, pauses, and partitions.
      */
     private static final class RandomFaults implements SimulatedCoordinators.FaultModel {
         final SplittableRandom random;
@@ -173,7 +169,7 @@
         }
     }
 
-    /** The result of one schedule; {@code violation} is null if all invariants held. */
+    /** The result of one schedule; {@code violation} is null if no invariant was violated. */
     private record RunResult(SimulatedCoordinators cluster, String violation) {}
 
     private static RunResult runSchedule(long seed, DisabledSafeguard disabledSafeguard) {
@@ -242,9 +238,9 @@
         cluster.restoreAll();
         cluster.runUntil(cluster.now + 45 * SECOND);
         String violation = cluster.violations.isEmpty() ? null : cluster.violations.get(0);
-        // Each of two members may deviate by as much as it knew its clock error to be.
+        // Each of two members may deviate from the activation time by its known clock error.
         if (violation == null && cluster.maxOverlap() > 2 * cluster.maxSwitchError + MILLI) {
-            violation = "two versions at one moment: overlap " + cluster.maxOverlap() / MILLI + " ms, error "
+            violation = "two versions served at the same time: overlap " + cluster.maxOverlap() / MILLI + " ms, error "
                     + cluster.maxSwitchError / MILLI + " ms";
         }
         if (violation == null && cluster.whyNotConverged() != null) {
@@ -271,7 +267,7 @@
                 .limit(3)
                 .toList();
         assertEquals(List.of(), violations, () -> String.join("\n\n", violations));
-        // The schedules are useful only if both outcomes are frequent.
+        // The schedules are a useful test only if both outcomes are frequent.
         assertTrue(
                 schedules < 100
                         || outcomes.getOrDefault(true, 0) > schedules / 4
@@ -280,7 +276,7 @@
         System.out.println(schedules + " schedules, versions committed and aborted: " + outcomes);
     }
 
-    /** A fault of one process: its kind, the process, and when it starts; the duration depends on the kind. */
+    /** A fault of one process: its kind, the process, and its start time. The duration depends on the kind. */
     private record InjectedFault(int kind, String process, long at) {
         static final long[] DURATION_BY_KIND = {300 * MILLI, 3 * SECOND, 3 * SECOND, 3 * SECOND};
 
@@ -326,9 +322,9 @@
     }
 
     /**
-     * Every combination of up to two faults (a process killed and restarted, paused for 3 s, its messages lost
-     * for 3 s, messages to it lost for 3 s) on a grid of times from before a version is submitted until it is
-     * finalized; 3 coordinators, 2 members.
+     * Tests every combination of up to two faults (a process killed and restarted, paused for 3 s, its messages lost
+     * for 3 s, or messages to it lost for 3 s) on a grid of times from before a version is submitted until it is
+     * finalized, with 3 coordinators and 2 members.
      */
     @Test
     void noPairOfFaultsViolatesAnInvariant() {
@@ -386,7 +382,7 @@
         System.out.println(faultCount * (faultCount + 1) / 2 + " placements of one or two faults");
     }
 
-    /** Each safeguard is necessary: without it some schedule violates an invariant. */
+    /** Tests that each safeguard is necessary: without it, some schedule violates an invariant. */
     @ParameterizedTest
     @EnumSource(
             value = DisabledSafeguard.class,
@@ -400,9 +396,7 @@
                 disabledSafeguard + " is not necessary in any schedule");
     }
 
-    /**
-     * A member that did not vote serves the old version indefinitely: a commit without its vote is premature.
-     */
+    /** A member that did not vote serves the old version indefinitely, so a commit without its vote is premature. */
     @Test
     void withoutEveryVoteVersionsOverlap() {
         for (DisabledSafeguard disabledSafeguard : List.of(DisabledSafeguard.NONE, DisabledSafeguard.EVERY_VOTE)) {
@@ -458,7 +452,7 @@
         }
     }
 
-    /** Two starts of a proposer under one name share their ballots, by which two values can be committed. */
+    /** Two starts of a proposer under the same name use the same ballots, so two values can be committed. */
     @Test
     void sharedProposerNameLosesACommittedCommand() {
         for (boolean sameName : new boolean[] {false, true}) {
@@ -469,7 +463,7 @@
             var second = newProposer(sameName ? "p#1" : "p#2", names, "Y", 1);
             runRound(second, acceptors, List.of("b", "c"), List.of("b", "c"), true);
             assertEquals("Y", committedId(second));
-            // The announcement is lost; another proposer completes what was started, as far as it sees it.
+            // The commit is not announced. Another proposer completes the proposal as far as it learns of it.
             var third = newProposer("q", names, "Z", 2);
             runRound(third, acceptors, List.of("a", "b"), List.of("a", "b"), true);
             assertEquals(
@@ -493,7 +487,7 @@
         return ((Proposer.Committed) proposer.outcome()).state().command().id();
     }
 
-    /** Runs phase 1 with some acceptors and phase 2 with others, and announces no result. */
+    /** Runs phase 1 with some acceptors and phase 2 with others, without announcing the result. */
     private static void runRound(
             Proposer proposer,
             Map<String, Acceptor> acceptors,
--- a/coordinator/src/test/java/weldhitch/coordinator/core/VersionVotingTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/VersionVotingTest.java
@@ -12,7 +12,7 @@
 import weldhitch.consensus.CommittedState;
 import weldhitch.coordinator.core.Effect.ReportError;
 
-/** The leader's decision on a pending version: commit, abort, wait, finalize. */
+/** Tests the leader's decisions on a pending version: commit, abort, wait, finalize. */
 class VersionVotingTest {
     private static final long TIMED_OUT = CoreFixtures.TIMING.voteTimeout() + 1;
 
