--- a/coordinator/src/main/java/weldhitch/coordinator/server/AcceptorStateStore.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/AcceptorStateStore.java
@@ -9,7 +9,7 @@
 import weldhitch.statelog.StateLog;
 
 /**
- * The acceptor's state on disk: JSON in a {@link StateLog}, which it owns and closes.
+ * Stores the acceptor's state on disk as JSON in a {@link StateLog}, which it owns and closes.
  *
  * <p>Not thread-safe; used on the decision thread of {@link CoordinatorLoop} once that has started.
  */
@@ -29,15 +29,15 @@
         stateLog = StateLog.open(file, COMPACTION_THRESHOLD_BYTES);
     }
 
-    /** Whether the log may have lost a promise, so that this coordinator must not vote. */
+    /** Returns whether the log may have lost a promise, in which case this coordinator must not vote. */
     boolean isSuspect() {
         return stateLog.suspect();
     }
 
     /**
-     * Returns the state on disk, the initial one if there is none.
+     * Returns the state on disk, or the initial state if there is none.
      *
-     * @throws FleetException if the log does not hold a state of this version
+     * @throws FleetException if the log does not contain a state of this version
      */
     AcceptorState read() throws FleetException {
         try {
@@ -46,14 +46,14 @@
                     : CoordinatorJson.JSON.readValue(stateLog.state(), AcceptorState.class);
         } catch (IOException e) {
             throw new FleetException(new FleetError.StateWriteFailed(
-                    file.toString(), "holds what is no state of this version: " + e.getMessage()));
+                    file.toString(), "does not contain a state of this version: " + e.getMessage()));
         }
     }
 
     /**
      * Writes the state; it is on disk once this returns.
      *
-     * @throws IOException if it could not be written; the previous state stays
+     * @throws IOException if it could not be written; the previous state is kept
      */
     void write(AcceptorState state) throws IOException {
         stateLog.write(CoordinatorJson.JSON.writeValueAsBytes(state));
--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorJson.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorJson.java
@@ -12,22 +12,20 @@
 import weldhitch.coordinator.core.PeerMessage;
 import weldhitch.fleet.member.MemberJson;
 
-/**
- * The JSON mapping of the messages between coordinators and of the state on disk. Stateless and thread-safe.
- */
+/** Maps the messages between coordinators and the state on disk to JSON. Stateless and thread-safe. */
 final class CoordinatorJson {
     static final ObjectMapper JSON = new ObjectMapper()
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    /** Mix-in: adds the type name to the JSON of messages. */
+    /** Mix-in that adds the type name to the JSON of messages. */
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "is")
     private interface TypeTagged {}
 
     /**
-     * The value of the property {@code is} for each type. These names are sent to other versions and never
-     * change.
+     * The value of the property {@code is} for each type. Coordinators of other versions read these names, so they
+     * never change.
      */
     private static final Map<Class<?>, String> TYPE_NAMES = Map.ofEntries(
             Map.entry(PeerMessage.VoteRequest.class, "Ask"),
@@ -85,6 +83,6 @@
 
     private CoordinatorJson() {}
 
-    /** A message from one coordinator to another, with the cluster that both have to belong to. */
+    /** A message from one coordinator to another, with the cluster to which both have to belong. */
     record PeerEnvelope(String cluster, String from, PeerMessage message) {}
 }
--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorLoop.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorLoop.java
@@ -22,11 +22,11 @@
 import weldhitch.fleet.error.FleetError;
 
 /**
- * The decision thread of a coordinator, which alone accesses {@link CoordinatorCore}, the disk and the submissions. No
- * decision is sent out before it is on disk.
+ * Runs the decision thread of a coordinator, the only thread that accesses {@link CoordinatorCore}, the disk and the
+ * submissions. A decision is sent out only once it is on disk.
  *
- * <p>The package-private methods may be called from any thread; they return at once, and callbacks run on the decision
- * thread. After {@link #stop} they throw {@link java.util.concurrent.RejectedExecutionException}.
+ * <p>The package-private methods may be called from any thread and return at once; callbacks run on the decision
+ * thread. After {@link #stop} the methods throw {@link java.util.concurrent.RejectedExecutionException}.
  */
 final class CoordinatorLoop {
     private static final long SCAN_INTERVAL_MS = 200;
@@ -46,7 +46,7 @@
         return thread;
     });
 
-    /** Creates a loop that has not started; it takes over all the arguments but {@code log} and the settings. */
+    /** Creates a loop that is not started yet; it takes ownership of all arguments except the settings and the log. */
     CoordinatorLoop(
             CoordinatorSettings settings,
             Consumer<String> log,
@@ -71,7 +71,7 @@
                 this::scanSubmissions, SCAN_INTERVAL_MS, SCAN_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Stops the thread, waits for it for up to a second, and closes the state on disk. */
+    /** Stops the decision thread, waits up to a second for it to end, and closes the state on disk. */
     void stop() {
         executor.shutdownNow();
         try {
@@ -89,17 +89,17 @@
         executor.execute(() -> handleEvent(() -> core.onMessage(System.nanoTime(), from, message)));
     }
 
-    /** Handles a member's call; the response follows now or, for a long poll, later. */
+    /** Handles a member's call; the response is sent at once or, for a long poll, later. */
     void onMemberCall(MemberRequest request, Consumer<MemberResponse> responder) {
         executor.execute(() -> {
             if (memberCalls.onCall(request, System.nanoTime(), responder)) {
-                // A newly committed command answers all pending calls.
+                // A newly committed command completes all pending long polls.
                 tick();
             }
         });
     }
 
-    /** Passes the text of that version to the callback, empty if it is unknown here. */
+    /** Passes the text of a version to the callback; empty if this coordinator does not know the version. */
     void findBundle(long versionNumber, Consumer<Optional<String>> callback) {
         executor.execute(
                 () -> callback.accept(Optional.ofNullable(core.fleetState().bundleOf(versionNumber))));
@@ -179,7 +179,7 @@
                 memberCalls.answerAll(System.nanoTime());
             }
         } catch (RuntimeException e) {
-            log.accept("coordinator event failed, continues name=" + settings.name() + " error=" + e
+            log.accept("coordinator event failed, continuing name=" + settings.name() + " error=" + e
                     + (e.getStackTrace().length > 0 ? " at=" + e.getStackTrace()[0] : ""));
         }
     }
@@ -188,7 +188,7 @@
         if (effect instanceof Effect.Send send) {
             peers.send(send.to(), send.message());
         } else if (effect instanceof Effect.LogEvent logEvent) {
-            log.accept("steward=" + settings.name() + " generation=" + core.generation() + " event=\""
+            log.accept("coordinator=" + settings.name() + " generation=" + core.generation() + " event=\""
                     + logEvent.event() + "\"");
         } else if (effect instanceof Effect.ReportError reportError) {
             logError(reportError.error());
--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorServer.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorServer.java
@@ -24,8 +24,8 @@
 import weldhitch.fleet.error.FleetException;
 
 /**
- * A coordinator process: it owns the event loop that serves sockets ({@link HttpRequestHandler}) and the decision
- * thread ({@link CoordinatorLoop}), and wires them up.
+ * A coordinator process. It owns the event loop that serves the sockets ({@link HttpRequestHandler}) and the decision
+ * thread ({@link CoordinatorLoop}), and connects the two.
  *
  * <p>The public methods may be called from any thread.
  */
@@ -75,7 +75,7 @@
      * Starts a coordinator; it accepts requests once this returns.
      *
      * @param log receives one line for each event
-     * @throws FleetException with the cause and the remedy
+     * @throws FleetException if the coordinator cannot start; its error describes the cause and the remedy
      */
     public static CoordinatorServer start(CoordinatorSettings settings, Consumer<String> log) throws FleetException {
         CoordinatorServer server = new CoordinatorServer(settings, log);
@@ -88,10 +88,10 @@
                     0,
                     settings.listen().toString(),
                     String.valueOf(e.getMessage()),
-                    "name a free port of loopback"));
+                    "choose a free loopback port"));
         }
         server.loop.start();
-        log.accept("steward " + settings.name() + " listens on " + server.boundAddress);
+        log.accept("coordinator " + settings.name() + " listens on " + server.boundAddress);
         return server;
     }
 
--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorSettings.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorSettings.java
@@ -17,9 +17,9 @@
  * The validated configuration of a coordinator. Immutable.
  *
  * @param listen a loopback address
- * @param coordinators addresses of all coordinators by name, this one included; 1, 3 or 5
- * @param directory holds the log, and {@code versions}, where files are submitted
- * @param missingMemberPolicy what becomes of a version when a member does not vote
+ * @param coordinators addresses of all coordinators by name, this one included; 1, 3 or 5 entries
+ * @param directory contains the state log, and {@code versions}, where operators submit files
+ * @param missingMemberPolicy how a version is decided when a member does not vote
  */
 public record CoordinatorSettings(
         String name,
@@ -50,7 +50,7 @@
                             0,
                             "file",
                             "cannot be read: " + e,
-                            "name a file that this user may read")));
+                            "specify a file that this user can read")));
         }
         try {
             return new CoordinatorSettingsParser(file.toString(), new TomlLineIndex(text))
@@ -63,9 +63,9 @@
                             file.toString(),
                             line,
                             "file",
-                            "is no TOML: "
+                            "is not valid TOML: "
                                     + e.getOriginalMessage().lines().findFirst().orElse(""),
-                            "mend this line")));
+                            "correct this line")));
         }
     }
 }
--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorSettingsParser.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorSettingsParser.java
@@ -17,7 +17,7 @@
 import weldhitch.routeconfig.TomlLineIndex;
 
 /**
- * Parses and validates the TOML of one {@link CoordinatorSettings} file, and collects all of its errors.
+ * Parses and validates the TOML of one {@link CoordinatorSettings} file and collects all of its errors.
  *
  * <p>Not thread-safe; used for one file.
  */
@@ -43,7 +43,7 @@
     CoordinatorSettings.ReadResult parse(JsonNode root) {
         root.fieldNames().forEachRemaining(key -> {
             if (!TOP_LEVEL_KEYS.contains(key)) {
-                error(key, "is not known", "expected one of " + String.join(", ", TOP_LEVEL_KEYS));
+                error(key, "is not a known key", "expected one of " + String.join(", ", TOP_LEVEL_KEYS));
             }
         });
         if (!root.path("version").isInt() || root.path("version").intValue() != 1) {
@@ -69,14 +69,14 @@
         if (!value.isTextual() || !NAME_PATTERN.matcher(value.textValue()).matches()) {
             error(
                     key,
-                    value.isMissingNode() ? "is missing" : value + " is no name",
+                    value.isMissingNode() ? "is missing" : value + " is not a valid name",
                     "expected 1 to 64 letters, digits, dots, - and _");
             return null;
         }
         return value.textValue();
     }
 
-    /** Only loopback addresses, as requests are not authenticated. */
+    /** Parses an address; accepts only loopback addresses because requests are not authenticated. */
     private InetSocketAddress address(JsonNode value, String key) {
         InetSocketAddress address = value.isTextual() ? AddressParser.parse(value.textValue()) : null;
         if (address != null) {
@@ -85,12 +85,12 @@
             }
             error(
                     key,
-                    value + " is not on loopback",
-                    "expected 127.0.0.1:PORT: a steward tells strangers from members by nothing,"
-                            + " so it answers on loopback alone");
+                    value + " is not a loopback address",
+                    "expected 127.0.0.1:PORT: requests to a coordinator are not authenticated,"
+                            + " so it listens on loopback only");
             return null;
         }
-        error(key, value.isMissingNode() ? "is missing" : value + " is no address", "expected 127.0.0.1:PORT");
+        error(key, value.isMissingNode() ? "is missing" : value + " is not an address", "expected 127.0.0.1:PORT");
         return null;
     }
 
@@ -99,7 +99,7 @@
         table.properties().forEach(entry -> {
             String key = "stewards." + entry.getKey();
             if (!NAME_PATTERN.matcher(entry.getKey()).matches()) {
-                error(key, "is no name", "expected 1 to 64 letters, digits, dots, - and _");
+                error(key, "is not a valid name", "expected 1 to 64 letters, digits, dots, - and _");
             }
             InetSocketAddress address = address(entry.getValue(), key);
             if (address != null) {
@@ -109,13 +109,13 @@
         if (table.size() != 1 && table.size() != 3 && table.size() != 5) {
             error(
                     "stewards",
-                    "names " + table.size() + " stewards",
+                    "lists " + table.size() + " coordinators",
                     "expected 1, 3 or 5, each as NAME = \"127.0.0.1:PORT\"");
         } else if (name != null && !table.has(name)) {
             error(
                     "stewards",
-                    "does not name " + name + ", this steward itself",
-                    "add it: all stewards have the same table");
+                    "does not list " + name + ", this coordinator",
+                    "add it: the table must be the same at all coordinators");
         }
         return addresses;
     }
@@ -131,8 +131,8 @@
         }
         error(
                 "directory",
-                value.isMissingNode() ? "is missing" : value + " is no absolute path",
-                "expected a directory for this steward alone, beginning with /");
+                value.isMissingNode() ? "is missing" : value + " is not an absolute path",
+                "expected a directory that only this coordinator uses, beginning with /");
         return null;
     }
 
@@ -143,14 +143,14 @@
         if (value.asText().equals("fence")) {
             return MissingMemberPolicy.FENCE;
         }
-        error("absent", value + " is not known", "expected \"abort\" or \"fence\"");
+        error("absent", value + " is not a known policy", "expected \"abort\" or \"fence\"");
         return null;
     }
 
     private LeaseTiming timing(JsonNode table) {
         table.fieldNames().forEachRemaining(key -> {
             if (!List.of("authority", "lease", "lead", "vote", "drift").contains(key)) {
-                error("timing." + key, "is not known", "expected one of authority, lease, lead, vote, drift");
+                error("timing." + key, "is not a known key", "expected one of authority, lease, lead, vote, drift");
             }
         });
         LeaseTiming defaults = LeaseTiming.DEFAULT;
@@ -160,7 +160,7 @@
         long voteTimeout = durationNanos(table, "vote", defaults.voteTimeout());
         JsonNode drift = table.path("drift");
         if (!drift.isMissingNode() && (!drift.isNumber() || drift.doubleValue() < 0 || drift.doubleValue() > 0.1)) {
-            error("timing.drift", drift + " is no share", "expected 0 to 0.1");
+            error("timing.drift", drift + " is not a valid drift rate", "expected 0 to 0.1");
             return null;
         }
         return leaderLease < 0 || memberLease < 0 || activationMargin < 0 || voteTimeout < 0
@@ -183,7 +183,7 @@
                 ? Long.parseLong(matcher.group(1)) * (matcher.group(2).equals("s") ? 1000 : 1)
                 : -1;
         if (millis < 50 || millis > 600_000) {
-            error("timing." + key, value + " is no span", "expected 50ms to 600s");
+            error("timing." + key, value + " is not a valid duration", "expected 50ms to 600s");
             return -1;
         }
         return millis * 1_000_000;
--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorStatus.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorStatus.java
@@ -10,15 +10,16 @@
 import weldhitch.fleet.locality.FleetView.ZoneLoad;
 
 /**
- * The body of {@code GET /v1/state}: what this coordinator knows. Its JSON names and their order are fixed. Immutable.
+ * The body of {@code GET /v1/state}: the state as this coordinator knows it. Its JSON names and their order are fixed.
+ * Immutable.
  *
- * @param leader the leader as far as known here, or null
- * @param isLeader whether this coordinator leads
- * @param pendingVersion the version that is prepared and not active yet, or null
- * @param outcome whether that version is committed or aborted, null while undecided
+ * @param leader the leader as far as this coordinator knows; null if it knows none
+ * @param isLeader whether this coordinator is the leader
+ * @param pendingVersion the version that is prepared and not active yet; null if there is none
+ * @param outcome whether the version that was prepared last is committed or aborted; null while undecided
  * @param members names of the members, sorted
  * @param leaseHolders names of the members that hold a lease of this leader, sorted
- * @param zoneLoads loads by zone; null, and left out, where this coordinator does not lead
+ * @param zoneLoads loads by zone; null, and left out of the JSON, if this coordinator is not the leader
  */
 @JsonPropertyOrder({
     "steward",
--- a/coordinator/src/main/java/weldhitch/coordinator/server/HttpRequestHandler.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/HttpRequestHandler.java
@@ -21,9 +21,9 @@
 import weldhitch.fleet.error.FleetError;
 
 /**
- * Handles the HTTP requests of members, peers and operators on one connection; everything that needs the state is
- * passed on to the {@link CoordinatorLoop}. Runs on the connection's event loop; responses may be written from any
- * thread.
+ * Handles the HTTP requests of members, peers and operators on one connection. Requests that need the coordinator's
+ * state are passed to the {@link CoordinatorLoop}. Runs on the connection's event loop; responses may be written from
+ * any thread.
  */
 final class HttpRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final String PEER_PATH = "/v1/peer";
@@ -46,7 +46,7 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
         Channel channel = context.channel();
         if (request.decoderResult().isFailure()) {
-            reject(channel, 400, "is no HTTP request");
+            reject(channel, 400, "malformed HTTP request");
             return;
         }
         byte[] body = new byte[request.content().readableBytes()];
@@ -54,7 +54,7 @@
         try {
             route(channel, request.method(), request.uri(), body);
         } catch (IOException | RuntimeException e) {
-            reject(channel, 400, "is no message of this version: " + firstLine(String.valueOf(e.getMessage())));
+            reject(channel, 400, "not a valid message of this version: " + firstLine(String.valueOf(e.getMessage())));
         }
     }
 
@@ -70,9 +70,9 @@
         } else if (method.equals(HttpMethod.GET) && BUNDLE_PATH.matcher(path).matches()) {
             handleBundleRequest(channel, Long.parseLong(path.substring(BUNDLE_PATH_PREFIX.length())));
         } else if (method.equals(HttpMethod.GET) && path.equals(STATE_PATH)) {
-            loop.readStatus(status -> respondJson(channel, status, "its state can't be told: "));
+            loop.readStatus(status -> respondJson(channel, status, "cannot encode the status: "));
         } else {
-            reject(channel, 404, method + " " + path + " is nothing that a steward answers");
+            reject(channel, 404, method + " " + path + " is not a known method and path");
         }
     }
 
@@ -84,7 +84,7 @@
                 || envelope.from() == null
                 || envelope.from().equals(settings.name())
                 || !settings.coordinators().containsKey(envelope.from())) {
-            reject(channel, 403, "\"" + envelope.from() + "\" is none of the other stewards, or says nothing");
+            reject(channel, 403, "\"" + envelope.from() + "\" is not another coordinator, or the message is missing");
             return;
         }
         loop.onPeerMessage(envelope.from(), envelope.message());
@@ -96,10 +96,10 @@
             return;
         }
         if (!isValid(request.heartbeat())) {
-            reject(channel, 400, "names no member and incarnation");
+            reject(channel, 400, "member or incarnation is missing or invalid");
             return;
         }
-        loop.onMemberCall(request, response -> respondJson(channel, response, "its answer can't be told: "));
+        loop.onMemberCall(request, response -> respondJson(channel, response, "cannot encode the response: "));
     }
 
     private static boolean isValid(MemberHeartbeat call) {
@@ -116,7 +116,7 @@
             if (bundle.isPresent()) {
                 respond(channel, 200, bundle.get().getBytes(StandardCharsets.UTF_8));
             } else {
-                reject(channel, 404, "version " + versionNumber + " is not known here");
+                reject(channel, 404, "version " + versionNumber + " is unknown to this coordinator");
             }
         });
     }
@@ -125,7 +125,7 @@
         if (settings.cluster().equals(cluster)) {
             return false;
         }
-        reject(channel, 403, "is of cluster \"" + cluster + "\", this is " + settings.cluster());
+        reject(channel, 403, "found cluster \"" + cluster + "\", expected " + settings.cluster());
         return true;
     }
 
@@ -135,7 +135,7 @@
         try {
             body = CoordinatorJson.JSON.writeValueAsBytes(ErrorBody.of(error));
         } catch (JsonProcessingException e) {
-            // The status alone has to do.
+            // Send the status with an empty error body.
             body = "{}".getBytes(StandardCharsets.UTF_8);
         }
         DefaultFullHttpResponse response = newResponse(status, body);
--- a/coordinator/src/main/java/weldhitch/coordinator/server/LeaderSoftState.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/LeaderSoftState.java
@@ -10,14 +10,14 @@
 import weldhitch.fleet.turns.PollSlots;
 
 /**
- * Zone loads and poll slots. They are known under one leadership only, and start empty with it: what a former
- * leader granted is not known here.
+ * The zone loads and poll slots of one leadership. They are kept in memory only and start empty, because a new leader
+ * does not know what a former leader has granted.
  *
  * <p>Not thread-safe; used on the decision thread of {@link CoordinatorLoop}. Times are nanoseconds of the monotonic
  * clock.
  */
 final class LeaderSoftState {
-    /** The poll slot delay in a response that assigns no slot. */
+    /** The poll slot delay in a response that assigns no poll slot. */
     static final long NO_POLL_SLOT = -1;
 
     private final long leadingSince;
@@ -30,12 +30,12 @@
         zoneLoads = new ZoneLoadAggregator(leadingSince, maxClockDrift);
     }
 
-    /** Whether this state belongs to the leadership that began at {@code since}. */
+    /** Returns whether this state belongs to the leadership that began at {@code since}. */
     boolean belongsTo(long since) {
         return leadingSince == since;
     }
 
-    /** Records the load report of a call; a member that leaves, or sends none, has no load. */
+    /** Records the load report of a call; a member that is leaving, or sends no report, has no load. */
     void onReport(MemberRequest request, long now) {
         zoneLoads.onReport(
                 request.heartbeat().member(), request.heartbeat().leaving() ? null : request.loadReport(), now);
@@ -46,7 +46,7 @@
         return zoneLoads.zoneLoads(memberCount, now);
     }
 
-    /** Completes a response with the view of the fleet's load, and a poll slot if the request asks for one. */
+    /** Adds the view of the fleet's load to a response, and a poll slot if the request asks for one. */
     MemberResponse response(MemberHeartbeatResponse answer, MemberRequest request, int memberCount, long now) {
         String member = request.heartbeat().member();
         boolean includesZones = answer.joined() && request.loadReport() != null;
--- a/coordinator/src/main/java/weldhitch/coordinator/server/MemberCallHandler.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/MemberCallHandler.java
@@ -13,8 +13,8 @@
 import weldhitch.fleet.locality.FleetView.ZoneLoad;
 
 /**
- * Answers members' calls. A call of a member that knows the current generation may wait for the next one (long
- * polling), up to a maximum.
+ * Answers members' calls. The response to a member that knows the current generation may be delayed until the next
+ * generation (long polling), up to a maximum time.
  *
  * <p>Not thread-safe; used on the decision thread of {@link CoordinatorLoop}. Times are nanoseconds of the monotonic
  * clock.
@@ -26,14 +26,14 @@
     /**
      * A member's long poll that waits for an update.
      *
-     * @param deadline when it is answered at the latest
+     * @param deadline time at which the long poll is answered even without an update
      */
     private record PendingMemberCall(MemberRequest request, long deadline, Consumer<MemberResponse> responder) {}
 
     private final CoordinatorCore core;
     private final double maxClockDrift;
     private final List<PendingMemberCall> pendingCalls = new ArrayList<>();
-    /** Null before this coordinator's first leadership. */
+    /** The state of the current or last leadership; null before this coordinator's first leadership. */
     private LeaderSoftState softState;
 
     MemberCallHandler(CoordinatorCore core, double maxClockDrift) {
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Handles a call, and answers it now or later. Returns whether the call may change what is proposed next: it may
-     * bring the last missing vote, or a member that joins.
+     * Handles a call and answers it now or later. Returns whether the call may change what is proposed next, because it
+     * may carry the last missing vote or come from a member that is joining.
      */
     boolean onCall(MemberRequest request, long now, Consumer<MemberResponse> responder) {
         MemberHeartbeat call = request.heartbeat();
@@ -63,12 +63,12 @@
         return call.votedVersion() != 0 || !answer.joined();
     }
 
-    /** Answers the long polls that have waited long enough, or all of them if this coordinator does not lead. */
+    /** Answers the long polls whose deadline has passed, or all of them if this coordinator is not the leader. */
     void answerExpired(long now) {
         answer(now, false);
     }
 
-    /** Answers all long polls: there is an update. */
+    /** Answers all long polls because there is an update. */
     void answerAll(long now) {
         answer(now, true);
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Returns the loads of all zones; to be called only while this coordinator leads. */
+    /** Returns the loads of all zones. Must be called only while this coordinator is the leader. */
     Map<String, ZoneLoad> zoneLoads(long now) {
         return currentSoftState().zoneLoads(memberCount(), now);
     }
--- a/coordinator/src/main/java/weldhitch/coordinator/server/PeerClient.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/PeerClient.java
@@ -14,9 +14,10 @@
 import weldhitch.coordinator.core.PeerMessage;
 
 /**
- * Sends messages to other coordinators over HTTP, without waiting for any and without retries: whoever depends
- * on a lost message sends it again. Beyond the maximum of requests in flight to a peer, messages are dropped.
- * Called on the decision thread of {@link CoordinatorServer}.
+ * Sends messages to other coordinators over HTTP. It neither waits for responses nor retries: a sender that depends on
+ * a lost message sends it again. Messages beyond the maximum number of in-flight requests to a peer are dropped.
+ *
+ * <p>Called on the decision thread of {@link CoordinatorLoop}.
  */
 final class PeerClient {
     private static final int MAX_IN_FLIGHT = 64;
--- a/coordinator/src/main/java/weldhitch/coordinator/server/QuorumMonitor.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/QuorumMonitor.java
@@ -1,7 +1,7 @@
 package weldhitch.coordinator.server;
 
 /**
- * Detects that no leader has been known for several leader leases, so that there is probably no quorum.
+ * Detects that no leader has been known for several leader leases, which means that there is probably no quorum.
  *
  * <p>Not thread-safe; used on the decision thread of {@link CoordinatorLoop}. Times are nanoseconds of the monotonic
  * clock.
@@ -18,7 +18,7 @@
         reportInterval = REPORT_AFTER_LEASES * leaderLease;
     }
 
-    /** Returns whether the loss has to be reported now; while it lasts, this is repeated at an interval. */
+    /** Returns whether the loss must be reported now; while the loss lasts, it is reported at regular intervals. */
     boolean isLossReportDue(boolean leaderKnown, long now) {
         if (leaderKnown || noLeaderSince == NEVER_CHECKED) {
             noLeaderSince = now;
--- a/coordinator/src/main/java/weldhitch/coordinator/server/SubmissionDirectory.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/SubmissionDirectory.java
@@ -17,11 +17,11 @@
 import weldhitch.routeconfig.RouteConfig;
 
 /**
- * The directory where operators submit versions, as {@code NAME.toml}, and name members that are removed for
- * good, as {@code NAME.gone}; by rename, so that no file is read half written. A file that became a version is
- * moved to {@code taken}, an invalid one to {@code refused}.
+ * The directory in which operators submit versions, as {@code NAME.toml}, and name members that are removed
+ * permanently, as {@code NAME.gone}. Operators create both by rename, so that no half-written file is read. A file that
+ * became a version is moved to {@code taken}, an invalid one to {@code refused}.
  *
- * <p>Not thread-safe; used on the decision thread of {@link CoordinatorServer}.
+ * <p>Not thread-safe; used on the decision thread of {@link CoordinatorLoop}.
  */
 final class SubmissionDirectory {
     private static final int MAX_FILE_BYTES = 256 << 10;
@@ -30,7 +30,7 @@
      * A submitted file.
      *
      * @param submissionId unique for this file name, content, modification time and size
-     * @param text its content
+     * @param text content of the file
      */
     record SubmittedFile(Path path, String submissionId, String sha256, String text) {}
 
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Returns the files that are new since the last scan; a file that is no valid version is moved aside, with
-     * an error for each.
+     * Returns the files that are new since the last scan. A file that is not a valid version is moved to
+     * {@code refused} and adds an error to {@code errors}.
      */
     List<SubmittedFile> scan(List<FleetError> errors) {
         List<SubmittedFile> submitted = new ArrayList<>();
@@ -59,7 +59,7 @@
                 }
                 knownStamps.put(file, stamp);
                 if (Files.size(file) > MAX_FILE_BYTES) {
-                    reject(file, 0, "holds more than " + MAX_FILE_BYTES + " bytes", errors);
+                    reject(file, 0, "is larger than " + MAX_FILE_BYTES + " bytes", errors);
                     continue;
                 }
                 byte[] bytes = Files.readAllBytes(file);
@@ -79,14 +79,14 @@
             } catch (CharacterCodingException e) {
                 reject(file, 0, "is not UTF-8", errors);
             } catch (IOException e) {
-                // Deleted between the scan and the read: the operator has withdrawn it.
+                // The file was deleted between the scan and the read: the operator has withdrawn it.
                 knownStamps.remove(file);
             }
         }
         return submitted;
     }
 
-    /** Returns the members that an operator has removed for good, with the files that name them. */
+    /** Returns the members that an operator has removed permanently, with the files that name them. */
     Map<String, Path> removedMembers() {
         Map<String, Path> removed = new HashMap<>();
         listFiles(".gone")
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Moves a file aside that became the version with this number. */
+    /** Moves a file that has become the version with this number to {@code taken}. */
     void markAccepted(Path file, long number) {
         move(file, acceptedDirectory.resolve(number + "-" + file.getFileName()));
     }
@@ -119,8 +119,8 @@
         try {
             Files.move(source, target, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            // The file stays where it is, and the next scan finds it again; a version that is prepared already
-            // is recognized by its submission id.
+            // The file stays where it is and the next scan finds it again. A version that is already prepared is
+            // recognized by its submission id.
         }
     }
 }
--- a/coordinator/src/main/java/weldhitch/coordinator/server/package-info.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The coordinator as a process: its configuration, its state log on disk, its HTTP/1.1 server, and the
- * directory for submitted files.
+ * The coordinator process: its configuration, its state log on disk, its HTTP/1.1 server, and the directory in which
+ * operators submit files.
  */
 package weldhitch.coordinator.server;
--- a/coordinator/src/test/java/weldhitch/coordinator/server/AcceptorStateStoreTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/AcceptorStateStoreTest.java
@@ -15,7 +15,7 @@
 import weldhitch.fleet.error.FleetException;
 import weldhitch.statelog.StateLog;
 
-/** The acceptor's state survives a restart; anything else in the log is an error. */
+/** Tests that the acceptor's state survives a restart, and that any other content of the log is an error. */
 class AcceptorStateStoreTest {
     @TempDir
     Path directory;
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void logWithAnotherContentIsAnError() throws Exception {
+    void logWithInvalidContentIsAnError() throws Exception {
         try (StateLog stateLog = StateLog.open(file(), 1 << 20)) {
             stateLog.write("no state".getBytes(StandardCharsets.UTF_8));
         }
--- a/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorServerTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorServerTest.java
@@ -24,12 +24,12 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** One coordinator on real sockets and a real disk: what it rejects, and what it persists. */
+/** Tests what one coordinator rejects and what it persists, with real sockets and a real disk. */
 class CoordinatorServerTest {
     private static final LeaseTiming TIMING =
             new LeaseTiming(200_000_000L, 300_000_000L, 50_000_000L, 1_000_000_000L, 0.002);
 
-    /** A member's call with its zone loads. */
+    /** A member's call with its zone load report. */
     private static final String MEMBER_REQUEST =
             "{\"cluster\":\"kigali\",\"waitMillis\":0,\"turnFrom\":-1,\"call\":{\"member\":\"n\",\"incarnation\":\"x\","
                     + "\"generation\":0,\"voted\":0,\"yes\":false,\"leaves\":false},\"zones\":%s}";
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Malformed, oversized, foreign or invalid requests: 4xx with the error's type, the connection is closed,
-     * and nothing changes.
+     * Malformed or oversized requests, and requests of another cluster or with invalid values, get a 4xx response with
+     * the error's kind. The connection is closed and the state does not change.
      */
     @Test
     void invalidRequestsAreRejectedAndChangeNothing() throws Exception {
@@ -156,7 +156,7 @@
                                     .readTree(answer.bodyText())
                                     .path("type")
                                     .asText());
-                    assertTrue(connection.isClosedByPeer(), "the connection is closed");
+                    assertTrue(connection.isClosedByPeer(), "the connection must be closed");
                 }
             }
             try (TestConnection connection = connect(coordinator)) {
@@ -191,7 +191,7 @@
         }
     }
 
-    /** The active version is restored by a restart, and a file that was accepted is not accepted again. */
+    /** A restart restores the active version, and a file that was accepted before is not accepted again. */
     @Test
     void restartContinuesFromThePersistedState() throws Exception {
         try (CoordinatorServer coordinator = start()) {
@@ -209,7 +209,7 @@
         }
     }
 
-    /** A coordinator whose log may have lost a promise reports it, and does not vote. */
+    /** A coordinator whose log may have lost a promise reports this and does not vote. */
     @Test
     void coordinatorWithADamagedLogDoesNotVote() throws Exception {
         try (CoordinatorServer coordinator = start()) {
@@ -229,7 +229,7 @@
             Thread leadershipWaiter = TestSupport.startDaemon(() ->
                     TestSupport.await(() -> state(coordinator).path("leads").asBoolean()));
             leadershipWaiter.join(1000);
-            assertTrue(leadershipWaiter.isAlive(), "it leads");
+            assertTrue(leadershipWaiter.isAlive(), "the coordinator must not become the leader");
             leadershipWaiter.interrupt();
         }
     }
--- a/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorSettingsTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorSettingsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import weldhitch.fleet.error.FleetError.InvalidSetting;
 
-/** Invalid files are rejected with file, line, key and the expected value, all errors at once. */
+/** Tests that invalid files are rejected with file, line, key and expected value, and all errors at once. */
 class CoordinatorSettingsTest {
     private static final String VALID = "version = 1\nname = \"s1\"\ncluster = \"kigali\"\nlisten = \"127.0.0.1:0\"\n"
             + "directory = \"/tmp/s1\"\n[stewards]\ns1 = \"127.0.0.1:7101\"\n"
@@ -48,7 +48,7 @@
                         "4 listen expected 127.0.0.1:PORT"),
                 Map.entry(
                         VALID.replace("listen = \"127.0.0.1:0\"", "listen = \"10.1.2.3:7101\""),
-                        "4 listen answers on loopback alone"),
+                        "4 listen listens on loopback only"),
                 Map.entry(
                         VALID.replace("listen = \"127.0.0.1:0\"", "listen = \"localhost:7101\""),
                         "4 listen expected 127.0.0.1:PORT"),
@@ -82,7 +82,7 @@
                 .errors()
                 .get(0)
                 .message()
-                .contains(":1: file: is no TOML"));
+                .contains(":1: file: is not valid TOML"));
         assertTrue(CoordinatorSettings.read(directory.resolve("none"))
                 .errors()
                 .get(0)
--- a/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorStatusTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorStatusTest.java
@@ -9,7 +9,7 @@
 import weldhitch.fleet.activation.RouteVersion;
 import weldhitch.fleet.error.FleetError;
 
-/** The JSON names of responses and their order. */
+/** Tests the JSON names of responses and their order. */
 class CoordinatorStatusTest {
     private static String json(Object body) throws Exception {
         return CoordinatorJson.JSON.writeValueAsString(body);
@@ -42,7 +42,7 @@
 
     @Test
     void errorBodyNamesKindLocationProblemAndRemedy() throws Exception {
-        FleetError error = new FleetError.MessageRejected("/127.0.0.1:9", "is no HTTP request");
+        FleetError error = new FleetError.MessageRejected("/127.0.0.1:9", "malformed HTTP request");
         FleetError.Description description = error.describe();
         assertEquals(
                 Map.of(
--- a/coordinator/src/test/java/weldhitch/coordinator/server/MemberCallHandlerTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/MemberCallHandlerTest.java
@@ -17,7 +17,7 @@
 import weldhitch.fleet.activation.MemberRequest;
 import weldhitch.fleet.activation.MemberResponse;
 
-/** Members' calls to a cluster of one coordinator, in virtual time. */
+/** Tests members' calls to a cluster of one coordinator, in virtual time. */
 class MemberCallHandlerTest {
     private static final LeaseTiming TIMING = LeaseTiming.DEFAULT;
     private static final long MILLI = 1_000_000;
@@ -42,7 +42,7 @@
     private void joinLeader() {
         core.tick(START);
         assertTrue(core.isLeader(START));
-        assertTrue(call(START, 1000, -1), "a member that joins changes what is proposed");
+        assertTrue(call(START, 1000, -1), "a joining member changes what is proposed next");
         core.tick(START);
         responses.clear();
     }
@@ -63,7 +63,7 @@
         calls.answerExpired(START + 100 * MILLI);
         assertTrue(responses.get(0).heartbeat().joined());
         calls.answerAll(START + 100 * MILLI);
-        assertEquals(1, responses.size(), "answered once");
+        assertEquals(1, responses.size(), "a long poll is answered once");
     }
 
     @Test
--- a/coordinator/src/test/java/weldhitch/coordinator/server/QuorumMonitorTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/QuorumMonitorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A lost quorum is reported after three leases without a leader, and again while it lasts. */
+/** Tests that a lost quorum is reported after three leader leases without a leader, and again while it lasts. */
 class QuorumMonitorTest {
     private static final long LEASE = 100;
 
--- a/coordinator/src/test/java/weldhitch/coordinator/server/RecordedMessagesTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/RecordedMessagesTest.java
@@ -31,9 +31,9 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * HTTP bodies as an earlier version (32a2790) sent them to members and peers: a fleet of which half runs that
- * version has to work. Each is read, written back in the same form, and answered. The files are never recorded
- * again.
+ * Tests compatibility with HTTP bodies that version 32a2790 sent to members and peers, because a fleet in which half of
+ * the processes run that version has to work. Each body is read, written back in the same form, and answered. The files
+ * must never be recorded again.
  */
 class RecordedMessagesTest {
     private static final Path RECORDED = Path.of("coordinator/src/test/resources/weldhitch/recorded");
@@ -99,13 +99,13 @@
                     try {
                         PeerMessage message = readAndWriteBack(file, CoordinatorJson.PeerEnvelope.class)
                                 .message();
-                        return message instanceof PeerMessage.ConsensusRequest ballots
+                        return message instanceof PeerMessage.ConsensusRequest consensusRequest
                                 ? Stream.of(
-                                        message.getClass(), ballots.message().getClass())
-                                : message instanceof PeerMessage.ConsensusReply counted
+                                        message.getClass(), consensusRequest.message().getClass())
+                                : message instanceof PeerMessage.ConsensusReply consensusReply
                                         ? Stream.of(
                                                 message.getClass(),
-                                                counted.reply().getClass())
+                                                consensusReply.reply().getClass())
                                         : Stream.of(message.getClass());
                     } catch (IOException e) {
                         throw new java.io.UncheckedIOException(e);
@@ -121,7 +121,7 @@
     @Test
     void aProcessAnswersTheMessagesOfTheEarlierVersion() throws Exception {
         InetSocketAddress ephemeralAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        Map<String, InetSocketAddress> three = Map.of(
+        Map<String, InetSocketAddress> coordinators = Map.of(
                 "s1",
                 ephemeralAddress,
                 "s2",
@@ -130,7 +130,7 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 1));
         try (CoordinatorServer coordinator = CoordinatorServer.start(
                 new CoordinatorSettings(
-                        "s1", "kigali", ephemeralAddress, three, directory, MissingMemberPolicy.ABORT, TIMING),
+                        "s1", "kigali", ephemeralAddress, coordinators, directory, MissingMemberPolicy.ABORT, TIMING),
                 line -> {})) {
             for (Path file : peerMessages()) {
                 String body = Files.readString(file).replace("\"from\":\"s1\"", "\"from\":\"s3\"");
@@ -193,10 +193,11 @@
 
     private static weldhitch.testkit.RawHttpMessage post(CoordinatorServer coordinator, String path, String body)
             throws IOException {
-        try (TestConnection wire = new TestConnection(new Socket(
+        try (TestConnection connection = new TestConnection(new Socket(
                 InetAddress.getLoopbackAddress(), coordinator.address().getPort()))) {
-            wire.write("POST " + path + " HTTP/1.1\r\nHost: s\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            return wire.readMessage();
+            connection.write(
+                    "POST " + path + " HTTP/1.1\r\nHost: s\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+            return connection.readMessage();
         }
     }
 }
--- a/coordinator/src/test/java/weldhitch/coordinator/server/RecordedStateTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/RecordedStateTest.java
@@ -27,9 +27,8 @@
 import weldhitch.statelog.StateLog;
 
 /**
- * Reads state logs that an earlier version (32a2790) wrote as leader and as follower, with a route version
- * pending, committed, finalized and aborted, and one in the middle of a proposal. The files are never recorded
- * again.
+ * Tests that state logs of version 32a2790 are readable. The logs were written by leaders and followers, with a route
+ * version pending, committed, finalized and aborted, and one during a proposal. The files must never be recorded again.
  */
 class RecordedStateTest {
     private static final Path RECORDED = Path.of("coordinator/src/test/resources/weldhitch/recorded");
@@ -48,7 +47,7 @@
             assertEquals(
                     CoordinatorJson.JSON.readTree(log.state()),
                     CoordinatorJson.JSON.readTree(CoordinatorJson.JSON.writeValueAsBytes(state)),
-                    "it is written in the same form");
+                    "the state must be written back in the same form");
             return state;
         }
     }
@@ -72,7 +71,7 @@
 
     @ParameterizedTest
     @CsvSource({"leader", "follower"})
-    void aCommittedVersionKeepsItsMomentAfterTheUpgrade(String role) throws IOException {
+    void aCommittedVersionKeepsItsActivationTimeAfterTheUpgrade(String role) throws IOException {
         FleetState fleetState = fleetState("state-committed-" + role + ".log");
         assertEquals(new RouteVersion(1, "abc"), fleetState.pendingVersion());
         assertTrue(fleetState.outcome().committed());
@@ -83,7 +82,7 @@
 
     @ParameterizedTest
     @CsvSource({"leader", "follower"})
-    void aSettledVersionIsInForceAfterTheUpgrade(String role) throws IOException {
+    void aFinalizedVersionIsActiveAfterTheUpgrade(String role) throws IOException {
         FleetState fleetState = fleetState("state-settled-" + role + ".log");
         assertEquals(new RouteVersion(1, "abc"), fleetState.activeVersion());
         assertNull(fleetState.pendingVersion());
@@ -104,7 +103,7 @@
     }
 
     @Test
-    void aProposalUnderWayKeepsItsPromiseAndItsAcceptedValue() throws IOException {
+    void aProposalInProgressKeepsItsPromiseAndItsAcceptedValue() throws IOException {
         AcceptorState state = read("state-undecided-follower.log");
         assertEquals(new Ballot(9, "s3/y"), state.promised());
         assertEquals(new Ballot(8, "s1/x"), state.acceptedBallot());
@@ -112,10 +111,7 @@
         assertEquals(state.committed().generation() + 1, state.generation());
     }
 
-    /**
-     * Starts the complete process on a log of the earlier version: it restores its state and continues from
-     * there.
-     */
+    /** Starts a complete process on a log of the earlier version, which restores its state and continues from there. */
     @Test
     void aProcessStartsOnTheStateOfTheEarlierVersion() throws Exception {
         Files.copy(RECORDED.resolve("state-settled-leader.log"), directory.resolve("steward.log"));
