--- a/coordinator/src/main/java/weldhitch/coordinator/core/FleetClock.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/FleetClock.java
@@ -12,7 +12,7 @@
 final class FleetClock {
     private final ClockEstimate leaderClock;
     private String id;
-    /** Difference of the fleet clock to this process's monotonic clock, known to within {@link #errorBound}. */
+    /** The fleet clock reads this process's monotonic clock plus {@code offset}, to within {@code errorBound}. */
     private long offset;
 
     private long errorBound;
