--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -307,7 +307,7 @@
                     .awaitEntry(
                             fromEntry,
                             20,
-                            e -> e.source().equals("s1") && e.event().contains(" aborted"))
+                            e -> e.source().equals("s1") && e.event().contains("version 1 aborted"))
                     .event();
             assertTrue(
                     abortEvent.contains("version 1 aborted: n2: version-1.toml:3: error: class.read.attempts: 4 is "
@@ -354,7 +354,7 @@
             String description = "seed " + seed + "\n" + Fault.format(schedule) + "\n";
             Thread submitter = TestSupport.startDaemon(() -> {
                 fleet.submit(fleet.coordinators().get((int) (seed % 3)), CoordinatedFleet.routeVersion(2500));
-                fleet.eventLog.awaitEntry(0, 30, e -> e.event().matches(".*version 1 (active\"|aborted.*)"));
+                fleet.eventLog.awaitEntry(0, 30, e -> e.event().matches(".*event=\"version 1 (active\"|aborted.*)"));
                 fleet.submit(fleet.coordinators().get((int) ((seed + 1) % 3)), CoordinatedFleet.routeVersion(2600));
             });
             fleet.faultInjector.runSchedule(schedule);
--- a/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorCore.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorCore.java
@@ -133,7 +133,7 @@
         return timing.leaderLease() / 40;
     }
 
-    /** Does what is due by now. Must be called at least every {@link #tickInterval}. */
+    /** Performs the actions that are due by now. Must be called at least every {@link #tickInterval}. */
     public List<Effect> tick(long now) {
         List<Effect> effects = new ArrayList<>();
         expireLeadership(now, effects);
--- a/coordinator/src/main/java/weldhitch/coordinator/core/ElectionProtocol.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/ElectionProtocol.java
@@ -118,7 +118,10 @@
         return election.onHeartbeatAck(from, ack.term(), ack.sequence());
     }
 
-    /** Becomes the leader if a majority has voted for this coordinator; returns true only if it was not one before. */
+    /**
+     * Becomes the leader if a majority has voted for this coordinator; returns true only if it was not the leader
+     * before.
+     */
     boolean becomeLeaderIfElected(long now) {
         if (!election.becomeLeaderIfElected(now)) {
             return false;
--- a/coordinator/src/main/java/weldhitch/coordinator/core/FleetClock.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/FleetClock.java
@@ -4,7 +4,7 @@
 import weldhitch.fleet.activation.ClockEstimate;
 
 /**
- * The clock in which the leader announces activation times. If a former leader has announced an activation time, a new
+ * The clock to which the leader's activation times refer. If a former leader has announced an activation time, a new
  * leader continues that leader's clock, as precisely as it knows it from heartbeats. Otherwise it starts a new clock.
  *
  * <p>Not thread-safe; owned by {@link CoordinatorCore}. Times are nanoseconds.
--- a/coordinator/src/main/java/weldhitch/coordinator/core/LeaderElection.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/LeaderElection.java
@@ -37,7 +37,7 @@
      * Creates the election state of a coordinator that has just started.
      *
      * @param clusterSize number of coordinators, this one included
-     * @param firstTerm higher than any term that an earlier start of this coordinator used, or far from them
+     * @param firstTerm a term that is higher than, or far from, all terms that earlier starts of this coordinator used
      */
     LeaderElection(String name, int clusterSize, LeaseTiming timing, long now, long firstTerm) {
         this.name = name;
@@ -160,7 +160,10 @@
         return leader;
     }
 
-    /** Becomes the leader if a majority has voted for this coordinator; returns true only if it was not one before. */
+    /**
+     * Becomes the leader if a majority has voted for this coordinator; returns true only if it was not the leader
+     * before.
+     */
     boolean becomeLeaderIfElected(long now) {
         if (leader || now >= leadershipExpiresAt()) {
             return false;
--- a/coordinator/src/main/java/weldhitch/coordinator/core/PeerMessage.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/PeerMessage.java
@@ -37,8 +37,8 @@
             implements PeerMessage {}
 
     /**
-     * Acknowledges a heartbeat and renews the vote; {@code generation} is the last one that the sender knows to be
-     * committed.
+     * Acknowledges a heartbeat and renews the vote from the time of this reply on. {@code generation} is the last one
+     * that the sender knows to be committed.
      */
     record HeartbeatAck(long term, long sequence, long generation) implements PeerMessage {}
 
--- a/coordinator/src/test/java/weldhitch/coordinator/core/CoreFixtures.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/CoreFixtures.java
@@ -33,17 +33,17 @@
         return apply(CommittedState.INITIAL, state -> state.membershipCommand("s1", "join", incarnations, Set.of()));
     }
 
-    /** Returns the state after that submission has prepared another version. */
+    /** Returns the state after the submission {@code submissionId} has prepared another version. */
     static CommittedState withPendingVersion(CommittedState before, String submissionId) {
         return apply(before, state -> state.prepareCommand("s1", submissionId, PREPARED_SHA256, "bundle", "v.toml"));
     }
 
-    /** Returns the state after a command that is built from the state before it. */
+    /** Returns the state after the command that {@code command} builds from the state {@code before}. */
     static CommittedState apply(CommittedState before, java.util.function.Function<FleetState, Command> command) {
         return before.apply(command.apply(FleetState.fromCommitted(before)));
     }
 
-    /** Returns a member's call with its vote on a version, 0 for none. */
+    /** Returns a member's heartbeat with its vote on {@code votedVersion}, or without a vote if that is 0. */
     static MemberHeartbeat call(String member, long votedVersion, boolean accepts, String... rejectionReasons) {
         return new MemberHeartbeat(member, "x", 0, votedVersion, accepts, List.of(rejectionReasons), false);
     }
