--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -117,7 +117,7 @@
             fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2600));
             for (String node : fleet.nodes.keySet()) {
                 fleet.eventLog.awaitEntry(
-                        fromEntry, 20, e -> e.source().equals(node) && e.event().contains("version 2 takes effect in"));
+                        fromEntry, 20, e -> e.source().equals(node) && e.event().contains("version 2 activates in"));
             }
             for (String coordinator : fleet.coordinators()) {
                 fleet.processes.get(coordinator).signal("KILL");
@@ -180,7 +180,7 @@
             int fromEntry = fleet.eventLog.entries().size();
             fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2600));
             fleet.eventLog.awaitEntry(
-                    fromEntry, 20, e -> e.source().equals("n1") && e.event().contains("version 2 takes effect in"));
+                    fromEntry, 20, e -> e.source().equals("n1") && e.event().contains("version 2 activates in"));
             // It knows the activation time but is suspended when it passes.
             fleet.faultInjector.runSchedule(List.of(new Fault(0, Fault.Kind.STOP, "n1", 3500, 0)));
             long resumedAt = fleet.eventLog.elapsedNanos();
@@ -316,11 +316,11 @@
             fleet.eventLog.awaitEntry(
                     fromEntry,
                     20,
-                    e -> e.source().equals("n0") && e.event().contains("version 1 is given up: n2: version-1.toml:3"));
+                    e -> e.source().equals("n0") && e.event().contains("version 1 aborted: n2: version-1.toml:3"));
             assertEquals(
                     1,
                     fleet.eventLog.entries().stream()
-                            .filter(e -> e.source().equals("n2") && e.event().contains("is refused"))
+                            .filter(e -> e.source().equals("n2") && e.event().contains(" rejected: "))
                             .count());
             fleet.submit("s1", CoordinatedFleet.routeVersion(2500));
             fleet.awaitActive(2);
--- a/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
@@ -69,7 +69,7 @@
         assertEquals(Map.of(1L, false), cluster.outcomes());
         assertNull(cluster.whyNotConverged(), cluster.eventLogText());
         assertTrue(
-                cluster.eventLogText().contains("m1: version 1 is given up: m3: x.toml:3: no"), cluster.eventLogText());
+                cluster.eventLogText().contains("m1: version 1 aborted: m3: x.toml:3: no"), cluster.eventLogText());
     }
 
     @Test
@@ -80,7 +80,7 @@
         cluster.coordinators.get("s1").submit("a", "aa");
         cluster.runUntil(25 * SECOND);
         assertEquals(Map.of(1L, false), cluster.outcomes());
-        assertTrue(cluster.eventLogText().contains("had no vote in time from m2"), cluster.eventLogText());
+        assertTrue(cluster.eventLogText().contains("received no vote in time from m2"), cluster.eventLogText());
     }
 
     /**
--- a/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorServerTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/CoordinatorServerTest.java
@@ -223,8 +223,8 @@
         try (CoordinatorServer coordinator = start()) {
             assertTrue(
                     log.stream()
-                            .anyMatch(line ->
-                                    line.startsWith("log-suspect: ") && line.contains("learns and does not vote")),
+                            .anyMatch(line -> line.startsWith("log-suspect: ")
+                                    && line.contains("learns committed commands but does not vote")),
                     log.toString());
             Thread leadershipWaiter = TestSupport.startDaemon(() ->
                     TestSupport.await(() -> state(coordinator).path("leads").asBoolean()));
--- a/fleet/src/main/java/weldhitch/fleet/activation/ActivationOutcome.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ActivationOutcome.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * How the activation of a version was decided. Immutable.
+ * The outcome of the vote on a version. Immutable.
  *
  * @param version the version's number
- * @param committed whether the version was committed; else it was aborted
+ * @param committed whether the version was committed; otherwise it was aborted
  * @param clockId id of the fleet clock that {@code activationTime} refers to
  * @param activationTime the activation time, in nanoseconds of that clock
- * @param reasons why the version was aborted, a line each; null counts as empty
+ * @param reasons why the version was aborted, one per line; null counts as empty
  */
 public record ActivationOutcome(
         long version, boolean committed, String clockId, long activationTime, List<String> reasons) {
--- a/fleet/src/main/java/weldhitch/fleet/activation/ActivationParticipant.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ActivationParticipant.java
@@ -6,30 +6,32 @@
 import weldhitch.fleet.error.FleetError;
 
 /**
- * A member's part in the activation of route versions: a state machine whose effects its owner, {@link
- * weldhitch.fleet.member.FleetMember}, carries out. The member serves by {@link #activeVersions}; its knowledge
- * comes only from coordinators' responses and from when it sent the heartbeats that they answer.
+ * The member's side of the activation of route versions: a state machine whose effects its owner, {@link
+ * weldhitch.fleet.member.FleetMember}, carries out. The member serves the versions that {@link #activeVersions}
+ * returns. It learns about the fleet only from coordinators' responses and from the times at which it sent the
+ * heartbeats that they answer.
  *
- * <p>Why two members never decide by different versions at the same time, up to the error of their clocks: a
- * version's activation time lies after the expiry of every lease that was granted before the decision, and a
- * lease granted later carries the decision. A member that has voted uses its old version only until its lease
- * expires, or until the activation time if it knows that.
+ * <p>Two members never decide by different versions at the same time, up to the error of their clocks, for the
+ * following reason. A version's activation time lies after the expiry of every lease that was granted before the
+ * decision, and a response that grants a later lease carries the decision. A member that has voted uses its old
+ * version only until its lease expires, or until the activation time if it knows that time.
  *
  * <p>Free of I/O, clocks and threads. Not thread-safe.
  */
 public final class ActivationParticipant {
-    /** What the owner has to do after a call. */
+    /** An action that the owner has to carry out after a call. */
     public sealed interface Effect {}
 
     /**
-     * Fetch this version's bundle, check it, build its table, and report the result by {@link #onPrepared}.
+     * Fetches this version's bundle, verifies it and builds its table; the owner reports the result with {@link
+     * #onPrepared}.
      */
     public record Prepare(RouteVersion version) implements Effect {}
 
-    /** Log a change that operators care about. */
+    /** Logs a change that is relevant to operators. */
     public record LogEvent(String message) implements Effect {}
 
-    /** Tables of versions other than these are no longer needed. */
+    /** Retains the tables of these versions; those of other versions are no longer needed. */
     public record RetainTables(List<Long> versionNumbers) implements Effect {
         /** Copies the list, so that the record stays immutable. */
         public RetainTables {
@@ -53,21 +55,21 @@
     /** The version to switch to; null if there is none. */
     private TargetVersion target;
     /**
-     * Whether the target version is active in the fleet already, so that {@code currentVersion} must not be used
-     * any more.
+     * Whether the target version is already active in the fleet, so that {@code currentVersion} must no longer be
+     * used.
      */
     private boolean targetActive;
     /** The response that reported the target version as active; null if none has. */
     private MemberHeartbeatResponse activatingResponse;
 
     /**
-     * Creates a member that has not joined yet and serves by its own file, version 0.
+     * Creates a member that has not joined yet and serves its own file, version 0.
      *
      * @param memberName the member's name
-     * @param incarnation new with each start of the process
+     * @param incarnation an identifier that is new with each start of the process
      * @param maxClockDrift fraction by which clocks may run fast or slow
-     * @param fenceBeforeJoin whether it rejects requests until it knows the active version; otherwise it
-     *     serves by its own file
+     * @param fenceBeforeJoin whether the member rejects requests until it knows the active version; otherwise it serves
+     *     its own file
      */
     public ActivationParticipant(String memberName, String incarnation, double maxClockDrift, boolean fenceBeforeJoin) {
         this.memberName = memberName;
@@ -77,15 +79,15 @@
         lease = new MemberLease(fenceBeforeJoin);
     }
 
-    /** The heartbeat to send now. This casts the member's vote, whether the heartbeat arrives or not. */
+    /** Returns the heartbeat to send now. The call casts the member's vote, whether or not the heartbeat arrives. */
     public MemberHeartbeat heartbeat(long now) {
         applyReachedSwitch(now);
         boolean castsVote =
                 lease.isJoined() && target != null && !target.isCommitted() && !targetActive && target.isReadyToVote();
         if (castsVote && target.isPrepared() && !target.isVoted()) {
             target.recordVote();
-            // A decision that waits for this vote is made after it was sent, and its activation time leaves a
-            // full lease after that: until then the member needs no further message.
+            // A decision that depends on this vote is made after the vote was sent, and its activation time is at
+            // least a full lease later: until then the member needs no further message.
             lease.extendUndecided(now);
         }
         return new MemberHeartbeat(
@@ -104,8 +106,8 @@
     }
 
     /**
-     * Handles the response to a heartbeat sent at {@code sentAt}. Responses of an older generation than the latest
-     * one are ignored.
+     * Handles the response to a heartbeat sent at {@code sentAt}. Ignores responses of an older generation than the
+     * latest one.
      */
     public List<Effect> onResponse(long sentAt, long now, MemberHeartbeatResponse response) {
         List<Effect> effects = new ArrayList<>();
@@ -122,8 +124,8 @@
     }
 
     /**
-     * Applies a decision on the target version. A decision is final, whichever coordinator reports it: a leader
-     * that fails after its decision leaves no member in doubt. Nothing else of a follower's response counts.
+     * Applies a decision on the target version. A decision is final whichever coordinator reports it, so a leader that
+     * fails after its decision leaves no member in doubt. The rest of a follower's response is ignored.
      */
     private void onFollowerResponse(long now, MemberHeartbeatResponse response, List<Effect> effects) {
         if (target == null || targetActive || !decidesTarget(response)) {
@@ -170,7 +172,7 @@
         return activeVersion.number() > currentVersion && (target == null || target.number() <= activeVersion.number());
     }
 
-    /** Whether a response reports how the target version, which there must be, was decided. */
+    /** Returns whether a response reports the outcome of the target version, which must not be null. */
     private boolean decidesTarget(MemberHeartbeatResponse response) {
         return response.outcome() != null && response.outcome().version() == target.number();
     }
@@ -180,15 +182,15 @@
             setTarget(response.pendingVersion(), effects);
             onDecision(response.outcome(), now, effects);
         } else if (target != null && !targetActive && response.pendingVersion() == null) {
-            dropTarget(effects, decidesTarget(response) ? abortedBy(response.outcome()) : "is not pending any more");
+            dropTarget(effects, decidesTarget(response) ? abortedBy(response.outcome()) : "no longer pending");
         }
     }
 
     private static String abortedBy(ActivationOutcome outcome) {
-        return "is given up: " + String.join("; ", outcome.reasons());
+        return "aborted: " + String.join("; ", outcome.reasons());
     }
 
-    /** Makes this the target version; does nothing if it is already. */
+    /** Sets the target version; does nothing if this is the target version already. */
     private void setTarget(RouteVersion version, List<Effect> effects) {
         if (target != null && target.version().equals(version)) {
             return;
@@ -198,7 +200,7 @@
         effects.add(new Prepare(version));
     }
 
-    /** Applies the decision that a response reports, if any, to the target version if it commits that. */
+    /** Applies a decision to the target version if it commits that version; otherwise, or if null, does nothing. */
     private void onDecision(ActivationOutcome decision, long now, List<Effect> effects) {
         if (decision == null || !decision.committed() || decision.version() != target.number()) {
             return;
@@ -235,7 +237,7 @@
         String delay = schedule.isKnown() ? (schedule.switchAt() - now) / NANOS_PER_MILLI + " ms" : "?";
         String clockError = schedule.isKnown() ? schedule.errorBound() / NANOS_PER_MICRO + " us" : "?";
         effects.add(new LogEvent(
-                "version " + target.number() + " takes effect in " + delay + ", clocks known to " + clockError));
+                "version " + target.number() + " activates in " + delay + ", clock error " + clockError));
     }
 
     private void dropTarget(List<Effect> effects, String reason) {
@@ -245,9 +247,9 @@
     }
 
     /**
-     * The table of a version is built, or cannot be built.
+     * Handles the result of preparing a version.
      *
-     * @param errors why it cannot be built, a line each; empty on success
+     * @param errors why the version's table cannot be built, one per line; empty if it is built
      */
     public List<Effect> onPrepared(long now, long versionNumber, List<String> errors) {
         List<Effect> effects = new ArrayList<>();
@@ -257,7 +259,7 @@
         }
         target.recordPreparation(errors);
         effects.add(new LogEvent("version " + versionNumber
-                + (target.isPrepared() ? " is prepared" : " is refused: " + String.join("; ", errors))));
+                + (target.isPrepared() ? " is prepared" : " rejected: " + String.join("; ", errors))));
         if (target.isPrepared() && targetActive) {
             activateTarget(now, effects);
         }
@@ -273,7 +275,7 @@
         effects.add(new RetainTables(List.of(currentVersion)));
         effects.add(new LogEvent("version " + currentVersion + " is active"));
         if (activatingResponse != null) {
-            // The same response may carry the next version, which may be decided already.
+            // The same response may contain the next version, possibly with its outcome.
             updatePending(activatingResponse, now, effects);
         }
         activatingResponse = null;
@@ -287,7 +289,7 @@
         }
     }
 
-    /** The versions to serve by from {@code now} on, valid without further messages. */
+    /** Returns the versions to serve from {@code now} on, valid even if no further messages arrive. */
     public ActiveVersions activeVersions(long now) {
         applyReachedSwitch(now);
         if (targetActive) {
@@ -325,24 +327,24 @@
                 fencedFrom);
     }
 
-    /** Whether the member is registered, according to the latest response. */
+    /** Returns whether the member is registered according to the latest response. */
     public boolean joined() {
         return lease.isJoined();
     }
 
-    /** The generation of the latest decision that the member knows. */
+    /** Returns the generation of the latest decision that the member knows. */
     public long generation() {
         return generation;
     }
 
-    /** The version whose table has to be built; empty if there is none. */
+    /** Returns the version whose table has to be built; empty if there is none. */
     public Optional<RouteVersion> versionToPrepare() {
         return target == null || target.isPrepared() ? Optional.empty() : Optional.of(target.version());
     }
 
     /**
-     * By how much the time of the last switch may be wrong here, in nanoseconds; {@link Long#MAX_VALUE}
-     * before the first.
+     * Returns the maximum error of the last activation time at this member, in nanoseconds; {@link Long#MAX_VALUE}
+     * before the first activation.
      */
     public long lastSwitchErrorBound() {
         return lastSwitchErrorBound;
--- a/fleet/src/main/java/weldhitch/fleet/activation/LeaseTiming.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/LeaseTiming.java
@@ -1,15 +1,15 @@
 package weldhitch.fleet.activation;
 
 /**
- * The durations that coordinators and members agree on, in nanoseconds of any clock whose rate differs from
- * true time by at most {@code maxClockDrift}. Immutable.
+ * The durations that coordinators and members agree on, in nanoseconds of any clock whose rate differs from true time
+ * by at most {@code maxClockDrift}. Immutable.
  *
- * @param leaderLease leader lease: how long a coordinator promises to follow one leader, from its answer on
- * @param memberLease member lease: how long after it was granted a lease may be used at the latest, as coordinators
- *     count it
- * @param activationDelay how long after the expiry of every lease a version takes effect, so that members can learn of
- *     the decision before
- * @param voteTimeout how long members have for their votes
+ * @param leaderLease leader lease: how long a coordinator promises to follow one leader, counted from its response
+ * @param memberLease member lease: how long after being granted a lease may be used at most, as counted by the
+ *     coordinators
+ * @param activationDelay delay of a version's activation after the expiry of every lease, in which members can learn
+ *     of the decision
+ * @param voteTimeout time that members have to vote
  * @param maxClockDrift fraction by which clocks may run fast or slow, 0 to 0.1
  */
 public record LeaseTiming(
@@ -18,15 +18,15 @@
     private static final double LARGEST_CLOCK_DRIFT = 0.1;
 
     /**
-     * The default durations: a leader lease of 2 s, a member lease of 3 s, 0.5 s before activation, 10 s to
-     * vote, a drift of 0.2%.
+     * The default durations: a leader lease of 2 s, a member lease of 3 s, an activation delay of 0.5 s, a vote timeout
+     * of 10 s, and a clock drift of 0.2%.
      */
     public static final LeaseTiming DEFAULT = new LeaseTiming(
             2000 * NANOS_PER_MILLI, 3000 * NANOS_PER_MILLI, 500 * NANOS_PER_MILLI, 10_000 * NANOS_PER_MILLI, 0.002);
 
     /**
-     * Rejects durations that are not positive (the delay before activation may be 0) and a drift outside of 0
-     * to 0.1.
+     * Rejects durations that are not positive, except that the activation delay may be 0, and a clock drift outside
+     * 0 to 0.1.
      */
     public LeaseTiming {
         if (leaderLease <= 0
@@ -35,21 +35,22 @@
                 || voteTimeout <= 0
                 || !(maxClockDrift >= 0 && maxClockDrift <= LARGEST_CLOCK_DRIFT)) {
             throw new IllegalArgumentException(
-                    "durations must be above 0 (activationDelay from 0), maxClockDrift from 0 to 0.1: leaderLease="
+                    "durations must be above 0 (activationDelay at least 0), maxClockDrift from 0 to 0.1: leaderLease="
                             + leaderLease + " memberLease=" + memberLease + " activationDelay=" + activationDelay
                             + " voteTimeout=" + voteTimeout + " maxClockDrift=" + maxClockDrift);
         }
     }
 
     /**
-     * How long a member may use a lease, from the sending of the heartbeat that obtained it. Measured by a
-     * slow clock this ends before {@link #memberLease} does by a fast one, as {@code (1 - 2d)(1 + d) <= 1 - d}.
+     * Returns how long a member may use a lease, counted from when it sent the heartbeat that obtained the lease.
+     * This duration measured by a slow clock ends before {@link #memberLease} measured by a fast one, because {@code
+     * (1 - 2d)(1 + d) <= 1 - d}, where {@code d} is the maximum drift.
      */
     public long usableMemberLease() {
         return shortenForDrift(memberLease);
     }
 
-    /** How long a leader may act on promises, from the sending of the request that obtained them. */
+    /** Returns how long a leader may act on promises, counted from when it sent the request that obtained them. */
     public long usableLeaderLease() {
         return shortenForDrift(leaderLease);
     }
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberHeartbeat.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberHeartbeat.java
@@ -6,12 +6,12 @@
  * A member's heartbeat to a coordinator, sent several times a second. Immutable.
  *
  * @param member the member's name
- * @param incarnation new with each start of the process
- * @param generation of the latest decision that the member has seen: a coordinator may delay its response
+ * @param incarnation an identifier that is new with each start of the process
+ * @param generation generation of the latest decision that the member has seen; a coordinator may delay its response
  *     until there is a newer one
  * @param votedVersion the version that the member votes on, 0 for none
- * @param prepared whether it has built the version's table and could serve by it
- * @param rejectionReasons why it rejects the version, a line each; null counts as empty
+ * @param prepared whether the member has built the version's table and could serve the version
+ * @param rejectionReasons why the member rejects the version, one per line; null counts as empty
  * @param leaving whether the process is shutting down and is to be removed from the membership
  */
 public record MemberHeartbeat(
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberHeartbeatResponse.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberHeartbeatResponse.java
@@ -3,20 +3,20 @@
 /**
  * A coordinator's response to a member's heartbeat. Immutable.
  *
- * @param fromLeader whether the responder is the leader; of a follower's response only a decision counts
+ * @param fromLeader whether the responder is the leader; members use only the outcome of a follower's response
  * @param leaderHint the leader as far as the responder knows it, or null
- * @param generation of the latest committed command
+ * @param generation generation of the latest committed command
  * @param joined whether this incarnation of the member is registered
  * @param leaseGranted whether the member is granted a lease, which starts when it sent its heartbeat
  * @param leaseDuration how long a lease may be used, in nanoseconds of the member's clock
  * @param clockId id of the fleet clock
- * @param clockReading what the fleet clock showed when this response was made
- * @param clockError by how much {@code clockReading} may be wrong, in either direction, in nanoseconds
+ * @param clockReading the time of the fleet clock when this response was created, in nanoseconds
+ * @param clockError the maximum error of {@code clockReading}, in either direction, in nanoseconds
  * @param activeVersion the active version
- * @param pendingVersion a version that is prepared and not decided, or null
- * @param outcome how the pending version was decided, or null
- * @param leaseRequired whether members need a lease at all times, as versions may be committed without absent
- *     members
+ * @param pendingVersion the version that is prepared and not active yet, or null
+ * @param outcome the outcome of the pending version, or null
+ * @param leaseRequired whether members need a lease at all times because versions may be committed without the votes
+ *     of missing members
  */
 public record MemberHeartbeatResponse(
         boolean fromLeader,
@@ -32,7 +32,7 @@
         RouteVersion pendingVersion,
         ActivationOutcome outcome,
         boolean leaseRequired) {
-    /** The response of a follower: it passes on decisions it knows, which are final, and grants no lease. */
+    /** Creates the response of a follower, which passes on outcomes that it knows, as they are final, but no lease. */
     public static MemberHeartbeatResponse fromFollower(
             String leaderHint,
             long generation,
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberLease.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberLease.java
@@ -1,30 +1,30 @@
 package weldhitch.fleet.activation;
 
 /**
- * Whether a member is registered with the coordinators, and until when its lease lets it serve. Owned by {@link
- * ActivationParticipant}; not thread-safe. Times are nanoseconds of the member's clock.
+ * Tracks whether a member is registered with the coordinators, and until when its lease allows it to serve. Owned by
+ * {@link ActivationParticipant}; not thread-safe. Times are nanoseconds of the member's clock.
  */
 final class MemberLease {
     private final boolean fenceBeforeJoin;
     private boolean joined;
     private boolean leaseRequired;
-    /** How long a lease may be used, as the leader reports it. */
+    /** How long a lease may be used, as reported by the leader. */
     private long duration;
 
     private long expiresAt = Long.MIN_VALUE;
-    /** Until when no version can have been decided without this member knowing it. */
+    /** Time until which no version can have been decided without this member knowing it. */
     private long undecidedUntil = Long.MIN_VALUE;
 
     /**
      * Creates the state of a member that has not joined.
      *
-     * @param fenceBeforeJoin whether it rejects all requests until it has joined
+     * @param fenceBeforeJoin whether the member rejects all requests until it has joined
      */
     MemberLease(boolean fenceBeforeJoin) {
         this.fenceBeforeJoin = fenceBeforeJoin;
     }
 
-    /** Whether the member is registered, according to the latest response. */
+    /** Returns whether the member is registered according to the latest response. */
     boolean isJoined() {
         return joined;
     }
@@ -34,31 +34,31 @@
         joined = true;
     }
 
-    /** Applies the terms that the leader reports with each response. */
+    /** Applies the lease terms that the leader reports with each response. */
     void updateTerms(boolean newLeaseRequired, long newDuration) {
         leaseRequired = newLeaseRequired;
         duration = newDuration;
     }
 
-    /** Extends the lease: it was obtained by a heartbeat sent at {@code sentAt}. */
+    /** Extends the lease that was granted in response to a heartbeat sent at {@code sentAt}. */
     void extend(long sentAt) {
         expiresAt = Math.max(expiresAt, sentAt + duration);
     }
 
     /**
-     * Records that no version can be decided without this member knowing it before a lease's duration after {@code
-     * moment}.
+     * Records that until a lease duration after {@code moment}, no version can be decided without this member
+     * knowing it.
      */
     void extendUndecided(long moment) {
         undecidedUntil = Math.max(undecidedUntil, moment + duration);
     }
 
-    /** Until when no version can have been decided without this member knowing it. */
+    /** Returns the time until which no version can have been decided without this member knowing it. */
     long undecidedUntil() {
         return undecidedUntil;
     }
 
-    /** From when on all requests are rejected, as far as the lease decides that; {@link Long#MAX_VALUE} for never. */
+    /** Returns the time from which the lease state rejects all requests; {@link Long#MAX_VALUE} for never. */
     long fencedFrom() {
         if (!joined && fenceBeforeJoin) {
             return Long.MIN_VALUE;
--- a/fleet/src/main/java/weldhitch/fleet/activation/SwitchSchedule.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/SwitchSchedule.java
@@ -1,14 +1,14 @@
 package weldhitch.fleet.activation;
 
 /**
- * When a committed version takes effect by the member's clock, and how precisely that is known. Owned by {@link
- * TargetVersion}; not thread-safe. Times are nanoseconds of the member's clock.
+ * The activation time of a committed version by the member's clock, and its error. Owned by {@link TargetVersion}; not
+ * thread-safe. Times are nanoseconds of the member's clock.
  */
 final class SwitchSchedule {
     /**
-     * The largest error with which the activation time may be known here. With a larger error a member rejects
-     * requests on which the versions differ for as long as the switch may or may not have happened, and takes the
-     * new version when it surely has.
+     * The largest error of the activation time with which a member switches at that time. With a larger error, the
+     * member rejects requests that the versions treat differently for as long as it is uncertain whether the
+     * activation time has passed, and uses the new version once it has certainly passed.
      */
     static final long MAX_CLOCK_ERROR = 50_000_000L;
 
@@ -16,8 +16,8 @@
     private long errorBound = Long.MAX_VALUE;
 
     /**
-     * Accepts a more precise estimate of the activation time; ignores a less precise one. Once the activation
-     * time has passed it is no longer moved.
+     * Accepts a more precise estimate of the activation time and ignores a less precise one. Once the activation
+     * time has passed, it no longer changes.
      *
      * @return whether the estimate was accepted
      */
@@ -30,39 +30,39 @@
         return true;
     }
 
-    /** The estimated activation time; {@link Long#MAX_VALUE} while it is unknown. */
+    /** Returns the estimated activation time; {@link Long#MAX_VALUE} while it is unknown. */
     long switchAt() {
         return switchAt;
     }
 
-    /** By how much {@link #switchAt} may be wrong, in either direction; {@link Long#MAX_VALUE} while unknown. */
+    /** Returns the maximum error of {@link #switchAt}, in either direction; {@link Long#MAX_VALUE} while unknown. */
     long errorBound() {
         return errorBound;
     }
 
-    /** Whether there is an estimate of the activation time. */
+    /** Returns whether there is an estimate of the activation time. */
     boolean isKnown() {
         return switchAt != Long.MAX_VALUE;
     }
 
-    /** Whether there is an estimate, and it is not precise enough to switch by. */
+    /** Returns whether there is an estimate whose error is too large to switch at that time. */
     boolean isTooImprecise() {
         return errorBound != Long.MAX_VALUE && errorBound > MAX_CLOCK_ERROR;
     }
 
     /**
-     * When this member switches: at the activation time, or once that has surely passed if it is not known
-     * precisely enough.
+     * Returns when this member switches: at the activation time, or if the error of that is too large, once it has
+     * certainly passed.
      */
     long activatesAt() {
         return !isKnown() || errorBound <= MAX_CLOCK_ERROR ? switchAt : switchAt + errorBound;
     }
 
     /**
-     * From when on the activation time may have passed without the member knowing it; {@link Long#MAX_VALUE} if it
-     * is known precisely enough.
+     * Returns the time from which the activation time may have passed without the member knowing it; {@link
+     * Long#MAX_VALUE} if the activation time is known precisely enough.
      *
-     * @param undecidedUntil until when no version can have been decided without this member knowing it
+     * @param undecidedUntil the time until which no version can have been decided without this member knowing it
      */
     long uncertainFrom(long undecidedUntil) {
         if (!isKnown()) {
--- a/fleet/src/main/java/weldhitch/fleet/activation/TargetVersion.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/TargetVersion.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * The version that a member prepares to switch to: whether its table is built, the member's vote on it, and how and
- * when it was decided. Owned by {@link ActivationParticipant}, which replaces it as a whole; not thread-safe.
+ * The version that a member prepares to switch to: whether its table is built, the member's vote on it, its outcome
+ * and its activation time. Owned by {@link ActivationParticipant}, which creates a new object for each target version;
+ * not thread-safe.
  */
 final class TargetVersion {
     private final RouteVersion version;
@@ -14,57 +15,57 @@
     private List<String> rejectionReasons = List.of();
     private ActivationOutcome commit;
 
-    /** Creates the target without a table, a vote or a decision. */
+    /** Creates a target version without a table, a vote or an outcome. */
     TargetVersion(RouteVersion version) {
         this.version = version;
     }
 
-    /** The version. */
+    /** Returns the version. */
     RouteVersion version() {
         return version;
     }
 
-    /** The version's number. */
+    /** Returns the version's number. */
     long number() {
         return version.number();
     }
 
-    /** When the version takes effect here. */
+    /** Returns the time at which the version is activated at this member. */
     SwitchSchedule schedule() {
         return schedule;
     }
 
-    /** Whether the version's table is built. */
+    /** Returns whether the version's table is built. */
     boolean isPrepared() {
         return prepared;
     }
 
-    /** Why the table cannot be built, a line each; empty if it is built or being built. */
+    /** Returns the reasons why the table cannot be built, one per line; empty if it is built or being built. */
     List<String> rejectionReasons() {
         return rejectionReasons;
     }
 
-    /** Whether the member has voted to commit the version. */
+    /** Returns whether the member has voted to commit the version. */
     boolean isVoted() {
         return voted;
     }
 
-    /** Whether the member knows that the version is committed. */
+    /** Returns whether the member knows that the version is committed. */
     boolean isCommitted() {
         return commit != null;
     }
 
-    /** Whether the member has a result to vote by: the table is built, or cannot be. */
+    /** Returns whether the member can vote: the table is built, or cannot be built. */
     boolean isReadyToVote() {
         return prepared || !rejectionReasons.isEmpty();
     }
 
-    /** Whether the version is prepared and committed, and its activation time has passed. */
+    /** Returns whether the version is prepared and committed, and its activation time has passed. */
     boolean isSwitchReached(long now) {
         return prepared && commit != null && now >= schedule.activatesAt();
     }
 
-    /** Records whether the table could be built: there are no errors if it could. */
+    /** Records whether the table could be built; an empty list of errors means that it is built. */
     void recordPreparation(List<String> errors) {
         rejectionReasons = List.copyOf(errors);
         prepared = errors.isEmpty();
@@ -75,7 +76,7 @@
         voted = true;
     }
 
-    /** Records that the version is committed; returns whether that was unknown before. */
+    /** Records that the version is committed; returns whether the member did not know that before. */
     boolean recordCommit(ActivationOutcome outcome) {
         boolean firstNotice = commit == null;
         commit = outcome;
--- a/fleet/src/main/java/weldhitch/fleet/error/FleetException.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/FleetException.java
@@ -1,19 +1,19 @@
 package weldhitch.fleet.error;
 
-/** Carries a {@link FleetError} to where it is reported. Immutable. */
+/** Carries a {@link FleetError} to the code that reports it. Immutable. */
 public final class FleetException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Not serialized: null after deserialization. Nothing serializes this exception. */
+    /** Not serialized, so null after deserialization. No code serializes this exception. */
     private final transient FleetError error;
 
-    /** Creates an exception whose message is the error's line. */
+    /** Creates an exception with the error's one-line message. */
     public FleetException(FleetError error) {
         super(error.message());
         this.error = error;
     }
 
-    /** The error. */
+    /** Returns the error. */
     public FleetError error() {
         return error;
     }
--- a/fleet/src/main/java/weldhitch/fleet/error/package-info.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/package-info.java
@@ -1,2 +1,2 @@
-/** The errors of the state that a fleet shares, each kind a type of its own. */
+/** Defines the errors of the state that a fleet shares, one type for each kind of error. */
 package weldhitch.fleet.error;
--- a/fleet/src/main/java/weldhitch/fleet/member/BuiltTables.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/BuiltTables.java
@@ -8,8 +8,8 @@
 import weldhitch.fleet.table.VersionedTables.Table;
 
 /**
- * The tables of all versions that a member has built, of which it publishes the active ones. Owned by {@link
- * FleetMember}, whose lock guards it; requests enter {@link #published} from any thread.
+ * Holds the tables of all versions that a member has built, and publishes the active ones. Owned by {@link
+ * FleetMember} and guarded by its lock; requests acquire tables from {@link #published} on any thread.
  *
  * @param <T> the contents of a version's table
  */
@@ -20,10 +20,10 @@
     private final VersionedTables<T> published;
 
     /**
-     * Creates the tables of a member that has built only its own file.
+     * Creates the tables of a member that has built only the table of its own file.
      *
      * @param ownContent the table of version 0, the node's own file
-     * @param activeVersions the versions to serve by at first
+     * @param activeVersions the versions to serve initially
      */
     BuiltTables(T ownContent, ActiveVersions activeVersions) {
         Table<T> ownTable = new Table<>(OWN_FILE_VERSION, ownContent);
@@ -31,12 +31,12 @@
         published = new VersionedTables<>(activeVersions, ownTable);
     }
 
-    /** The tables that requests enter. */
+    /** Returns the published tables, from which requests acquire theirs. */
     VersionedTables<T> published() {
         return published;
     }
 
-    /** Adds the table of a version, or replaces it. */
+    /** Adds or replaces the table of a version. */
     void put(long versionNumber, T content) {
         tablesByVersion.put(versionNumber, new Table<>(versionNumber, content));
     }
@@ -46,12 +46,12 @@
         put(OWN_FILE_VERSION, content);
     }
 
-    /** Whether a version's table is built. */
+    /** Returns whether a version's table is built. */
     boolean contains(long versionNumber) {
         return tablesByVersion.containsKey(versionNumber);
     }
 
-    /** Drops all tables but these and that of the node's own file. */
+    /** Drops all tables except those of the given versions and of the node's own file. */
     void retain(Collection<Long> versionNumbers) {
         tablesByVersion
                 .keySet()
@@ -59,7 +59,7 @@
                         versionNumber -> versionNumber != OWN_FILE_VERSION && !versionNumbers.contains(versionNumber));
     }
 
-    /** Makes requests enter the tables of these versions. */
+    /** Publishes the tables of the given versions to requests. */
     void publish(ActiveVersions activeVersions) {
         Table<T> current = tablesByVersion.get(activeVersions.current());
         Table<T> next = activeVersions.next() == null ? null : tablesByVersion.get(activeVersions.next());
--- a/fleet/src/main/java/weldhitch/fleet/member/BundleDigest.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/BundleDigest.java
@@ -5,13 +5,13 @@
 import java.util.HexFormat;
 
 /**
- * Digests of bundles, by which members and coordinators identify the contents of a version. Stateless and
+ * Computes the digests by which members and coordinators identify the contents of a version's bundle. Stateless and
  * thread-safe.
  */
 public final class BundleDigest {
     private BundleDigest() {}
 
-    /** The SHA-256 of a bundle, in hex. */
+    /** Returns the SHA-256 digest of a bundle in lower-case hexadecimal. */
     public static String sha256(byte[] bundle) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bundle));
--- a/fleet/src/main/java/weldhitch/fleet/member/CoordinatorClient.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/CoordinatorClient.java
@@ -18,9 +18,9 @@
 import weldhitch.fleet.locality.NodeLoadReport;
 
 /**
- * Client of the coordinators over HTTP/1.1; {@link FleetMember} owns one. Its calls block, so it must not be
- * used on an event loop. Not thread-safe: it belongs to the member's thread, and after that has ended to
- * whoever closes the member.
+ * HTTP/1.1 client of the coordinators, owned by {@link FleetMember}. Its calls block, so it must not be used on an
+ * event loop. Not thread-safe: only the member's thread uses it, and after that thread has ended, the thread that
+ * closes the member.
  */
 final class CoordinatorClient {
     private static final int MAX_RESPONSE_BYTES = 512 << 10;
@@ -28,13 +28,13 @@
     private static final int HTTP_OK = 200;
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration BUNDLE_TIMEOUT = Duration.ofMillis(2000);
-    /** How long a heartbeat may take beyond the time for which the coordinator may delay its response. */
+    /** Time allowed for a heartbeat response in addition to the delay that the request permits the coordinator. */
     private static final long HEARTBEAT_TIMEOUT_MILLIS = 800;
 
     static final ObjectMapper JSON =
             MemberJson.register(new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES));
 
-    /** A response that has been read completely. */
+    /** A response whose body has been read completely. */
     private record Response(int status, byte[] body) {
         String bodyStart() {
             return new String(body, 0, Math.min(body.length, MAX_LOGGED_BODY_BYTES), StandardCharsets.UTF_8);
@@ -49,36 +49,36 @@
     private final List<InetSocketAddress> addresses;
     private int currentIndex;
 
-    /** Creates a client that starts with the coordinator at position {@code firstIndex}, modulo their number. */
+    /** Creates a client that first calls the coordinator at index {@code firstIndex} modulo their number. */
     CoordinatorClient(String cluster, List<InetSocketAddress> addresses, int firstIndex) {
         this.cluster = cluster;
         this.addresses = addresses;
         currentIndex = firstIndex % addresses.size();
     }
 
-    /** Makes further calls go to the next coordinator. */
+    /** Directs further calls to the next coordinator. */
     void switchToNext() {
         currentIndex = (currentIndex + 1) % addresses.size();
     }
 
-    /** The address of the coordinator that calls go to now, as host:port. */
+    /** Returns the address of the coordinator that is called at present, as host:port. */
     String currentAddress() {
         InetSocketAddress address = addresses.get(currentIndex);
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** The number of coordinators. */
+    /** Returns the number of coordinators. */
     int count() {
         return addresses.size();
     }
 
     /**
-     * Sends a heartbeat and what goes with it.
+     * Sends a heartbeat together with the load report and the request for a poll slot.
      *
-     * @param waitMillis how long the coordinator may wait for a change before it responds
+     * @param waitMillis time that the coordinator may wait for a change before it responds, in milliseconds
      * @param loadReport the node's zone loads, or null
      * @param ownPollDelayNanos as in {@link MemberRequest}
-     * @throws IOException if no readable response came in time; the message says what was received instead
+     * @throws IOException if no readable response arrived in time; the message describes what was received instead
      */
     MemberResponse sendHeartbeat(
             MemberHeartbeat heartbeat, long waitMillis, NodeLoadReport loadReport, long ownPollDelayNanos)
@@ -90,21 +90,21 @@
                 .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(memberRequest)))
                 .build());
         if (response.status != HTTP_OK) {
-            throw new IOException("coordinator " + currentAddress() + " answered status=" + response.status + " body="
-                    + response.bodyStart());
+            throw new IOException("coordinator " + currentAddress() + " responded with status=" + response.status
+                    + " body=" + response.bodyStart());
         }
         MemberResponse memberResponse = JSON.readValue(response.body, MemberResponse.class);
         if (memberResponse.heartbeat() == null) {
-            throw new IOException(
-                    "coordinator " + currentAddress() + " sent no heartbeat response: incompatible version?");
+            throw new IOException("coordinator " + currentAddress()
+                    + " sent a response without a heartbeat; check that its version is compatible");
         }
         return memberResponse;
     }
 
     /**
-     * The bundle of a version, from the current coordinator.
+     * Fetches the bundle of a version from the current coordinator.
      *
-     * @throws IOException if no response came in time, or the coordinator does not have the version
+     * @throws IOException if no response arrived in time, or the coordinator does not have the version
      */
     byte[] fetchBundle(long versionNumber) throws IOException, InterruptedException {
         Response response = send(HttpRequest.newBuilder(resource("/v1/bundle/" + versionNumber))
--- a/fleet/src/main/java/weldhitch/fleet/member/CoordinatorOutageLog.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/CoordinatorOutageLog.java
@@ -7,8 +7,9 @@
 
 /**
  * Decides when a member logs that no coordinator responds, that they respond again, and that it rejects requests
- * meanwhile: an outage is logged again after twice the time, a rejection once. Owned by {@link FleetMember} and used
- * on its thread; not thread-safe. Times are nanoseconds of {@link System#nanoTime}, which callers pass in.
+ * meanwhile. An ongoing outage is logged again each time its duration has doubled; the start of rejection is logged
+ * once. Owned by {@link FleetMember} and used on its thread; not thread-safe. Times are nanoseconds of {@link
+ * System#nanoTime}, passed in by the caller.
  */
 final class CoordinatorOutageLog {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -20,14 +21,14 @@
     private long nextLogDelay = INITIAL_DELAY;
     private boolean rejectionLogged;
 
-    /** Creates the log of a member that starts at {@code now}. */
+    /** Creates the log of a member that starts at time {@code now}. */
     CoordinatorOutageLog(String memberName, Consumer<String> log, long now) {
         this.memberName = memberName;
         this.log = log;
         lastLeaderResponseAt = now;
     }
 
-    /** The leading coordinator has responded: ends an outage. */
+    /** Records a response of the leading coordinator, which ends an outage. */
     void onLeaderResponse(long now) {
         if (nextLogDelay != INITIAL_DELAY) {
             log.accept("fleet: coordinators reachable again unreachableMillis="
@@ -38,9 +39,9 @@
     }
 
     /**
-     * No response of a leading coordinator was received.
+     * Records that no response of a leading coordinator was received.
      *
-     * @param failure what was received instead, or why nothing was
+     * @param failure what was received instead, or why nothing was received
      */
     void onNoLeaderResponse(String failure, long now) {
         long silence = now - lastLeaderResponseAt;
@@ -50,7 +51,7 @@
         }
     }
 
-    /** Logs that the member has begun to reject requests, all of them or those on which versions differ. */
+    /** Logs that the member has begun to reject all requests, or those that the two versions treat differently. */
     void onVersionsWithoutLeader(ActiveVersions activeVersions, long now) {
         boolean fenced = activeVersions.isFencedAt(now);
         boolean rejecting = activeVersions.isInDoubtAt(now) || fenced;
--- a/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
@@ -17,9 +17,10 @@
 import weldhitch.fleet.table.VersionedTables;
 
 /**
- * A running fleet member: owns the thread that exchanges heartbeats with the coordinators, has the tables of
- * versions built and publishes the active ones. Requests enter {@link #tables} from any thread. If no coordinator
- * responds, the active version stays active. The object's lock guards the participant and the built tables.
+ * A running fleet member. It owns the thread that exchanges heartbeats with the coordinators, has the tables of
+ * versions built and publishes the active ones. Requests acquire tables from {@link #tables} on any thread. While no
+ * coordinator responds, the active version stays active. The lock of this object guards the participant and the built
+ * tables.
  *
  * @param <T> the contents of a version's table
  */
@@ -29,8 +30,8 @@
         /**
          * Builds a version's table; may block.
          *
-         * @param file the name of the bundle in errors
-         * @param errors receives the reasons why the table cannot be built, a line each
+         * @param file the name of the bundle in error messages
+         * @param errors receives the reasons why the table cannot be built, one per line
          * @return the table; may be null if there were errors
          */
         T build(String file, byte[] bundle, Consumer<String> errors);
@@ -38,37 +39,40 @@
 
     /** Supplies zone load reports and receives the fleet's view of zones; called on the member's thread. */
     public interface ZoneLoadExchange {
-        /** The report to send now; null if there are no locality rules. */
+        /** Returns the report to send now, or null if there are no locality rules. */
         NodeLoadReport loadReport();
 
         /**
-         * Handles the coordinators' response to a heartbeat sent at {@code sentAt} of {@link
+         * Handles the fleet view in the response to a heartbeat that was sent at {@code sentAt}, a time of {@link
          * System#nanoTime}.
          */
         void onFleetView(FleetView view, long sentAt);
     }
 
-    /** Polls a discovery service that all nodes share, in assigned slots; called on the member's thread. */
+    /** Polls a discovery service that all nodes share, in assigned poll slots; called on the member's thread. */
     public interface ListPoller {
-        /** If it waits to poll: how long it would still wait by itself, in nanoseconds; else below 0. */
+        /**
+         * Returns the remaining delay before the next poll without an assigned poll slot, in nanoseconds; below 0 if no
+         * poll slot is wanted.
+         */
         long ownPollDelayNanos();
 
-        /** Assigns the poll slot, by {@link System#nanoTime}. */
+        /** Sets the time of the next poll to an assigned poll slot, a time of {@link System#nanoTime}. */
         void assignPollTime(long at);
     }
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long LONG_POLL_MILLIS = 500;
     /**
-     * Shorter than {@code LONG_POLL_MILLIS}: with locality rules, quota grants depend on how often reports
-     * and views are exchanged.
+     * The long poll time with locality rules; shorter because quota grants depend on a frequent exchange of reports
+     * and views.
      */
     private static final long LOCALITY_LONG_POLL_MILLIS = 200;
 
     private static final long MIN_HEARTBEAT_INTERVAL = 40 * NANOS_PER_MILLI;
     private static final long RETRY_DELAY = 150 * NANOS_PER_MILLI;
     private static final long JOIN_TIMEOUT_MILLIS = 1000;
-    /** The range that the hash of the incarnation is reduced to, so that members start at different coordinators. */
+    /** Range that the hash of the incarnation is reduced to, so that members start with different coordinators. */
     private static final int FIRST_COORDINATOR_RANGE = 1 << 20;
 
     private final CoordinatorClient coordinators;
@@ -82,8 +86,8 @@
     private final Thread thread;
     private volatile boolean closing;
     /**
-     * The number of the version that was rejected last: it is not built again for each response that names
-     * it. Belongs to the member's thread.
+     * Number of the version that was rejected last. It is not built again when later responses name it. Used on the
+     * member's thread only.
      */
     private long rejectedVersion;
 
@@ -91,7 +95,7 @@
      * Starts the member's thread, which begins to call the coordinators.
      *
      * @param member the name that identifies this node to the coordinators
-     * @param incarnation new with each start of the process
+     * @param incarnation an identifier that is new with each start of the process
      * @param ownContent the table of version 0, the node's own file
      * @param tableBuilder builds the tables of the other versions
      * @param zoneLoadExchange exchanges zone loads
@@ -124,14 +128,14 @@
         thread.start();
     }
 
-    /** The tables that requests enter. */
+    /** Returns the published tables, from which requests acquire theirs. */
     public VersionedTables<T> tables() {
         return tables.published();
     }
 
     /**
-     * Replaces the table of version 0; versions that the fleet has committed stay active. Blocks on a lock,
-     * so it must not be called on an event loop.
+     * Replaces the table of version 0. Versions that the fleet has committed stay active. Blocks on a lock, so it
+     * must not be called on an event loop.
      */
     public void replaceOwnTable(T newContent) {
         synchronized (this) {
@@ -148,7 +152,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException e) {
-                // A failure here must not affect requests: the active version stays active.
+                // A failure here must not affect requests; the active version stays active.
                 log.accept("fleet: heartbeat failed error=\"" + e + "\"");
                 LockSupport.parkNanos(RETRY_DELAY);
             }
@@ -159,7 +163,7 @@
         }
     }
 
-    /** One round: sends a heartbeat, handles the response, and builds the table that it makes necessary. */
+    /** Sends one heartbeat, handles the response, and builds the table of a version that the response requires. */
     private void exchangeHeartbeat() throws InterruptedException {
         MemberHeartbeat heartbeat;
         long sentAt;
@@ -196,7 +200,7 @@
         }
     }
 
-    /** Sends a heartbeat with what goes with it, and passes on what the response carries beside its own part. */
+    /** Sends a heartbeat with the load report, and passes on the poll slot and fleet view of the response. */
     private MemberHeartbeatResponse sendHeartbeat(MemberHeartbeat heartbeat, long sentAt)
             throws IOException, InterruptedException {
         NodeLoadReport loadReport = zoneLoadExchange.loadReport();
@@ -236,7 +240,7 @@
         try {
             result = versionTableBuilder.build(version);
         } catch (IOException e) {
-            // Requested again in the next round.
+            // The next round fetches it again.
             log.accept("fleet: " + e.getMessage());
             return;
         }
@@ -252,7 +256,7 @@
         }
     }
 
-    /** Carries out the effects. The caller holds this object's lock. */
+    /** Carries out the effects. The caller must hold the lock of this object. */
     private void applyEffects(List<ActivationParticipant.Effect> effects) {
         for (ActivationParticipant.Effect effect : effects) {
             if (effect instanceof ActivationParticipant.LogEvent logEvent) {
@@ -264,15 +268,14 @@
         publish();
     }
 
-    /** Publishes the tables of the active versions. The caller holds this object's lock. */
+    /** Publishes the tables of the active versions. The caller must hold the lock of this object. */
     private void publish() {
         tables.publish(participant.activeVersions(System.nanoTime()));
     }
 
     /**
-     * Ends the member's thread, waiting up to a second for it, then reports to the leading coordinator, if
-     * one can be reached, that this member leaves. Blocks for that second and one request to each coordinator
-     * at most.
+     * Ends the member's thread, waiting up to a second for it, then reports to the leading coordinator, if it can be
+     * reached, that this member is leaving. Blocks for at most that second and one request to each coordinator.
      */
     @Override
     public void close() {
@@ -290,8 +293,8 @@
                         return;
                     }
                 } catch (IOException e) {
-                    // Try the next one; if none can be reached, the coordinators will report this member as
-                    // absent.
+                    // Try the next coordinator. If none can be reached, the coordinators will report this member as
+                    // missing.
                 }
                 coordinators.switchToNext();
             }
--- a/fleet/src/main/java/weldhitch/fleet/member/MemberJson.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/MemberJson.java
@@ -15,9 +15,10 @@
 import weldhitch.fleet.locality.ZoneLoadReport;
 
 /**
- * The JSON names of the messages between members and coordinators. They are part of the wire protocol: half of a
- * fleet may run another version, so they stay where a record component has another name. Both sides register
- * them, as a name that only one side knows would be read as absent. Stateless and thread-safe.
+ * Defines the JSON names of the messages between members and coordinators. The names are part of the wire protocol.
+ * They do not change when a record component is renamed, because the processes of a fleet may run different builds
+ * during an upgrade. Both sides must register them: a name that only one side knows would be read as absent. Stateless
+ * and thread-safe.
  */
 public final class MemberJson {
     private MemberJson() {}
--- a/fleet/src/main/java/weldhitch/fleet/member/VersionTableBuilder.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/VersionTableBuilder.java
@@ -7,7 +7,7 @@
 
 /**
  * Fetches the bundle of a version from the coordinators, verifies its checksum and builds its table. Owned by {@link
- * FleetMember} and used on its thread; blocks; not thread-safe.
+ * FleetMember} and used on its thread. Its methods block. Not thread-safe.
  *
  * @param <T> the contents of a version's table
  */
@@ -17,7 +17,7 @@
         /** The table is built. */
         record Built<T>(T content) implements BuildResult<T> {}
 
-        /** The bundle is not usable here: the reasons, a line each; none if the builder reported none. */
+        /** The bundle cannot be used on this node; contains the reasons that the builder gave, one per line. */
         record Rejected<T>(List<String> errors) implements BuildResult<T> {
             /** Copies the list, so that the record stays immutable. */
             public Rejected {
@@ -29,7 +29,7 @@
     private final CoordinatorClient coordinators;
     private final FleetMember.TableBuilder<T> tableBuilder;
 
-    /** Creates a builder that fetches bundles by that client. */
+    /** Creates a builder that fetches bundles through the given client. */
     VersionTableBuilder(CoordinatorClient coordinators, FleetMember.TableBuilder<T> tableBuilder) {
         this.coordinators = coordinators;
         this.tableBuilder = tableBuilder;
@@ -38,7 +38,7 @@
     /**
      * Builds the table of a version.
      *
-     * @throws IOException if the bundle could not be fetched now, or is not the one that was decided on
+     * @throws IOException if the bundle could not be fetched, or its checksum is not that of the version
      */
     BuildResult<T> build(RouteVersion version) throws IOException, InterruptedException {
         String file = "version-" + version.number() + ".toml";
@@ -47,7 +47,7 @@
         try {
             content = tableBuilder.build(file, fetchVerified(version), errors::add);
         } catch (RuntimeException e) {
-            // A bundle on which the builder fails must not end the member's thread: it is rejected.
+            // A bundle that makes the builder fail is rejected; the exception must not end the member's thread.
             errors.add(file + ": " + e);
         }
         return content != null && errors.isEmpty()
--- a/fleet/src/main/java/weldhitch/fleet/member/package-info.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A running fleet member: its calls to the coordinators on a thread of its own, and the route tables that
- * requests read.
+ * Runs a fleet member: exchanges heartbeats with the coordinators on its own thread, and publishes the route tables
+ * that requests read.
  */
 package weldhitch.fleet.member;
--- a/fleet/src/main/java/weldhitch/fleet/table/VersionedTables.java
+++ b/fleet/src/main/java/weldhitch/fleet/table/VersionedTables.java
@@ -8,23 +8,23 @@
 import weldhitch.fleet.activation.ActiveVersions;
 
 /**
- * The route tables that requests are decided by. Any thread enters a table by a load and a count and leaves
- * it when its request has ended; one thread publishes new tables and detects when an old one has lost its
- * last reader (read-copy-update; McKenney and Slingwine, 1998, with a count for each table as its epoch).
+ * The route tables by which requests are decided. Any thread acquires a table, which increments the table's reader
+ * count, and releases it when its request has ended. One thread publishes new tables and detects when an old one has
+ * lost its last reader (read-copy-update; McKenney and Slingwine, 1998, with the reader count of each table as its
+ * epoch).
  *
- * <p>Which of two tables is valid, and whether either is, is judged at the time of a request, not of a
- * publication: a process that was suspended across an activation time still uses the right one.
+ * <p>Which of two tables is valid, and whether either is, is determined at the time of a request, not of a publication.
+ * So a process that was suspended across an activation time still uses the right table.
  *
  * @param <T> the contents of a table
  */
 public final class VersionedTables<T> {
     /**
-     * The largest number of tables alive at once: the active one, the next one, and one that old requests
-     * still read.
+     * The largest number of live tables: the active one, the next one, and one that is still read by old requests.
      */
     public static final int MAX_LIVE_TABLES = 3;
 
-    /** One version's table and the count of its readers. Thread-safe. */
+    /** A version's table and the count of its readers. Thread-safe. */
     public static final class Table<T> {
         private final long version;
         private final T content;
@@ -36,12 +36,12 @@
             this.content = content;
         }
 
-        /** The number of the route version. */
+        /** Returns the number of the route version. */
         public long version() {
             return version;
         }
 
-        /** What requests are decided by. */
+        /** Returns the contents by which requests are decided. */
         public T content() {
             return content;
         }
@@ -59,17 +59,17 @@
             this.next = next;
         }
 
-        /** The versions and the times by which one of the tables is chosen. */
+        /** Returns the versions and times that determine which table is valid. */
         public ActiveVersions activeVersions() {
             return activeVersions;
         }
 
-        /** The table of the current version. */
+        /** Returns the table of the current version. */
         public Table<T> current() {
             return current;
         }
 
-        /** The table of the next version, or null. */
+        /** Returns the table of the next version, or null. */
         public Table<T> next() {
             return next;
         }
@@ -94,23 +94,23 @@
     }
 
     private volatile View<T> view;
-    /** Belongs to the publishing thread. */
+    /** Used by the publishing thread only. */
     private final List<Table<T>> liveTables = new ArrayList<>();
 
-    /** Creates the tables with one that is active. */
+    /** Creates the tables with a single active table. */
     public VersionedTables(ActiveVersions activeVersions, Table<T> first) {
         view = new View<>(activeVersions, first, null);
         liveTables.add(first);
     }
 
-    /** The latest publication. */
+    /** Returns the latest publication. */
     @SuppressWarnings("unchecked")
     public View<T> view() {
         return (View<T>) VIEW.getAcquire(this);
     }
 
     /**
-     * Enters the table that is valid at {@code now}; the table stays alive until it is left.
+     * Acquires the table that is valid at {@code now}. The table stays live until it is released.
      *
      * @param now nanoseconds of the clock that the published times refer to
      */
@@ -119,8 +119,8 @@
             View<T> snapshot = view();
             Table<T> table = snapshot.tableAt(now);
             retain(table);
-            // If the table was retired before it was counted, the publisher may already have seen it without
-            // readers.
+            // If the table was retired before this reader was counted, the publisher may have seen it without
+            // readers and dropped it.
             if (view == snapshot || view.contains(table)) {
                 return table;
             }
@@ -133,12 +133,12 @@
         return table;
     }
 
-    /** Releases a table, as the request that entered it has ended. */
+    /** Releases a table at the end of the request that acquired it. */
     public void release(Table<T> table) {
         table.readers.decrementAndGet();
     }
 
-    /** Makes these tables the valid ones from now on. For the publishing thread only. */
+    /** Publishes these tables as the valid ones. For the publishing thread only. */
     public void publish(ActiveVersions activeVersions, Table<T> current, Table<T> next) {
         trackIfNew(current);
         if (next != null) {
@@ -155,8 +155,8 @@
     }
 
     /**
-     * Drops tables that are neither valid nor read any more, and returns how many are alive. For the
-     * publishing thread only.
+     * Drops tables that are neither valid nor read any more, and returns the number of live tables. For the publishing
+     * thread only.
      */
     public int retire() {
         View<T> activeView = view;
@@ -164,12 +164,12 @@
         return liveTables.size();
     }
 
-    /** The tables that are valid or still read. For the publishing thread only. */
+    /** Returns the tables that are valid or still read. For the publishing thread only. */
     List<Table<T>> liveTables() {
         return List.copyOf(liveTables);
     }
 
-    /** Whether a further table may be made. For the publishing thread only. */
+    /** Returns whether another table may be built. For the publishing thread only. */
     public boolean canAddTable() {
         return retire() < MAX_LIVE_TABLES;
     }
--- a/fleet/src/main/java/weldhitch/fleet/turns/PollSlots.java
+++ b/fleet/src/main/java/weldhitch/fleet/turns/PollSlots.java
@@ -5,24 +5,24 @@
 import java.util.TreeSet;
 
 /**
- * Assigns each node a slot in which to poll a discovery service that all nodes share. As long as there are
- * slots, no two lie within {@link #SLOT_INTERVAL}, so that a start of hundreds of nodes, or the return of a service
- * that all of them wait for, arrives evenly, as random times never would. The leading coordinator owns it, in
- * memory only: a new leader does not know the slots assigned before, so while those last up to twice as many
- * polls may arrive. Free of I/O, clocks and threads; times are nanoseconds. Not thread-safe.
+ * Assigns each node a slot in which to poll a discovery service that all nodes share. As long as slots are free, no two
+ * assigned slots are closer than {@link #SLOT_INTERVAL}. So when hundreds of nodes start, or a service returns that all
+ * of them wait for, the polls arrive evenly, which random delays would not achieve. Owned by the leading coordinator
+ * and kept in memory only: a new leader does not know the slots assigned before, so up to twice as many polls may
+ * arrive until those slots have passed. Free of I/O, clocks and threads; times are nanoseconds. Not thread-safe.
  */
 public final class PollSlots {
-    /** The distance between two slots: 33 polls a second. */
+    /** The time between two slots; allows 33 polls a second. */
     public static final long SLOT_INTERVAL = 30_000_000L;
     /**
-     * The largest delay of a slot after the time it was requested for: all nodes must have a list within 10 s
+     * The largest delay of a slot after the time for which it was requested: all nodes must have a list within 10 s
      * of the service's return.
      */
     public static final long MAX_DELAY = 8_000_000_000L;
-    /** How long a node that requests again gets the same slot, as the response may have been lost. */
+    /** Time for which a node that requests again gets the same slot, because the response may have been lost. */
     private static final long REASSIGN_WINDOW = 500_000_000L;
 
-    /** The slot of one node, and when it was requested. */
+    /** The slot of one node, and the time of the request for it. */
     private record SlotAssignment(long at, long requestedAt) {}
 
     private final Map<String, SlotAssignment> assignments = new HashMap<>();
@@ -36,9 +36,8 @@
      *
      * @param node name and incarnation
      * @param now the coordinator's time
-     * @param notBefore how long from now the node would wait by itself, 0 or more
-     * @return how long the node has to wait from now: from {@code notBefore} to {@link #MAX_DELAY} and one slot
-     *     more
+     * @param notBefore the smallest delay of the slot from now: the node's own remaining delay, 0 or more
+     * @return how long from now the node has to wait: from {@code notBefore} to {@link #MAX_DELAY} plus one slot
      */
     public long assign(String node, long now, long notBefore) {
         assignments.values().removeIf(assignment -> assignment.at < now - REASSIGN_WINDOW);
@@ -56,8 +55,8 @@
             slot++;
         }
         if ((slot - firstSlot) * SLOT_INTERVAL > MAX_DELAY) {
-            // More nodes than slots: the first of the surplus goes half way through the period, the next two
-            // at a quarter and three quarters, and so on (bit-reversed counting).
+            // There are more nodes than slots: the first excess node gets the middle of the period, the next two a
+            // quarter and three quarters, and so on (bit-reversed counting).
             slot = firstSlot
                     + (long) (MAX_DELAY
                             / SLOT_INTERVAL
--- a/fleet/src/main/java/weldhitch/fleet/turns/package-info.java
+++ b/fleet/src/main/java/weldhitch/fleet/turns/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Poll slots that the coordinators assign, so that the rate of what all nodes do at once stays bounded. Free
- * of I/O, clocks and threads.
+ * Assigns poll slots to nodes, which bounds the rate of polls that all nodes send at once. The coordinators assign the
+ * slots. Free of I/O, clocks and threads.
  */
 package weldhitch.fleet.turns;
--- a/fleet/src/test/java/weldhitch/fleet/activation/ActivationParticipantTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/activation/ActivationParticipantTest.java
@@ -180,7 +180,7 @@
                         null,
                         new ActivationOutcome(1, false, null, 0, List.of("m1: v.toml:3: no"))));
         assertTrue(
-                effects.contains(new ActivationParticipant.LogEvent("version 1 is given up: m1: v.toml:3: no")),
+                effects.contains(new ActivationParticipant.LogEvent("version 1 aborted: m1: v.toml:3: no")),
                 effects.toString());
         assertNull(participant.activeVersions(202 * NANOS_PER_MILLI).next());
     }
--- a/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
@@ -277,7 +277,7 @@
         node.updateRules(new LocalityRules(REGIONS, 100, List.of(rule(SPILL_POLICY, true, "east"))), 0);
         node.updateEndpoints(false, List.of(new ZoneEndpoint("a0", "a", 1, 0, false, true)), SECOND);
         assertTrue(node.tick(SECOND).stream()
-                .anyMatch(l -> l.startsWith("rule-impossible: n: locality rule r has no zone left")));
+                .anyMatch(l -> l.startsWith("rule-impossible: n: locality rule r permits no available zone")));
         assertEquals(List.of(), node.select("read", null, null, 0.5, SECOND).zones());
         node.updateEndpoints(false, List.of(endpoint("a1", "a")), 2 * SECOND);
         assertTrue(node.tick(2 * SECOND).stream().anyMatch(line -> line.contains("has a permitted zone again")));
