--- a/fleet/src/main/java/weldhitch/fleet/locality/CallResult.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/CallResult.java
@@ -1,11 +1,11 @@
 package weldhitch.fleet.locality;
 
-/** How an attempt ended, as far as it says something about its zone. */
+/** The result of an attempt, as far as it indicates the health of the endpoint's zone. */
 public enum CallResult {
-    /** Answered, even with an application error. */
+    /** The endpoint answered, even if with an application error. */
     ANSWERED,
-    /** Rejected for lack of capacity. */
+    /** The endpoint rejected the attempt for lack of capacity. */
     REJECTED,
-    /** No answer, or a connection that could not be made or broke. */
+    /** There was no answer, or the connection could not be established or broke. */
     FAILED
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/DecayingRate.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/DecayingRate.java
@@ -1,8 +1,8 @@
 package weldhitch.fleet.locality;
 
 /**
- * Events per second, as a count that decays exponentially: an event of one second ago counts 1/e. Not
- * thread-safe.
+ * A rate of events per second, computed as a count that decays exponentially: an event one second ago counts 1/e. Not
+ * thread-safe. Times are nanoseconds.
  */
 final class DecayingRate {
     private static final double DECAY_NANOS = 1e9;
@@ -16,7 +16,7 @@
         count++;
     }
 
-    /** The rate at {@code now}. */
+    /** Returns the rate at {@code now}, in events per second. */
     double perSecond(long now) {
         decay(now);
         return count;
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalZoneHealth.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalZoneHealth.java
@@ -7,35 +7,35 @@
 import java.util.TreeSet;
 
 /**
- * What one node observes of zones by its own endpoint list and calls. Owned by {@link ZoneSelector}; not
- * thread-safe.
+ * Tracks what one node observes of zones from its own endpoint list and attempts. Owned by {@link ZoneSelector}; not
+ * thread-safe. Times are nanoseconds.
  */
 final class LocalZoneHealth {
     /**
-     * A zone counts as failing, with all its endpoints, after this many failures in a row, of whichever
-     * endpoints, and no answer for {@code ZONE_SILENCE_NANOS}. By the count only, one call in sixty-four
-     * would declare a zone failed half of whose endpoints are down.
+     * Number of consecutive failures, at any of its endpoints, after which a zone with all its endpoints counts as
+     * failing, provided that it has given no answer for {@code ZONE_SILENCE_NANOS}. By the count alone, one call in 64
+     * to a zone with half of its endpoints down would mark the zone as failing.
      */
     private static final int ZONE_FAILURE_THRESHOLD = 6;
     /**
-     * An endpoint counts as failing after this many failures in a row. It is no more because a failing
-     * endpoint is picked less often: one of many may not get a third call.
+     * Number of consecutive failures after which an endpoint counts as failing. It is not higher because a failing
+     * endpoint is picked less often: one of many endpoints may not get a third call.
      */
     private static final int ENDPOINT_FAILURE_THRESHOLD = 2;
-    /** How long a zone must have given no answer, in nanoseconds, to count as failing. */
+    /** How long a zone must have given no answer to count as failing, in nanoseconds. */
     private static final long ZONE_SILENCE_NANOS = 500_000_000L;
     /**
-     * How long a failed zone counts as failing without another failure: after that it has to be tried again,
-     * or no node ever would.
+     * How long a zone counts as failing after its last failure, in nanoseconds. Without this limit no node would ever
+     * send a call to the zone again.
      */
     private static final long ZONE_VERDICT_TTL = 3_000_000_000L;
     /**
-     * The same for a failing endpoint of a zone that answers: the node picks it rarely after a failure, and
-     * after some seconds without a call it is likely to be still down.
+     * The same limit for a failing endpoint in a zone that answers. It is longer because the node rarely picks an
+     * endpoint after a failure, and an endpoint that has had no call for some seconds is probably still down.
      */
     private static final long ENDPOINT_VERDICT_TTL = 20_000_000_000L;
 
-    /** One endpoint: its list entry and its latest results. */
+    /** The state of one endpoint: its list entry and its latest results. */
     private static final class EndpointHealth {
         ZoneEndpoint endpoint;
         int consecutiveFailures;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** One zone: its rates and its latest results. */
+    /** The state of one zone: its rates and its latest results. */
     private static final class ZoneHealth {
         final DecayingRate nonQuotaCalls = new DecayingRate();
         final DecayingRate quotaCalls = new DecayingRate();
@@ -72,10 +72,10 @@
         }
     }
 
-    /** The weight of a zone's ready endpoints, summed up. */
+    /** The total weights of a zone's ready endpoints. */
     private static final class ZoneWeights {
         double listed;
-        /** Of those with a recent result. */
+        /** Weight of the listed endpoints that have a recent result. */
         double observed;
 
         double failing;
@@ -87,10 +87,10 @@
     private final Map<String, ZoneHealth> zones = new TreeMap<>();
 
     /**
-     * Creates a view without endpoints.
+     * Creates a state without endpoints.
      *
-     * @param initialCapacityFraction fraction of its capacity that an endpoint bears when it starts, 0 to 1
-     * @param slowStartDuration how long until it bears all of it, in nanoseconds; 0 for no slow start
+     * @param initialCapacityFraction fraction of its capacity that an endpoint has when it starts, 0 to 1
+     * @param slowStartDuration time until an endpoint has its full capacity, in nanoseconds; 0 for no slow start
      */
     LocalZoneHealth(double initialCapacityFraction, long slowStartDuration) {
         this.initialCapacityFraction = initialCapacityFraction;
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Applies an update of the endpoint list, or the complete list. An endpoint that was started anew begins
-     * without results.
+     * Applies an update of the endpoint list, or the complete list. An endpoint that has restarted begins without
+     * results.
      */
     void updateEndpoints(boolean complete, Iterable<ZoneEndpoint> changes) {
         if (complete) {
@@ -125,13 +125,13 @@
         return zones.computeIfAbsent(name, zone -> new ZoneHealth());
     }
 
-    /** The zone of an endpoint, or null if it is not listed. */
+    /** Returns the zone of an endpoint, or null if the endpoint is not listed. */
     String zoneOf(String endpoint) {
         EndpointHealth known = endpoints.get(endpoint);
         return known == null ? null : known.endpoint.zone();
     }
 
-    /** The zones that have a ready endpoint by the list. */
+    /** Returns the zones in which the endpoint list has a ready endpoint. */
     Set<String> availableZones() {
         Set<String> available = new TreeSet<>();
         endpoints.values().forEach(health -> {
@@ -145,7 +145,7 @@
     /**
      * Records that an attempt was sent.
      *
-     * @param paidByToken whether a token of a quota grant paid for it
+     * @param paidByToken whether the attempt used a token of a quota grant
      */
     void onAttemptSent(String endpoint, boolean paidByToken, long now) {
         String zone = zoneOf(endpoint);
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Records how an attempt that was sent at {@code sentAt} ended. */
+    /** Records the result of an attempt that was sent at {@code sentAt}. */
     void onAttemptEnded(String endpoint, CallResult result, boolean late, long sentAt, long now) {
         EndpointHealth known = endpoints.get(endpoint);
         if (known == null) {
@@ -162,7 +162,7 @@
         }
         boolean failed = result == CallResult.FAILED;
         if (failed && known.lastAnswerAt > sentAt) {
-            // The endpoint has answered another attempt since this one was sent: it is late rather than down.
+            // The endpoint has answered another attempt since this one was sent, so it is slow rather than down.
             failed = false;
         }
         ZoneHealth zone = zoneHealth(known.endpoint.zone());
@@ -191,9 +191,9 @@
     }
 
     /**
-     * The observations by zone.
+     * Returns the load reports by zone.
      *
-     * @param capacityPerWeight what an endpoint of weight 1 bears, in calls per second
+     * @param capacityPerWeight capacity of an endpoint of weight 1, in calls per second
      */
     Map<String, ZoneLoadReport> loadReports(double capacityPerWeight, long now) {
         Map<String, ZoneWeights> weightsByZone = new TreeMap<>();
@@ -227,17 +227,17 @@
     }
 
     /**
-     * The fraction of late attempts. One attempt per second is added to the total: as both rates decay alike,
-     * a zone that nothing is sent to any more would otherwise stay late forever.
+     * Returns the fraction of late attempts. One attempt per second is added to the total: both rates decay by the same
+     * factor, so a zone that no longer receives attempts would otherwise stay late forever.
      */
     static double lateFraction(double lateRate, double attemptRate) {
         return Math.min(1, lateRate / (attemptRate + 1));
     }
 
     /**
-     * The state of a zone by this node's report only.
+     * Returns the view of a zone that is based on this node's report only.
      *
-     * @param similarNodes number of nodes, with this one, that are assumed to send the same load
+     * @param similarNodes number of nodes that are assumed to send the same load, including this one
      */
     static ZoneView localView(ZoneLoadReport report, double similarNodes, double capacityPerWeight, long now) {
         double failingCapacity = report.failingWeight() * capacityPerWeight;
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * Which zones the requests of a kind go to first, and where they spill over to when those are short of
- * capacity. Immutable.
+ * Determines which zones requests go to first, and where they spill over to when those are short of capacity.
+ * Immutable.
  *
- * @param name of the rule, for logs
- * @param match the requests that it applies to
- * @param preferences priority levels in order: {@link #OWN_ZONE}, {@link #OWN_REGION}, {@link #ANY}, or the name
- *     of a region
- * @param forbidden zones and regions that such a request never goes to, even if it has to be rejected instead
+ * @param name name of the rule in log lines
+ * @param match the requests that the rule applies to
+ * @param preferences priority levels in order: {@link #OWN_ZONE}, {@link #OWN_REGION}, {@link #ANY}, or the name of a
+ *     region
+ * @param forbidden zones and regions that a matching request is never sent to, even if it has to be rejected instead
  * @param spillPolicy when and how much spills over to the next priority level
- * @param panic whether all zones that the rule permits receive the requests if the first priority level has
- *     no responding endpoint and there is no token for another; otherwise these are rejected. If levels are
- *     merely short, the first one receives the requests that get no token
+ * @param panic whether requests go to all zones that the rule permits if the first priority level has no responding
+ *     endpoint and there is no token for another level; otherwise these requests are rejected. If levels are only
+ *     short of capacity, the first level receives the requests that get no token
  */
 public record LocalityRule(
         String name,
@@ -31,7 +31,7 @@
     /** The priority level of all zones. */
     public static final String ANY = "any";
 
-    /** Copies the collections, so that the record stays immutable; requires at least one priority level. */
+    /** Copies the collections, so that the record stays immutable, and requires at least one priority level. */
     public LocalityRule {
         preferences = List.copyOf(preferences);
         forbidden = Set.copyOf(forbidden);
@@ -53,26 +53,26 @@
     }
 
     /**
-     * Hysteresis: a threshold from which on a priority level is short, and another past which it no longer
-     * is, apart so that the state does not flap. Immutable.
+     * Hysteresis: {@code begin} is the threshold at which a priority level becomes short of capacity, {@code end} the
+     * one past which it no longer is. They are apart so that the state does not flap. Immutable.
      */
     public record HysteresisBand(double begin, double end) {}
 
     /**
-     * When a priority level spills over and how much. Immutable.
+     * Determines when and how much a priority level spills over. Immutable.
      *
-     * @param utilization utilization, as a fraction of what its healthy endpoints bear, 0 to 1: short from {@code
-     *     begin} on, no longer below {@code end}
-     * @param healthyFraction healthy fraction of its endpoints' weight, 0 to 1: short below {@code begin}, no longer
-     *     from {@code end} on
-     * @param lateFraction fraction of its attempts that were late or rejected, 0 to 1: short from {@code begin} on,
-     *     no longer below {@code end}
-     * @param dwell the minimum time between two changes of whether a level is short, in nanoseconds
-     * @param maxFraction largest fraction of the rule's requests that may spill over to the next level, 0 to 1; all
-     *     of them if no endpoint is left
-     * @param growthPerSecond by how much that fraction grows or falls per second
-     * @param uncoordinatedFraction the largest fraction that may spill over without a view from the coordinators;
-     *     at most {@code maxFraction}
+     * @param utilization utilization as a fraction of the capacity of the level's healthy endpoints, 0 to 1: short of
+     *     capacity from {@code begin} on, no longer below {@code end}
+     * @param healthyFraction healthy fraction of the weight of the level's endpoints, 0 to 1: short of capacity below
+     *     {@code begin}, no longer from {@code end} on
+     * @param lateFraction fraction of the level's attempts that were late or rejected, 0 to 1: short of capacity from
+     *     {@code begin} on, no longer below {@code end}
+     * @param dwell the minimum time between two changes of whether a level is short of capacity, in nanoseconds
+     * @param maxFraction largest fraction of the rule's requests that may spill over to the next level, 0 to 1; does
+     *     not apply to a level without a responding endpoint, from which all requests spill over
+     * @param growthPerSecond change of the spilled fraction per second, when it grows or falls
+     * @param uncoordinatedFraction the largest fraction that may spill over without a view from the coordinators; at
+     *     most {@code maxFraction}
      */
     public record SpillPolicy(
             HysteresisBand utilization,
@@ -82,19 +82,25 @@
             double maxFraction,
             double growthPerSecond,
             double uncoordinatedFraction) {
-        /** Rejects values out of their range, and bands whose thresholds are not apart. */
+        /** Rejects values out of range, and bands whose thresholds are not apart. */
         public SpillPolicy {
-            require(utilization.begin > 0 && utilization.begin <= 1, "use.begin from 0 to 1");
-            require(utilization.end >= 0 && utilization.end < utilization.begin, "use.end under use.begin");
-            require(healthyFraction.begin >= 0 && healthyFraction.begin < 1, "healthy.begin from 0 to 1");
+            require(utilization.begin > 0 && utilization.begin <= 1, "use.begin must be above 0 and at most 1");
+            require(utilization.end >= 0 && utilization.end < utilization.begin, "use.end must be below use.begin");
+            require(healthyFraction.begin >= 0 && healthyFraction.begin < 1, "healthy.begin must be from 0 to below 1");
             require(
                     healthyFraction.end > healthyFraction.begin && healthyFraction.end <= 1,
-                    "healthy.end over healthy.begin");
-            require(lateFraction.begin > 0 && lateFraction.begin <= 1, "late.begin from 0 to 1");
-            require(lateFraction.end >= 0 && lateFraction.end < lateFraction.begin, "late.end under late.begin");
-            require(dwell > 0, "dwell over 0");
-            require(maxFraction > 0 && maxFraction <= 1 && growthPerSecond > 0, "most from 0 to 1, growth over 0");
-            require(uncoordinatedFraction >= 0 && uncoordinatedFraction <= maxFraction, "alone from 0 to most");
+                    "healthy.end must be above healthy.begin and at most 1");
+            require(lateFraction.begin > 0 && lateFraction.begin <= 1, "late.begin must be above 0 and at most 1");
+            require(
+                    lateFraction.end >= 0 && lateFraction.end < lateFraction.begin,
+                    "late.end must be below late.begin");
+            require(dwell > 0, "dwell must be above 0");
+            require(
+                    maxFraction > 0 && maxFraction <= 1 && growthPerSecond > 0,
+                    "most must be above 0 and at most 1, growth above 0");
+            require(
+                    uncoordinatedFraction >= 0 && uncoordinatedFraction <= maxFraction,
+                    "alone must be from 0 to most");
         }
 
         private static void require(boolean valid, String requirement) {
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
@@ -7,19 +7,19 @@
  * All locality rules of a route configuration or route version. Immutable.
  *
  * @param regions the regions that rules may name
- * @param capacityPerWeight what an endpoint of weight 1 bears, in calls per second
- * @param rules in the order of the file; the first that matches a request applies
+ * @param capacityPerWeight capacity of an endpoint of weight 1, in calls per second
+ * @param rules the rules in the order of the file; the first one that matches a request applies
  */
 public record LocalityRules(Regions regions, double capacityPerWeight, List<LocalityRule> rules) {
-    /** Copies the list, so that the record stays immutable; requires a positive and finite capacity. */
+    /** Copies the list, so that the record stays immutable, and requires a positive and finite capacity. */
     public LocalityRules {
         rules = List.copyOf(rules);
         if (!(capacityPerWeight > 0) || Double.isInfinite(capacityPerWeight)) {
-            throw new IllegalArgumentException("capacityPerWeight must be above 0: " + capacityPerWeight);
+            throw new IllegalArgumentException("capacityPerWeight must be above 0 and finite: " + capacityPerWeight);
         }
     }
 
-    /** The rule for a request, or null. {@code route} may be null if {@link #needsRoute} is false. */
+    /** Returns the rule for a request, or null. {@code route} may be null if {@link #needsRoute} is false. */
     public LocalityRule ruleFor(String requestClass, String tenant, String route) {
         for (LocalityRule rule : rules) {
             if (rule.match().matches(requestClass, tenant, route)) {
@@ -29,14 +29,14 @@
         return null;
     }
 
-    /** Whether any rule matches by route. */
+    /** Returns whether any rule matches by route. */
     public boolean needsRoute() {
         return rules.stream().anyMatch(rule -> rule.match().route() != null);
     }
 
     /**
-     * The utilization above which traffic from other zones must not push a zone: the lowest at which any rule
-     * calls a level short.
+     * Returns the utilization that traffic from other zones must not raise a zone above: the lowest at which any rule
+     * regards a level as short of capacity.
      */
     double targetUtilization() {
         return rules.stream()
@@ -45,7 +45,7 @@
                 .orElse(1);
     }
 
-    /** The fraction of late attempts from which on a zone takes no traffic from other zones. */
+    /** Returns the fraction of late attempts from which on a zone takes no traffic from other zones. */
     double maxLateFraction() {
         return rules.stream()
                 .mapToDouble(rule -> rule.spillPolicy().lateFraction().begin())
@@ -54,12 +54,12 @@
     }
 
     /**
-     * Whether a request is treated differently by two sets of rules.
+     * Returns whether two sets of rules treat a request differently.
      *
      * @param firstRules the first set; null for no rules
-     * @param firstRule the request's rule by the first set, or null
+     * @param firstRule the request's rule in the first set, or null
      * @param secondRules the second set; null for no rules
-     * @param secondRule the request's rule by the second set, or null
+     * @param secondRule the request's rule in the second set, or null
      */
     public static boolean differ(
             LocalityRules firstRules, LocalityRule firstRule, LocalityRules secondRules, LocalityRule secondRule) {
--- a/fleet/src/main/java/weldhitch/fleet/locality/NodeLoadReport.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/NodeLoadReport.java
@@ -5,11 +5,12 @@
 /**
  * A node's report on zones, sent to the coordinators with its heartbeats. Immutable.
  *
- * @param targetUtilization utilization above which traffic from other zones must not push a zone, by the
- *     node's rules; 0 to 1
- * @param maxLateFraction fraction of late attempts from which on a zone takes no traffic from other zones, 0 to 1
- * @param zones what the node has observed, by zone
- * @param spillDemand what the node would send to zones other than its own, in calls per second
+ * @param targetUtilization utilization that traffic from other zones must not raise a zone above, according to the
+ *     node's rules; above 0, at most 1
+ * @param maxLateFraction fraction of late attempts from which on a zone takes no traffic from other zones; above 0, at
+ *     most 1
+ * @param zones the node's observations by zone
+ * @param spillDemand the load that the node would send to zones other than its own, in calls per second by zone
  */
 public record NodeLoadReport(
         double targetUtilization,
@@ -20,11 +21,11 @@
 
     private static final double MAX_RATE = 1e9;
 
-    /** Checks ranges and copies the maps; null counts as empty. At most {@code MAX_ZONES} zones in each. */
+    /** Checks ranges and copies the maps; null counts as empty. Each may have at most {@code MAX_ZONES} zones. */
     public NodeLoadReport {
         if (!(targetUtilization > 0 && targetUtilization <= 1 && maxLateFraction > 0 && maxLateFraction <= 1)) {
             throw new IllegalArgumentException(
-                    "target and mostLate from 0 to 1: " + targetUtilization + ", " + maxLateFraction);
+                    "target and mostLate must be above 0 and at most 1: " + targetUtilization + ", " + maxLateFraction);
         }
         zones = zones == null ? Map.of() : Map.copyOf(zones);
         spillDemand = spillDemand == null ? Map.of() : Map.copyOf(spillDemand);
@@ -33,7 +34,8 @@
         }
         spillDemand.forEach((zone, perSecond) -> {
             if (!(perSecond >= 0 && perSecond < MAX_RATE)) {
-                throw new IllegalArgumentException("wants of zone " + zone + " not from 0 to 1e9: " + perSecond);
+                throw new IllegalArgumentException(
+                        "wants of zone " + zone + " must be at least 0 and below 1e9: " + perSecond);
             }
         });
     }
--- a/fleet/src/main/java/weldhitch/fleet/locality/PriorityLevelState.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/PriorityLevelState.java
@@ -3,10 +3,10 @@
 import weldhitch.fleet.locality.LocalityRule.SpillPolicy;
 
 /**
- * Whether one priority level of a rule is short, and what fraction of its requests spills over to the next.
- * The fraction grows while the level is past its upper threshold, falls while it is under its lower one, and
- * stays in between, so that nothing moves while the spillover is just enough. From a level without a
- * responding endpoint everything spills over at once, and returns gradually. Owned by {@link Spillover}; not
+ * Tracks whether one priority level of a rule is short of capacity, and what fraction of its requests spills over to
+ * the next level. The fraction grows while the level is past its upper threshold, falls while it is below its lower
+ * threshold, and stays constant in between, so that it is stable while the spillover is just enough. If a level has no
+ * responding endpoint, all its requests spill over at once, and return gradually. Owned by {@link Spillover}; not
  * thread-safe.
  */
 final class PriorityLevelState {
@@ -23,7 +23,7 @@
     private long updatedAt;
     private int transitions;
 
-    /** Creates the state of a level that is not short and may change at once. */
+    /** Creates the state of a level that is not short of capacity and may change at once. */
     PriorityLevelState(SpillPolicy policy, long now) {
         this.policy = policy;
         changedAt = now - policy.dwell();
@@ -45,8 +45,8 @@
         if (unavailable) {
             spillFraction = 1;
         }
-        // The loss of all endpoints is not a matter of thresholds, so it cannot flap and need not wait for the
-        // dwell time.
+        // The loss of all endpoints does not depend on thresholds, so the state cannot flap and need not wait for
+        // the dwell time.
         boolean mayChange = now - changedAt >= policy.dwell() || unavailable;
         boolean nextSpilling = spilling ? trend >= 0 || spillFraction > 0 : overThreshold;
         if (nextSpilling != spilling && mayChange) {
@@ -68,23 +68,23 @@
         }
     }
 
-    /** Whether the level is short of capacity, so that it spills over. */
+    /** Returns whether the level is short of capacity, so that it spills over. */
     boolean isSpilling() {
         return spilling;
     }
 
-    /** Whether the level has no responding endpoint. */
+    /** Returns whether the level has no responding endpoint. */
     boolean isUnavailable() {
         return unavailable;
     }
 
-    /** The fraction of requests that spills over to the next level, before quota grants limit it. */
+    /** Returns the fraction of requests that spills over to the next level, before quota grants limit it. */
     double spillFraction(long now) {
         advanceTo(now);
         return spillFraction;
     }
 
-    /** How often the level has become short or ceased to be. */
+    /** Returns how often the level has become short of capacity or ceased to be. */
     int transitions() {
         return transitions;
     }
--- a/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
@@ -7,13 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * Splits the capacity that a zone has left over among the nodes that want it, so that what all of them may
- * send at once never exceeds it, even if grants are lost, duplicated or late: a grant counts until it must
- * have expired wherever it is, and one that replaces it counts beside it until then. Owned by the leading
+ * Splits the unused capacity of a zone among the nodes that request it, so that the total rate that they may send at
+ * any time never exceeds it, even if grants are lost, duplicated or late. To ensure this, a grant counts until it must
+ * have expired on any node, and a grant that replaces it counts beside it until then. Owned by the leading
  * coordinator's {@link ZoneLoadAggregator}. Not thread-safe.
  */
 public final class QuotaAllocator {
-    /** A grant to one node for one zone: calls per second, and its expiry by this clock. */
+    /** A grant to one node for one zone: calls per second, and the expiry time by this clock. */
     private record IssuedGrant(double callsPerSecond, long expiresAt) {}
 
     private final long grantDuration;
@@ -24,20 +24,19 @@
     /**
      * Creates an allocator without grants.
      *
-     * @param grantDuration how long a grant may be used at the latest after it was issued, in nanoseconds of this
-     *     clock
+     * @param grantDuration how long a grant may be used at most after it was issued, in nanoseconds of this clock
      */
     public QuotaAllocator(long grantDuration) {
         this(grantDuration, ReplacedGrants.COUNTED_UNTIL_EXPIRY);
     }
 
-    /** Creates an allocator without grants, with that policy for replaced ones. */
+    /** Creates an allocator without grants that uses the given policy for replaced ones. */
     QuotaAllocator(long grantDuration, ReplacedGrants replacedGrants) {
         this.grantDuration = grantDuration;
         this.replacedGrants = replacedGrants;
     }
 
-    /** Sets what a node wants to send to a zone, in calls per second; 0 for nothing any more. */
+    /** Sets the rate that a node requests for a zone, in calls per second; 0 for none. */
     public void updateDemand(String node, String zone, double callsPerSecond) {
         Map<String, Double> demandByNode = demandByZone.computeIfAbsent(zone, name -> new TreeMap<>());
         if (callsPerSecond > 0) {
@@ -47,16 +46,16 @@
         }
     }
 
-    /** Removes a node; what it was granted expires by itself. */
+    /** Removes a node; its grants expire by themselves. */
     public void removeNode(String node) {
         demandByZone.values().forEach(demandByNode -> demandByNode.remove(node));
     }
 
     /**
-     * Issues a grant: what the node may send to the zone from now on, for {@code grantDuration} at most.
+     * Issues a grant: the rate that the node may send to the zone from now on, for at most {@code grantDuration}.
      *
-     * @param headroom what the zone can take beyond its own load, from all nodes together, in calls per
-     *     second
+     * @param headroom the rate that the zone can take in addition to its own load, from all nodes together, in calls
+     *     per second
      * @return calls per second, 0 for none
      */
     public double grant(String node, String zone, double headroom, long now) {
@@ -78,14 +77,14 @@
         return grantedRate;
     }
 
-    /** A node uses one grant at a time: this is the largest of those that it may still be using. */
+    /** Returns the largest of the grants that a node may still be using; it uses one at a time. */
     private static double maxRate(List<IssuedGrant> grants) {
         return grants.stream().mapToDouble(IssuedGrant::callsPerSecond).max().orElse(0);
     }
 
     /**
-     * Max-min fairness: no node gets more than it wants, and none less than another that wants more
-     * (Bertsekas and Gallager, 6.5.2).
+     * Returns a node's max-min fair rate: no node gets more than it requests, and none gets less than another that
+     * requests more (Bertsekas and Gallager, 6.5.2).
      */
     private static double maxMinFairRate(String node, Map<String, Double> demandByNode, double headroom) {
         double remaining = Math.max(0, headroom);
@@ -104,7 +103,8 @@
     }
 
     /**
-     * What all nodes together may be sending to the zone now by their grants, at most, in calls per second.
+     * Returns the maximum rate that all nodes together may be sending to the zone now under their grants, in calls per
+     * second.
      */
     public double outstanding(String zone, long now) {
         return issuedGrants.getOrDefault(zone, Map.of()).values().stream()
--- a/fleet/src/main/java/weldhitch/fleet/locality/Regions.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Regions.java
@@ -10,9 +10,9 @@
 import java.util.TreeSet;
 
 /**
- * Regions as named sets of zones; a zone is in one region at most. Immutable.
+ * Regions as named sets of zones. Each zone is in at most one region. Immutable.
  *
- * @param zones the zones of each region, by its name
+ * @param zones the zones of each region, by region name
  */
 public record Regions(Map<String, Set<String>> zones) {
     /**
@@ -23,20 +23,20 @@
     public Regions {
         Map<String, String> regionByZone = new TreeMap<>();
         Map<String, Set<String>> zonesByRegion = new TreeMap<>();
-        new TreeMap<>(zones).forEach((region, some) -> {
-            some.forEach(zone -> {
+        new TreeMap<>(zones).forEach((region, regionZones) -> {
+            regionZones.forEach(zone -> {
                 String otherRegion = regionByZone.putIfAbsent(zone, region);
                 if (otherRegion != null) {
                     throw new IllegalArgumentException(
                             "zone " + zone + " is in region " + otherRegion + " and in " + region);
                 }
             });
-            zonesByRegion.put(region, Collections.unmodifiableSet(new TreeSet<>(some)));
+            zonesByRegion.put(region, Collections.unmodifiableSet(new TreeSet<>(regionZones)));
         });
         zones = Collections.unmodifiableMap(zonesByRegion);
     }
 
-    /** The region of a zone, or null. */
+    /** Returns the region of a zone, or null. */
     public String regionOf(String zone) {
         return zones.entrySet().stream()
                 .filter(r -> r.getValue().contains(zone))
@@ -46,9 +46,9 @@
     }
 
     /**
-     * The zones of each priority level of a rule as seen from {@code ownZone}; each zone is in the first
-     * level that names it. A level without an available zone is left out, except for the first, so that the
-     * level after a lost zone does not become the first.
+     * Returns the zones of each priority level of a rule as seen from {@code ownZone}. Each zone is in the first level
+     * that includes it. A level without an available zone is omitted unless it is the first, so that the next level
+     * does not become the first when a zone is lost.
      *
      * @param availableZones zones that have endpoints
      */
--- a/fleet/src/main/java/weldhitch/fleet/locality/ReplacedGrants.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ReplacedGrants.java
@@ -1,9 +1,9 @@
 package weldhitch.fleet.locality;
 
-/** How {@link QuotaAllocator} counts a grant that a newer one to the same node and zone has replaced. */
+/** Policies for how {@link QuotaAllocator} counts a grant that a newer one for the same node and zone replaces. */
 enum ReplacedGrants {
-    /** It counts until it expires, as the node may not have received the newer one: the policy in production. */
+    /** The grant counts until it expires, because the node may not have received the newer one. Used in production. */
     COUNTED_UNTIL_EXPIRY,
-    /** It no longer counts: for tests, which show that a zone is then granted more than it can take. */
+    /** The grant no longer counts. For tests, which show that a zone is then granted more than it can take. */
     IGNORED
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/SpillTokens.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/SpillTokens.java
@@ -5,11 +5,11 @@
 import java.util.TreeMap;
 
 /**
- * What a node may send to zones other than its own, by quota grants: one token bucket per zone, shared by all
+ * Limits what a node sends to zones other than its own to its quota grants: one token bucket per zone, shared by all
  * rules of the node. Owned by {@link ZoneSelector}; not thread-safe.
  */
 final class SpillTokens {
-    /** Capacity of a bucket in seconds of its grant: allows a burst, and never a debt. */
+    /** Capacity of a bucket in seconds of its grant's rate: permits a burst. Tokens never become negative. */
     private static final double BURST_SECONDS = 0.25;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -23,7 +23,7 @@
 
     private final Map<String, Bucket> buckets = new TreeMap<>();
 
-    /** Replaces the grant for a zone; saved tokens stay, up to the new burst size. */
+    /** Replaces the grant for a zone; saved tokens are kept up to the new burst size. */
     void replaceGrant(String zone, QuotaGrant grant, long now) {
         Bucket bucket = buckets.computeIfAbsent(zone, name -> new Bucket());
         refill(bucket, now);
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Uses one token for that of the given zones which has most of them, and returns the zone; null if none
-     * has one.
+     * Takes a token of the candidate zone that has most tokens, and returns that zone; returns null if no candidate
+     * has a token.
      */
     String takeToken(Set<String> candidates, long now) {
         String fullest = null;
@@ -70,12 +70,12 @@
         return fullest;
     }
 
-    /** The calls per second that may be sent to the zone now. */
+    /** Returns the rate that may be sent to the zone now, in calls per second. */
     double grantedRate(String zone, long now) {
         return hasCurrentGrant(zone, now) ? buckets.get(zone).grant.callsPerSecond() : 0;
     }
 
-    /** Whether the zone has a grant that has not expired, even one of rate 0. */
+    /** Returns whether the zone has a grant that has not expired, even if its rate is 0. */
     boolean hasCurrentGrant(String zone, long now) {
         Bucket bucket = buckets.get(zone);
         return bucket != null && now < bucket.grant.expiresAt();
--- a/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
@@ -8,24 +8,24 @@
 import java.util.TreeSet;
 
 /**
- * One node's state for one rule: it selects the priority level of each request. What goes beyond the first
- * level is bounded by quota grants, a token for each request; without a view from the coordinators, by a
- * smaller fraction that the rule states. Owned by {@link ZoneSelector}; not thread-safe.
+ * One node's state for one rule, which selects the priority level of each request. Requests beyond the first level are
+ * limited by quota grants, with one token per request. Without a view from the coordinators, they are limited to a
+ * smaller fraction that the rule sets. Owned by {@link ZoneSelector}; not thread-safe.
  */
 final class Spillover {
-    /** Factor by which the requested quota exceeds the average demand, as requests come in bursts. */
+    /** Factor by which the requested quota exceeds the average demand, because requests come in bursts. */
     private static final double DEMAND_MARGIN = 1.1;
 
     /** Calls per second below which no quota is requested. */
     private static final double MIN_DEMAND = 0.01;
-    /** Keeps the division finite where everything spills. */
+    /** Keeps the division finite when all requests spill over. */
     private static final double MIN_DIVISOR = 1e-12;
 
     /**
      * A priority level with its state.
      *
-     * @param zones its zones
-     * @param zoneList the same as a list, for requests that may go to all of them
+     * @param zones the zones of the level
+     * @param zoneList the same zones as a list, for requests that may go to all of them
      */
     private record PriorityLevel(Set<String> zones, List<String> zoneList, PriorityLevelState state) {}
 
@@ -34,7 +34,7 @@
     private final DecayingRate arrivalRate = new DecayingRate();
     private List<PriorityLevel> levels = List.of();
     private Map<String, ZoneView> zoneViews = Map.of();
-    /** Whether the coordinators grant quotas now. */
+    /** Whether the coordinators currently grant quotas. */
     private boolean coordinated;
 
     private double uncoordinatedCredit;
@@ -42,7 +42,7 @@
     /**
      * Creates the state.
      *
-     * @param priorityLevels the rule's priority levels as this node sees them ({@link Regions#priorityLevels})
+     * @param priorityLevels the rule's priority levels as seen from this node ({@link Regions#priorityLevels})
      */
     Spillover(LocalityRule rule, List<Set<String>> priorityLevels, SpillTokens spillTokens, long now) {
         this.rule = rule;
@@ -50,13 +50,13 @@
         updatePriorityLevels(priorityLevels, now);
     }
 
-    /** The rule. */
+    /** Returns the rule. */
     LocalityRule rule() {
         return rule;
     }
 
     /**
-     * Replaces the priority levels after zones came or went; the state of a level that remains is retained.
+     * Replaces the priority levels after zones were added or removed; a level whose zones remain keeps its state.
      */
     final void updatePriorityLevels(List<Set<String>> newLevels, long now) {
         if (newLevels.equals(levels.stream().map(PriorityLevel::zones).toList())) {
@@ -80,7 +80,7 @@
     /**
      * Applies the present views of zones.
      *
-     * @param hasCoordinators whether the coordinators grant quotas
+     * @param hasCoordinators whether the coordinators currently grant quotas
      */
     void updateViews(Map<String, ZoneView> newViews, boolean hasCoordinators, long now) {
         zoneViews = newViews;
@@ -91,7 +91,7 @@
     }
 
     /**
-     * The view of a priority level: its zones together. A level without any known zone, as no list has named
+     * Returns the combined view of a priority level's zones. A level without any known zone, because no list has named
      * an endpoint of it, counts as unavailable.
      */
     private ZoneView levelView(Set<String> zones) {
@@ -150,7 +150,7 @@
                 grantedRate += spillTokens.grantedRate(zone, now);
             }
             if (!allGrantsKnown) {
-                // The capacity that the nearer level has left is not known yet.
+                // The remaining capacity of the nearer level is not known yet.
                 return;
             }
             remainingRate -= grantedRate;
@@ -188,9 +188,9 @@
     }
 
     /**
-     * Panic mode, without tokens and without an endpoint in the first level: all responding zones that the
-     * rule permits together. If only the nearest took the load, one zone without the capacity for it would
-     * get all of it.
+     * Selects in panic mode, if there is no token and no responding endpoint in the first level: all responding zones
+     * that the rule permits together. If only the nearest zones took the load, a single zone could receive all of it
+     * without the capacity for it.
      */
     private ZoneSelection selectAllZones() {
         Set<String> available = new TreeSet<>();
@@ -206,7 +206,7 @@
     }
 
     /**
-     * Selects a zone of that level by a token, or by the uncoordinated fraction; null if there is neither.
+     * Selects a zone of that level by a token, or by the uncoordinated fraction; returns null if neither is available.
      */
     private ZoneSelection selectSpill(int level, long now) {
         Set<String> available = availableZones(levels.get(level));
@@ -222,8 +222,8 @@
     }
 
     /**
-     * Selects the next zones for a request that has tried all endpoints of {@code previous}; returns that if
-     * there are no others.
+     * Selects the next zones for a request that has tried all endpoints of {@code previous}; returns {@code previous}
+     * if there are no others.
      */
     ZoneSelection selectNext(ZoneSelection previous, long now) {
         for (int i = previous.priorityLevel() + 1; i < levels.size(); i++) {
@@ -245,17 +245,17 @@
         return fallback.zones().isEmpty() ? previous : fallback;
     }
 
-    /** Whether no priority level has a responding endpoint. */
+    /** Returns whether no priority level has a responding endpoint. */
     boolean hasNoAvailableZone() {
         return levels.stream().allMatch(level -> level.state.isUnavailable());
     }
 
-    /** How often any priority level has begun or ceased to spill over. */
+    /** Returns how often any priority level has begun or ceased to spill over. */
     int transitions() {
         return levels.stream().mapToInt(level -> level.state.transitions()).sum();
     }
 
-    /** Describes the state of all priority levels, for a log line. */
+    /** Describes the state of all priority levels for a log line. */
     String describe(long now) {
         StringBuilder text = new StringBuilder("priority levels changed rule=" + rule.name());
         for (int i = 0; i < levels.size(); i++) {
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadAggregator.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadAggregator.java
@@ -7,25 +7,25 @@
 import weldhitch.fleet.locality.FleetView.ZoneLoad;
 
 /**
- * Merges the nodes' reports on zones and grants quotas; owned by the leading coordinator. In memory only:
- * reports arrive again within a second, and grants expire by themselves. Not thread-safe; times are
- * nanoseconds of the coordinator's clock.
+ * Merges the nodes' reports on zones and grants quotas. Owned by the leading coordinator and kept in memory only:
+ * reports arrive again within a second, and grants expire by themselves. Not thread-safe; times are nanoseconds of the
+ * coordinator's clock.
  */
 public final class ZoneLoadAggregator {
-    /** The age from which on a report does not count. */
+    /** The age above which a report no longer counts. */
     static final long MAX_REPORT_AGE = 2_000_000_000L;
-    /** How long a grant may be used at the latest. */
+    /** How long a grant may be used at most. */
     public static final long GRANT_DURATION = 2_000_000_000L;
-    /** How long merged reports are reused, instead of being merged again for each response. */
+    /** How long merged reports are reused before they are merged again for a response. */
     private static final long MERGE_INTERVAL = 20_000_000L;
 
-    /** A node's latest report, and when it arrived. */
+    /** A node's latest report and the time of its arrival. */
     private record ReceivedReport(NodeLoadReport report, long receivedAt) {}
 
     /**
-     * A zone by all fresh reports.
+     * A zone's load according to all fresh reports.
      *
-     * @param nonQuotaCallRate calls per second of all nodes that no quota paid for
+     * @param nonQuotaCallRate rate of all nodes' calls that are not paid for by quota grants, in calls per second
      */
     private record MergedZone(ZoneLoad load, double nonQuotaCallRate) {}
 
@@ -42,22 +42,22 @@
     /**
      * Creates an aggregator without reports.
      *
-     * @param leadingSince when this coordinator began to lead: grants of the leader before may be used for up to
-     *     {@link #GRANT_DURATION} from then on, so none are issued until then
+     * @param leadingSince time at which this coordinator became the leader. Grants of the previous leader may be used
+     *     for up to {@link #GRANT_DURATION} after that, so none are issued until then
      * @param maxClockDrift fraction by which clocks may run fast or slow
      */
     public ZoneLoadAggregator(long leadingSince, double maxClockDrift) {
         this(leadingSince, maxClockDrift, ReplacedGrants.COUNTED_UNTIL_EXPIRY);
     }
 
-    /** Creates an aggregator without reports, with that policy for replaced grants. */
+    /** Creates an aggregator without reports that uses the given policy for replaced grants. */
     ZoneLoadAggregator(long leadingSince, double maxClockDrift, ReplacedGrants replacedGrants) {
         grantsAllowedFrom = leadingSince + GRANT_DURATION;
         this.maxClockDrift = maxClockDrift;
         quotaAllocator = new QuotaAllocator(GRANT_DURATION, replacedGrants);
     }
 
-    /** Records a node's report; null if it has none any more. */
+    /** Records a node's report; null if the node no longer has one. */
     public void onReport(String node, NodeLoadReport report, long now) {
         if (report == null) {
             removeNode(node);
@@ -77,10 +77,10 @@
     }
 
     /**
-     * The view to send to a node now, with its quota grants.
+     * Returns the view to send to a node now, with its quota grants.
      *
-     * @param memberCount number of registered nodes: if fewer than half of them have reported, nothing is merged;
-     *     if not all have, the calls of the others are extrapolated
+     * @param memberCount number of registered nodes. If fewer than half of them have reported, nothing is merged; if
+     *     not all have reported, the calls of the others are extrapolated
      */
     public FleetView viewFor(String node, int memberCount, long now) {
         merge(memberCount, now);
@@ -101,8 +101,8 @@
     }
 
     /**
-     * What a zone can take beyond the calls that no quota paid for, up to the target utilization; the less,
-     * the more of its answers are late.
+     * Returns the rate that a zone can take in addition to the calls not paid for by quota grants, up to the target
+     * utilization; the more of its answers are late, the lower this rate.
      */
     private double headroom(MergedZone mergedZone) {
         double targetLoad = targetUtilization * mergedZone.load.capacity() * mergedZone.load.healthyFraction();
@@ -151,7 +151,7 @@
                 .mapToDouble(report -> report == null ? 0 : report.capacity())
                 .sorted()
                 .toArray();
-        // The median: one node with a different list must not change the value.
+        // The median, so that one node with a different list does not change the value.
         double capacity = capacities[capacities.length / 2];
         double observedWeight = sumOverReports(zone, ZoneLoadReport::observedWeight);
         double attemptRate = sumOverReports(zone, ZoneLoadReport::attemptRate);
@@ -161,7 +161,7 @@
         double nonQuotaCallRate = scale * sumOverReports(zone, ZoneLoadReport::nonQuotaCallRate);
         double healthyCapacity = capacity * healthyFraction;
         double utilization = healthyCapacity <= 0 ? 0 : nonQuotaCallRate / healthyCapacity;
-        // A node that does not report has no grant either, so this part is not extrapolated.
+        // A node that does not report has no grant, so this part is not extrapolated.
         double totalUtilization = healthyCapacity <= 0
                 ? 0
                 : utilization + sumOverReports(zone, ZoneLoadReport::quotaCallRate) / healthyCapacity;
@@ -187,7 +187,7 @@
                 .sum();
     }
 
-    /** The present load of zones, for display; empty if too few nodes have reported. */
+    /** Returns the present load of the zones for display; empty if too few nodes have reported. */
     public Map<String, ZoneLoad> zoneLoads(int memberCount, long now) {
         merge(memberCount, now);
         Map<String, ZoneLoad> zones = new TreeMap<>();
@@ -196,7 +196,8 @@
     }
 
     /**
-     * What all nodes together may be sending to the zone now by their grants, at most, in calls per second.
+     * Returns the maximum rate that all nodes together may be sending to the zone now under their grants, in calls per
+     * second.
      */
     public double outstandingGrants(String zone, long now) {
         return quotaAllocator.outstanding(zone, now);
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadReport.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadReport.java
@@ -1,15 +1,15 @@
 package weldhitch.fleet.locality;
 
 /**
- * What a node has observed of a zone in about the last second. Immutable.
+ * A node's observations of a zone in approximately the last second. Immutable.
  *
- * @param capacity what the zone's listed endpoints bear by the node's list and rules, in calls per second
- * @param nonQuotaCallRate calls per second of this node that no quota paid for
- * @param quotaCallRate calls per second that a quota paid for
- * @param observedWeight weight of the endpoints that the node has a recent result of
- * @param failingWeight weight of those that do not answer it
- * @param attemptRate attempts per second that ended
- * @param lateRate those of them that were late or rejected
+ * @param capacity capacity of the zone's endpoints according to the node's endpoint list and rules, in calls per second
+ * @param nonQuotaCallRate rate of this node's calls that are not paid for by quota grants, in calls per second
+ * @param quotaCallRate rate of this node's calls that are paid for by quota grants, in calls per second
+ * @param observedWeight weight of the endpoints of which the node has a recent result
+ * @param failingWeight weight of the endpoints that do not answer the node
+ * @param attemptRate rate of attempts that ended, per second
+ * @param lateRate rate of those attempts that were late or rejected, per second
  */
 public record ZoneLoadReport(
         double capacity,
@@ -21,13 +21,13 @@
         double lateRate) {
     private static final double MAX_VALUE = 1e9;
 
-    /** Rejects values that are not from 0 to 1e9. */
+    /** Rejects values that are not at least 0 and below 1e9. */
     public ZoneLoadReport {
         for (double value : new double[] {
             capacity, nonQuotaCallRate, quotaCallRate, observedWeight, failingWeight, attemptRate, lateRate
         }) {
             if (!(value >= 0 && value < MAX_VALUE)) {
-                throw new IllegalArgumentException("zone load value out of range 0 to 1e9: " + value);
+                throw new IllegalArgumentException("zone load value must be at least 0 and below 1e9: " + value);
             }
         }
     }
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneSelection.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneSelection.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** The zones that a request may go to by its rule. Belongs to one request; not thread-safe. */
+/** The zones that a request may be sent to under its rule. Belongs to one request; not thread-safe. */
 public final class ZoneSelection {
-    /** The priority level of a request that may go nowhere. */
+    /** The priority level of a request that may not be sent to any zone. */
     static final int NO_LEVEL = -1;
 
     private final Spillover spillover;
@@ -19,25 +19,27 @@
         this.paidByToken = paidByToken;
     }
 
-    /** The state of the rule that made this selection. */
+    /** Returns the state of the rule that made this selection. */
     Spillover spillover() {
         return spillover;
     }
 
     /**
-     * The priority level, counted from 0; below 0 if the request may go nowhere, past the last level if it
-     * may go to any zone of the rule.
+     * Returns the priority level, counted from 0; below 0 if the request may not be sent to any zone, past the last
+     * level if it may be sent to any zone that the rule permits.
      */
     public int priorityLevel() {
         return priorityLevel;
     }
 
-    /** The zones that the request may be sent to; empty for none. */
+    /** Returns the zones that the request may be sent to; empty for none. */
     public List<String> zones() {
         return zones;
     }
 
-    /** Whether the attempt sent now is paid for by a token: true once, as the selection took one token. */
+    /**
+     * Returns whether a token pays for the attempt sent now: true at most once, because the selection took one token.
+     */
     boolean claimTokenPayment() {
         boolean claimed = paidByToken;
         paidByToken = false;
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneSelector.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneSelector.java
@@ -11,13 +11,12 @@
 import weldhitch.fleet.error.FleetError;
 
 /**
- * Selects zones for a node's requests by locality rules. Owns what the node has observed of zones, the
- * fleet's view and the quota grants, and reports what the node would send to other zones. The node's module
- * picks the endpoint within those zones. Free of I/O, clocks and threads; times are nanoseconds of the node's
- * clock. Not thread-safe.
+ * Selects zones for a node's requests by locality rules. Owns the node's observations of zones, the fleet's view and
+ * the quota grants, and reports the load that the node would send to other zones. The node picks the endpoint within
+ * the selected zones. Free of I/O, clocks and threads; times are nanoseconds of the node's clock. Not thread-safe.
  */
 public final class ZoneSelector {
-    /** The age from which on a view of the fleet is not used any more. */
+    /** The age above which a view of the fleet is no longer used. */
     static final long MAX_VIEW_AGE = 3_000_000_000L;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -29,8 +28,7 @@
     private final SpillTokens spillTokens = new SpillTokens();
     private final Map<LocalityRule, Spillover> spillovers = new LinkedHashMap<>();
     /**
-     * The same spillovers by identity of the active rules: a request must not pay for comparing rules by
-     * value.
+     * The same objects by the identity of the active rules, which saves each request a comparison of rules by value.
      */
     private final Map<LocalityRule, Spillover> activeSpillovers = new IdentityHashMap<>();
 
@@ -39,7 +37,7 @@
     private long fleetViewSentAt = Long.MIN_VALUE;
     private final boolean hasCoordinators;
     private boolean staleViewReported;
-    /** Since when a view of the fleet is expected. */
+    /** The time from which a view of the fleet is expected. */
     private long waitingSince;
 
     private final Set<LocalityRule> unroutableRules = new HashSet<>();
@@ -47,13 +45,13 @@
     /**
      * Creates a selector without rules.
      *
-     * @param nodeName the node's name, for errors
+     * @param nodeName the node's name in error messages
      * @param ownZone the node's zone
-     * @param fleetSize number of nodes of the fleet; without a view of the fleet, the nodes of this zone are
-     *     assumed to be an even part of them and to send the same load
-     * @param initialCapacityFraction fraction of its capacity that an endpoint bears when it starts, 0 to 1
-     * @param slowStartDuration slow start: how long until an endpoint bears its full capacity, in nanoseconds
-     * @param hasCoordinators whether there are coordinators to get a view of the fleet from
+     * @param fleetSize number of nodes of the fleet. Without a view of the fleet, its nodes are assumed to be spread
+     *     evenly over the zones, and the nodes of one zone to send the same load
+     * @param initialCapacityFraction fraction of its capacity that an endpoint has when it starts, 0 to 1
+     * @param slowStartDuration slow start: time until an endpoint has its full capacity, in nanoseconds
+     * @param hasCoordinators whether there are coordinators that provide a view of the fleet
      */
     public ZoneSelector(
             String nodeName,
@@ -83,7 +81,7 @@
         }
     }
 
-    /** Replaces the rules; null for none. The state of a rule that remains is retained. */
+    /** Replaces the rules; null for none. A rule that remains keeps its state. */
     public void updateRules(LocalityRules newRules, long now) {
         if (newRules == rules) {
             return;
@@ -110,18 +108,19 @@
                 rules.regions().priorityLevels(rule, ownZone, localHealth.availableZones()), now));
     }
 
-    /** Whether there are rules. */
+    /** Returns whether there are rules. */
     public boolean isActive() {
         return rules != null;
     }
 
-    /** Whether {@link #select} needs a request's route. */
+    /** Returns whether {@link #select} needs a request's route. */
     public boolean needsRoute() {
         return rules != null && rules.needsRoute();
     }
 
     /**
-     * Selects zones for a request that arrives now; null if no rule matches, so that it may go to any zone.
+     * Selects zones for a request that arrives now. Returns null if no rule matches, in which case the request may be
+     * sent to any zone.
      *
      * @param uniformDraw a uniform random number from 0 to 1
      */
@@ -131,8 +130,8 @@
     }
 
     /**
-     * Selects the next zones for a request that has tried all endpoints of its present ones; returns {@code
-     * previous} if there are no others.
+     * Selects the next zones for a request that has tried all endpoints of its present ones; returns {@code previous}
+     * if there are no others.
      */
     public ZoneSelection selectNext(ZoneSelection previous, long now) {
         return previous.spillover().selectNext(previous, now);
@@ -141,14 +140,14 @@
     /**
      * Records that an attempt was sent.
      *
-     * @param selection the selection it was sent by; null if no rule matched its request
+     * @param selection the selection by which it was sent; null if no rule matched its request
      */
     public void onAttemptSent(String endpoint, ZoneSelection selection, long now) {
         localHealth.onAttemptSent(endpoint, selection != null && selection.claimTokenPayment(), now);
     }
 
     /**
-     * Records how an attempt ended.
+     * Records the result of an attempt.
      *
      * @param late whether it exceeded the latency objective of its class
      * @param sentAt when it was sent
@@ -157,7 +156,7 @@
         localHealth.onAttemptEnded(endpoint, result, late, sentAt, now);
     }
 
-    /** Handles the leading coordinator's response to a heartbeat sent at {@code sentAt}. */
+    /** Handles the fleet view in the leading coordinator's response to a heartbeat sent at {@code sentAt}. */
     public void onFleetView(FleetView view, long sentAt, long now) {
         fleetView = view;
         fleetViewSentAt = sentAt;
@@ -170,8 +169,8 @@
     }
 
     /**
-     * Evaluates all zones again; to be called several times a second while there are rules. Returns log lines
-     * for operators.
+     * Evaluates all zones again, and returns log lines for operators. Must be called several times a second while there
+     * are rules.
      */
     public List<String> tick(long now) {
         List<String> logLines = new ArrayList<>();
@@ -215,7 +214,7 @@
         }
     }
 
-    /** Whether there is a view of the fleet that is not stale. */
+    /** Returns whether there is a view of the fleet that is not stale. */
     public boolean hasFreshFleetView(long now) {
         return fleetViewSentAt != Long.MIN_VALUE
                 && !fleetView.zones().isEmpty()
@@ -229,8 +228,9 @@
     }
 
     /**
-     * The fleet's view of each zone if there is one that is not stale, else this node's own. The node's own
-     * failures count if they are worse than the fleet's: it may be the only node that is cut off.
+     * Returns the fleet's view of each zone if there is one that is not stale, otherwise this node's own. The node's
+     * own view of failures applies if it is worse than the fleet's, because this node may be the only one that is cut
+     * off.
      */
     Map<String, ZoneView> zoneViews(long now) {
         Map<String, ZoneView> views = new TreeMap<>();
@@ -258,7 +258,7 @@
         return views;
     }
 
-    /** The report for the coordinators; null if there are no rules. */
+    /** Returns the report for the coordinators, or null if there are no rules. */
     public NodeLoadReport loadReport(long now) {
         if (rules == null) {
             return null;
@@ -272,7 +272,7 @@
                 spillDemand);
     }
 
-    /** How often priority levels have begun or ceased to spill over. */
+    /** Returns how often priority levels have begun or ceased to spill over. */
     public int transitions() {
         return spillovers.values().stream().mapToInt(Spillover::transitions).sum();
     }
