--- a/fleet/src/test/java/weldhitch/fleet/activation/ActivationParticipantTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/activation/ActivationParticipantTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests one member's state response by response, with given times. */
+/** Tests the state of one member after each response, at given times. */
 class ActivationParticipantTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long LEASE = 3000 * NANOS_PER_MILLI;
@@ -46,12 +46,12 @@
 
     @BeforeEach
     void joinFleet() {
-        assertTrue(participant.activeVersions(0).isFencedAt(0), "nothing is served before a coordinator has responded");
+        assertTrue(participant.activeVersions(0).isFencedAt(0), "fenced before a coordinator has responded");
         participant.onResponse(
                 0, 2 * NANOS_PER_MILLI, response(1, false, false, NANOS_PER_MILLI, RouteVersion.OWN_FILE, null, null));
         assertTrue(
                 participant.activeVersions(2 * NANOS_PER_MILLI).isFencedAt(2 * NANOS_PER_MILLI),
-                "nor before it is registered");
+                "fenced before it is registered");
         participant.onResponse(
                 10 * NANOS_PER_MILLI,
                 12 * NANOS_PER_MILLI,
@@ -59,7 +59,7 @@
         assertFalse(participant.activeVersions(12 * NANOS_PER_MILLI).isFencedAt(12 * NANOS_PER_MILLI));
     }
 
-    /** Brings the member to the state where it has voted at {@code at}. */
+    /** Brings the member into the state after it has voted at {@code at}. */
     private void voteAt(long at) {
         participant.onResponse(
                 at - 20 * NANOS_PER_MILLI,
@@ -94,7 +94,9 @@
         ActiveVersions activeVersions = participant.activeVersions(1001 * NANOS_PER_MILLI);
         assertFalse(activeVersions.isInDoubtAt(1000 * NANOS_PER_MILLI + LEASE - 1));
         assertTrue(activeVersions.isInDoubtAt(1000 * NANOS_PER_MILLI + LEASE));
-        assertFalse(activeVersions.isFencedAt(1000 * NANOS_PER_MILLI + LEASE), "what does not differ is served");
+        assertFalse(
+                activeVersions.isFencedAt(1000 * NANOS_PER_MILLI + LEASE),
+                "requests that the versions do not treat differently are served");
         assertEquals(1, activeVersions.next());
     }
 
@@ -127,14 +129,14 @@
         assertEquals(0, activeVersions.versionAt(4598 * NANOS_PER_MILLI));
         assertEquals(1, activeVersions.versionAt(4602 * NANOS_PER_MILLI));
         assertFalse(
-                activeVersions.isInDoubtAt(4500 * NANOS_PER_MILLI), "it knows the activation time and needs no lease");
-        // The same versions, read much later by a process that was suspended: the new one.
+                activeVersions.isInDoubtAt(4500 * NANOS_PER_MILLI), "no lease is needed if the time is known");
+        // A process that was suspended reads the same object much later and gets the new version.
         assertEquals(1, activeVersions.versionAt(9000 * NANOS_PER_MILLI));
     }
 
     /**
-     * The clock of the activation time is lost with all coordinators: a lease granted now says nothing about
-     * the activation time.
+     * All coordinators have failed, and with them the clock that the activation time refers to, so a lease granted
+     * afterwards gives no information about the activation time.
      */
     @Test
     void leasesAfterACommitDoNotExtendTheOldVersion() {
@@ -205,11 +207,11 @@
     }
 
     /**
-     * The leader died before it could report its decision; another coordinator knows the decision, and the
-     * member knows the clock that it refers to.
+     * The leader fails before it can report its decision. Another coordinator knows the decision, and the member
+     * knows the clock that the activation time refers to.
      */
     @Test
-    void commitCountsFromAnyCoordinator() {
+    void commitIsAcceptedFromAnyCoordinator() {
         voteAt(1000 * NANOS_PER_MILLI);
         participant.onResponse(
                 1100 * NANOS_PER_MILLI,
@@ -222,8 +224,7 @@
     }
 
     /**
-     * With round trips of 400 ms the member must neither take the new version early nor keep the old one too
-     * long.
+     * With a round trip of 400 ms, the member must neither use the new version too early nor the old one too long.
      */
     @Test
     void largeClockErrorRejectsDifferingRequestsAroundTheSwitch() {
@@ -274,8 +275,8 @@
     }
 
     /**
-     * A member that joined after the commit and has not built the version yet must not serve the old one past
-     * the activation time.
+     * A member that joins after the commit and has not built the version must not serve the old one past the activation
+     * time.
      */
     @Test
     void lateJoinerIsFencedFromTheActivationTimeUntilItHasTheVersion() {
--- a/fleet/src/test/java/weldhitch/fleet/activation/MemberLeaseTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/activation/MemberLeaseTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests from when on a member rejects all requests. */
+/** Tests the time from which a member rejects all requests. */
 class MemberLeaseTest {
     @Test
     void memberIsFencedBeforeItJoinsUnlessItServesItsOwnFile() {
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void neitherTermIsShortenedByAnEarlierMoment() {
+    void earlierHeartbeatShortensNeitherPeriod() {
         MemberLease lease = new MemberLease(true);
         lease.updateTerms(true, 100);
         lease.join();
--- a/fleet/src/test/java/weldhitch/fleet/activation/SwitchScheduleTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/activation/SwitchScheduleTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests how the estimate of an activation time is refined, and what an imprecise one leads to. */
+/** Tests how the estimate of an activation time is refined, and the effects of an imprecise estimate. */
 class SwitchScheduleTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long SWITCH_AT = 4000 * NANOS_PER_MILLI;
@@ -40,7 +40,7 @@
     @Test
     void onlyAMorePreciseEstimateBeforeTheActivationIsAccepted() {
         assertTrue(schedule.refine(SWITCH_AT, 10, 0));
-        assertFalse(schedule.refine(SWITCH_AT + 5, 10, 0), "no more precise");
+        assertFalse(schedule.refine(SWITCH_AT + 5, 10, 0), "not more precise");
         assertTrue(schedule.refine(SWITCH_AT + 5, 9, SWITCH_AT - 1));
         assertFalse(schedule.refine(SWITCH_AT + 100, 1, SWITCH_AT + 5), "the activation time has passed");
         assertEquals(SWITCH_AT + 5, schedule.switchAt());
--- a/fleet/src/test/java/weldhitch/fleet/activation/TargetVersionTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/activation/TargetVersionTest.java
@@ -31,6 +31,6 @@
         target.recordPreparation(List.of());
         assertFalse(target.isSwitchReached(999));
         assertTrue(target.isSwitchReached(1000));
-        assertFalse(target.recordCommit(new ActivationOutcome(1, true, "c", 1000, List.of())), "known already");
+        assertFalse(target.recordCommit(new ActivationOutcome(1, true, "c", 1000, List.of())), "already known");
     }
 }
--- a/fleet/src/test/java/weldhitch/fleet/error/FleetErrorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/error/FleetErrorTest.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The names of the kinds are data: other processes' responses, logs and the state on disk contain them. */
+/** Tests the names of the kinds, which are data: other processes' responses, logs and state files contain them. */
 class FleetErrorTest {
     private static final Map<String, FleetError> ERRORS_BY_KIND = List.<FleetError>of(
                     new FleetError.MissingVotes(1, List.of("n1", "n2")),
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void everyKindIsNamed() {
+    void everyKindIsCovered() {
         Set<Class<?>> kinds =
                 Arrays.stream(FleetError.class.getPermittedSubclasses()).collect(Collectors.toSet());
         assertEquals(
--- a/fleet/src/test/java/weldhitch/fleet/locality/FleetSpilloverTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/FleetSpilloverTest.java
@@ -14,12 +14,12 @@
 import weldhitch.fleet.locality.SimulatedFleet.SimulatedZone;
 
 /**
- * Tests what a fleet does together: a hundred nodes in three zones of two regions, with coordinators that are
+ * Tests the spillover of a complete fleet: a hundred nodes in three zones of two regions, with coordinators that are
  * up, down, reachable for half of the nodes, or newly elected.
  */
 class FleetSpilloverTest {
     private static final double TARGET_UTILIZATION = 0.85;
-    /** By how much the zone that is spilled to may exceed its threshold. */
+    /** Factor by which the utilization of a zone that receives spillover may exceed its threshold. */
     private static final double PEAK_TOLERANCE = 1.05;
 
     private static final Regions REGIONS = new Regions(Map.of("west", Set.of("a", "b"), "east", Set.of("c")));
@@ -45,7 +45,7 @@
                         false)));
     }
 
-    /** Zone a gets 1.7 of its capacity from 5 s to 25 s; b and c have loads of their own. */
+    /** Creates a fleet whose zone a receives 1.7 times its capacity from 5 s to 25 s; b and c have their own loads. */
     private static SimulatedFleet overloadedFleet(
             long seed, double uncoordinatedFraction, double utilizationOfB, double utilizationOfC) {
         SimulatedFleet fleet = new SimulatedFleet(
@@ -76,28 +76,28 @@
             fleet.messageLoss = messageLoss;
             fleet.runUntil(35 * SECOND);
             System.out.println(
-                    "lost " + messageLoss + ": peaks " + fleet.peakUtilizations() + ", served " + fleet.servedFraction()
-                            + ", changes " + fleet.maxTransitions() + "; alone: peaks "
+                    "message loss " + messageLoss + ": peaks " + fleet.peakUtilizations() + ", served "
+                            + fleet.servedFraction() + ", changes " + fleet.maxTransitions() + "; uncoordinated: peaks "
                             + uncoordinated.peakUtilizations() + ", served "
                             + uncoordinated.servedFraction() + ", changes " + uncoordinated.maxTransitions());
             assertWithinTarget(fleet);
             assertTrue(fleet.maxTransitions() <= 3 * 35 / 5, "changes " + fleet.maxTransitions());
-            // The spill fraction takes 2 s to grow, which is a tenth of this overload, and quota grants take
+            // The spill fraction takes 2 s to grow, a tenth of the duration of this overload, and quota grants take
             // another half second.
             assertTrue(
                     fleet.servedFraction() >= uncoordinated.servedFraction() - 0.02,
-                    fleet.servedFraction() + " against " + uncoordinated.servedFraction());
+                    fleet.servedFraction() + " served, uncoordinated " + uncoordinated.servedFraction());
         }
         assertTrue(
                 uncoordinated.peakUtilizations().get("b") > 1.1,
-                "each for itself: " + uncoordinated.peakUtilizations());
+                "peaks of uncoordinated nodes: " + uncoordinated.peakUtilizations());
     }
 
     @Test
     void overloadedRegionsDoNotSpillOntoEachOther() {
         SimulatedFleet fleet = overloadedFleet(2, 0.02, 0.95, 0.95);
         fleet.runUntil(27 * SECOND);
-        // Their own load is 0.95.
+        // The load of each zone's own nodes is 0.95.
         assertTrue(
                 fleet.peakUtilizations().get("b") <= 0.95 * PEAK_TOLERANCE
                         && fleet.peakUtilizations().get("c") <= 0.95 * PEAK_TOLERANCE,
@@ -105,8 +105,8 @@
     }
 
     /**
-     * The leader dies twice during a spillover. No grants are issued for 1.5 s, then a new leader starts that
-     * does not know the earlier ones.
+     * The leader fails twice during a spillover. For 1.5 s no grants are issued, then a new leader starts that does not
+     * know the earlier grants.
      */
     @Test
     void leaderChangeDoesNotGrantTwice() {
@@ -122,8 +122,7 @@
     }
 
     /**
-     * Zone a is down from 5 s to 15 s: all its load spills over at once, by quota grants, and returns
-     * gradually.
+     * Zone a is down from 5 s to 15 s. Its load spills over at once, within quota grants, and returns gradually.
      */
     @Test
     void recoveredZoneIsRampedUpGradually() {
@@ -146,20 +145,20 @@
         fleet.runUntil(16 * SECOND);
         int callsInFirstSecond = a.callsInLastSecond();
         fleet.runUntil(35 * SECOND);
-        System.out.println("zone lost: served while gone " + servedFractionDuringOutage
-                + ", calls to it in the first second of its return " + callsInFirstSecond + " of 700, peaks "
+        System.out.println("zone lost: served during the outage " + servedFractionDuringOutage
+                + ", calls to it in the first second after its return " + callsInFirstSecond + " of 700, peaks "
                 + fleet.peakUtilizations());
         assertWithinTarget(fleet);
         assertTrue(
                 servedFractionDuringOutage > 0.97,
-                "700 fit into the others' headroom of 1,600: " + servedFractionDuringOutage);
-        assertTrue(callsInFirstSecond < 0.4 * 700, "a rush back: " + callsInFirstSecond);
-        assertTrue(a.callsInLastSecond() > 650, "all of it comes back: " + a.callsInLastSecond());
+                "a load of 700 fits into the others' headroom of 1,600, served: " + servedFractionDuringOutage);
+        assertTrue(callsInFirstSecond < 0.4 * 700, "calls in the first second: " + callsInFirstSecond);
+        assertTrue(a.callsInLastSecond() > 650, "calls in the last second: " + a.callsInLastSecond());
     }
 
     /**
-     * Half of the nodes do not reach the coordinator: the reports of the others are extrapolated, and the
-     * cut-off ones spill only the uncoordinated fraction.
+     * Half of the nodes do not reach the coordinator. The reports of the others are extrapolated, and the isolated
+     * nodes spill over only the uncoordinated fraction.
      */
     @Test
     void reportsOfHalfTheNodesRepresentAll() {
@@ -172,8 +171,8 @@
     }
 
     /**
-     * A network partition that comes and goes shows two parts of the fleet different views: a node on either
-     * side changes a priority level at most once per dwell time.
+     * An intermittent network partition gives two parts of the fleet different views. Even so, a node on either side
+     * changes a priority level at most once per dwell time.
      */
     @Test
     void intermittentFleetViewDoesNotMakePriorityLevelsFlap() {
@@ -184,30 +183,30 @@
         }
         fleet.runUntil(35 * SECOND);
         System.out.println(
-                "a cut that flaps: peaks " + fleet.peakUtilizations() + ", changes " + fleet.maxTransitions());
+                "intermittent partition: peaks " + fleet.peakUtilizations() + ", changes " + fleet.maxTransitions());
         assertWithinTarget(fleet);
         assertTrue(fleet.maxTransitions() <= 3 * 35 / 5, "changes " + fleet.maxTransitions());
     }
 
     /**
-     * The target zone's endpoints bear half of what the rule says: its late answers take quota grants away
-     * from it.
+     * The endpoints of the zone that receives the spillover have half of the capacity that the rule states. Their late
+     * answers reduce the quota grants for the zone.
      */
     @Test
-    void zoneWithLessCapacityThanConfiguredIsSpared() {
+    void zoneWithLessCapacityThanConfiguredStaysBelowTheTarget() {
         SimulatedFleet fleet = overloadedFleet(7, 0.02, 0.45, 0.2);
         fleet.schedule(2 * SECOND, () -> fleet.zones.get("b").speedFactor = 0.5);
         fleet.runUntil(22 * SECOND);
-        System.out.println("b bears half: peaks " + fleet.peakUtilizations() + ", served " + fleet.servedFraction());
-        // 0.45 is its own load; if late answers did not count it would be filled to 0.85.
+        System.out.println(
+                "b at half capacity: peaks " + fleet.peakUtilizations() + ", served " + fleet.servedFraction());
+        // 0.45 is the load of its own nodes; if late answers did not count, the zone would be filled to 0.85.
         assertTrue(
                 fleet.peakUtilizations().get("b") < 0.7,
                 fleet.peakUtilizations().toString());
     }
 
     /**
-     * Rules are replaced during a spillover: a zone that the new version forbids gets nothing from the next
-     * request on.
+     * Rules are replaced during a spillover: a zone that the new version forbids receives no further requests.
      */
     @Test
     void versionWithOtherRegionsAppliesFromTheNextRequest() {
@@ -215,7 +214,7 @@
         fleet.runUntil(15 * SECOND);
         assertTrue(
                 fleet.zones.get("b").callsInLastSecond() > 800,
-                "it spills: " + fleet.zones.get("b").callsInLastSecond());
+                "calls to b during the spillover: " + fleet.zones.get("b").callsInLastSecond());
         LocalityRules newRules = rules(0.02, "b");
         fleet.nodes.forEach(n -> n.updateRules(newRules, fleet.now));
         int transitionsBefore = fleet.maxTransitions();
@@ -227,7 +226,7 @@
                         .sum());
         assertTrue(
                 fleet.zones.get("b").callsInLastSecond() <= 620,
-                "600 are its own: " + fleet.zones.get("b").callsInLastSecond());
+                "b's own load is 600: " + fleet.zones.get("b").callsInLastSecond());
         assertTrue(
                 fleet.maxTransitions() - transitionsBefore <= 3,
                 "changes " + (fleet.maxTransitions() - transitionsBefore));
--- a/fleet/src/test/java/weldhitch/fleet/locality/QuotaGrantTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/QuotaGrantTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The safety property of quota grants: all nodes together never have permission for more than a zone had
- * headroom for within the last duration of a grant, whoever leads, however late, lost or duplicated messages are, and
- * with clocks that drift apart by the stated bound. Tested with seeded schedules; each safeguard that is
- * disabled is detected.
+ * Tests the safety property of quota grants: the nodes together never have permission for more than the largest
+ * headroom that a zone had within the last grant duration. It must hold across changes of leader, for late, lost and
+ * duplicated messages, and for clocks that drift apart by the configured bound. The tests run seeded schedules, and
+ * verify that a schedule without one of the safeguards violates the property.
  */
 class QuotaGrantTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -86,7 +86,7 @@
             return violation;
         }
 
-        /** Starts a new leader: the previous one has ended, and its grants may still be on their way. */
+        /** Starts a new leader after the previous one has ended, whose grants may still be in transit. */
         void startLeader() {
             leader = new ZoneLoadAggregator(
                     disabledSafeguard == DisabledSafeguard.NEW_LEADER_WAIT
@@ -148,8 +148,8 @@
             for (int node = 0; node < tokensByNode.size(); node++) {
                 totalRate += tokensByNode.get(node).grantedRate("z", localTime(node));
             }
-            // A merged view is some milliseconds old, and is based on reports that took up to the longest
-            // delay to arrive.
+            // A merged view is some milliseconds old and is based on reports that took up to the longest delay to
+            // arrive.
             long since = now
                     - ZoneLoadAggregator.GRANT_DURATION
                     - ZoneLoadAggregator.MAX_REPORT_AGE
@@ -186,13 +186,13 @@
         for (DisabledSafeguard disabledSafeguard : DisabledSafeguard.values()) {
             if (disabledSafeguard != DisabledSafeguard.NONE) {
                 String violation = firstViolation(disabledSafeguard, 5000);
-                assertNotNull(violation, "nothing breaks without " + disabledSafeguard);
+                assertNotNull(violation, "no violation without " + disabledSafeguard);
                 System.out.println("without " + disabledSafeguard + ": " + violation);
             }
         }
     }
 
-    /** All combinations on a grid of two nodes, three message delays and the time of a change of leader. */
+    /** Tests all combinations on a grid of two nodes, three message delays and the time of a change of leader. */
     @Test
     void leaderChangeAtEveryPointOfAGridKeepsTheHeadroom() {
         int schedules = 0;
@@ -212,12 +212,12 @@
                 }
             }
         }
-        System.out.println("changes of leader: " + schedules);
+        System.out.println("changes of leader tested: " + schedules);
     }
 
     /**
-     * The largest total grant when each of two nodes wants all of a headroom of 200: one from the former
-     * leader, then both from the next.
+     * Returns the largest total of grants when each of two nodes requests a headroom of 200 completely: the first node
+     * from the former leader, then both from the next leader.
      */
     private static double maxGrantedRate(long firstDelay, long secondDelay, long deposedAt, long leaderlessFor) {
         ZoneLoadAggregator aggregator = new ZoneLoadAggregator(-ZoneLoadAggregator.GRANT_DURATION, 0);
@@ -237,7 +237,7 @@
                 aggregator = new ZoneLoadAggregator(now, 0);
             }
             for (int n = 0; n < 2 && aggregator != null; n++) {
-                // Before the change only the first node wants it, after it both do.
+                // Before the change of leader only the first node requests it, afterwards both do.
                 boolean demanding = n == 0 || now > deposedAt;
                 aggregator.onReport("n" + n, demanding ? demandingReport : idleReport, now);
                 FleetView view = aggregator.viewFor("n" + n, 2, now);
--- a/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
@@ -10,8 +10,8 @@
 import java.util.function.IntPredicate;
 
 /**
- * A simulated fleet for tests: nodes in zones with their rules, a leading coordinator and the network between
- * them, in ticks of 5 ms. Endpoints are simulated as the capacity of their zone. Not thread-safe.
+ * A simulated fleet for tests: nodes in zones with their rules, a leading coordinator and the network between them, in
+ * steps of 5 ms. The endpoints of a zone are simulated by their total capacity. Not thread-safe.
  */
 final class SimulatedFleet {
     static final long NANOS_PER_MILLI = 1_000_000L;
@@ -21,7 +21,7 @@
     private static final long REPORT_INTERVAL = 200 * NANOS_PER_MILLI;
 
     /**
-     * A zone: its capacity, and the calls per second that clients send to its nodes, as a function of the
+     * A zone: its capacity, and the rate in calls per second that clients send to its nodes, as a function of the
      * seconds since the start.
      */
     static final class SimulatedZone {
@@ -30,7 +30,7 @@
         final int nodeCount;
         final DoubleUnaryOperator offeredLoad;
         boolean down;
-        /** The actual capacity of its endpoints as a fraction of the nominal one. */
+        /** The actual capacity of its endpoints as a fraction of the nominal capacity. */
         double speedFactor = 1;
 
         final int[] callsByStep = new int[200];
@@ -64,11 +64,11 @@
     private final SplittableRandom random;
     private final TestScheduler scheduler = new TestScheduler();
     ZoneLoadAggregator leader = new ZoneLoadAggregator(-ZoneLoadAggregator.GRANT_DURATION, 0.002);
-    /** Fraction of the calls to the coordinator, and of its responses, that are lost. */
+    /** Fraction of the messages to and from the coordinator that are lost. */
     double messageLoss;
-    /** Nodes whose calls never reach the coordinator. */
+    /** Nodes whose messages never reach the coordinator. */
     IntPredicate isolatedFromCoordinators = n -> false;
-    /** Peaks are recorded from this time on. */
+    /** Time from which peak utilizations are recorded. */
     long peaksMeasuredFrom;
 
     long now;
@@ -193,7 +193,7 @@
         });
     }
 
-    /** The largest number of priority level transitions at any node. */
+    /** Returns the largest number of priority level transitions at any node. */
     int maxTransitions() {
         return nodes.stream().mapToInt(ZoneSelector::transitions).max().orElse(0);
     }
--- a/fleet/src/test/java/weldhitch/fleet/locality/TestScheduler.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/TestScheduler.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Actions in virtual time; those of one time run in the order in which they were scheduled. Not thread-safe. */
+/** Runs actions in virtual time; actions of the same time run in the order of scheduling. Not thread-safe. */
 final class TestScheduler {
     private record ScheduledEvent(long at, long sequence, Runnable action) {}
 
@@ -16,12 +16,12 @@
         events.add(new ScheduledEvent(at, nextSequence++, action));
     }
 
-    /** The time of the next action, of which there must be one. */
+    /** Returns the time of the next action; there must be one. */
     long nextTime() {
         return events.element().at;
     }
 
-    /** Runs the next action, of which there must be one. */
+    /** Runs the next action; there must be one. */
     void runNext() {
         events.remove().action.run();
     }
--- a/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
@@ -16,7 +16,7 @@
 import weldhitch.fleet.locality.LocalityRule.Match;
 import weldhitch.fleet.locality.LocalityRule.SpillPolicy;
 
-/** Tests zone selection, spillover, and the bound on what all nodes together may spill over. */
+/** Tests zone selection, spillover, and the limit on the total spillover of all nodes. */
 class ZoneSelectorTest {
     private static final long SECOND = 1_000_000_000L;
     private static final SpillPolicy SPILL_POLICY = spillPolicy(0.85, 0.7, 0.5, 0.8, 1, 0.02);
@@ -60,8 +60,8 @@
         assertEquals(
                 List.of(Set.of("a"), Set.of("c")),
                 REGIONS.priorityLevels(rule(SPILL_POLICY, false, "b", "d"), "a", availableZones));
-        // A lost zone remains the first level; otherwise the next one would take its place and be filled
-        // without a bound.
+        // A lost zone remains the first level. Otherwise the next level would take its place and be filled without a
+        // limit.
         assertEquals(
                 List.of(Set.of("a"), Set.of("b"), Set.of("c", "d")),
                 REGIONS.priorityLevels(rule(SPILL_POLICY, false), "a", Set.of("b", "c", "d")));
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Load that fluctuates around the threshold, evaluated ten times a second: at most one change per dwell
-     * time.
+     * A load that fluctuates around the threshold and is evaluated ten times a second causes at most one change per
+     * dwell time.
      */
     @Test
     void loadAtTheThresholdChangesALevelNoMoreThanOncePerDwell() {
@@ -94,7 +94,7 @@
         assertTrue(state.transitions() <= 600 / 5 && state.transitions() > 10, "" + state.transitions());
     }
 
-    /** Between its thresholds a level's spill fraction stays constant: the spillover is just enough. */
+    /** The spill fraction of a level between its thresholds stays constant, because the spillover is just enough. */
     @Test
     void spillFractionIsConstantBetweenItsThresholds() {
         PriorityLevelState state = new PriorityLevelState(SPILL_POLICY, 0);
@@ -145,7 +145,7 @@
         assertTrue(node.hasNoAvailableZone());
     }
 
-    /** A lost zone: requests without a token are rejected, or in panic mode go where there are endpoints. */
+    /** When a zone is lost, requests without a token are rejected, or in panic mode go to any available zone. */
     @Test
     void unavailableZoneSpillsByTokensAndPanicFollowsTheRule() {
         for (boolean panic : new boolean[] {false, true}) {
@@ -167,8 +167,8 @@
     }
 
     /**
-     * If the coordinators report no spare capacity, nothing spills over; the uncoordinated fraction is only
-     * for the absence of reports.
+     * If the coordinators report no spare capacity, nothing spills over; the uncoordinated fraction applies only if
+     * there are no reports.
      */
     @Test
     void uncoordinatedFractionAppliesOnlyWithoutCoordinators() {
@@ -185,7 +185,7 @@
     }
 
     /**
-     * A further attempt goes on by a token, returns to the own zone, or stays where it is; it never goes to a
+     * A retry goes to the next level by a token, returns to the own zone, or stays where it is; it never goes to a
      * forbidden zone.
      */
     @Test
@@ -210,8 +210,8 @@
     }
 
     /**
-     * The fleet's view takes precedence over the node's own while it is fresh, but a zone that the node
-     * itself cannot reach is lost to it.
+     * A fresh fleet view takes precedence over the node's own view, but a zone that the node itself cannot reach is
+     * lost to it.
      */
     @Test
     void staleFleetViewIsReplacedByTheLocalView() {
@@ -225,9 +225,9 @@
         assertEquals(2, node.zoneViews(SECOND).get("a").utilization());
         assertTrue(node.hasFreshFleetView(SECOND));
         assertEquals(0, node.zoneViews(4 * SECOND).get("a").utilization(), 1e-9);
-        assertTrue(node.tick(2 * SECOND).isEmpty(), "fresh");
+        assertTrue(node.tick(2 * SECOND).isEmpty(), "the view is fresh");
         assertTrue(
-                node.tick(4 * SECOND).stream().anyMatch(line -> line.startsWith("stale-view: n:")), "it is reported");
+                node.tick(4 * SECOND).stream().anyMatch(line -> line.startsWith("stale-view: n:")), "stale view");
         node.onFleetView(
                 new FleetView(Map.of("a", overloaded, "b", idle), Map.of(), SECOND, 10, 10), 5 * SECOND, 5 * SECOND);
         assertTrue(node.tick(5 * SECOND).contains("fleet view fresh again reporters=10"));
@@ -236,9 +236,9 @@
         for (int i = 0; i < 6; i++) {
             node.onAttemptEnded("a0", CallResult.FAILED, false, 10 * SECOND, 10 * SECOND);
         }
-        assertEquals(0, node.zoneViews(10 * SECOND).get("a").healthyFraction(), "cut off alone");
+        assertEquals(0, node.zoneViews(10 * SECOND).get("a").healthyFraction(), "only this node is cut off");
         assertEquals(1, node.zoneViews(10 * SECOND).get("b").healthyFraction());
-        // The verdict expires: otherwise the zone would never be tried again.
+        // A zone counts as failing for a limited time only; otherwise it would never be tried again.
         assertEquals(1, node.zoneViews(14 * SECOND).get("a").healthyFraction());
     }
 
@@ -247,8 +247,8 @@
     }
 
     /**
-     * A zone with one endpoint: one failure may be chance, two mean that the zone is lost; it is tried again,
-     * and its load returns gradually.
+     * In a zone with one endpoint, one failure may be accidental, and two mean that the zone is lost. It is tried again
+     * later, and its load returns gradually.
      */
     @Test
     void zoneOfOneEndpointFailsAndRecoversWithIt() {
@@ -264,7 +264,7 @@
         assertEquals(List.of("b"), node.select("read", null, null, 0.99, SECOND).zones());
         node.tick(5 * SECOND);
         assertEquals(
-                List.of("b"), node.select("read", null, null, 0.5, 5 * SECOND).zones(), "not at once");
+                List.of("b"), node.select("read", null, null, 0.5, 5 * SECOND).zones(), "the load returns gradually");
         node.tick(8 * SECOND);
         assertEquals(
                 List.of("a"), node.select("read", null, null, 0.5, 8 * SECOND).zones());
@@ -314,8 +314,8 @@
     }
 
     /**
-     * With grants lost, late or duplicated and nodes that come and go, the outstanding grants stay within the
-     * zone's headroom.
+     * The outstanding grants stay within the zone's headroom when grants are lost, late or duplicated and nodes join
+     * and leave.
      */
     @Test
     void grantsNeverExceedTheHeadroom() {
@@ -337,8 +337,8 @@
                 } else {
                     allocator.updateDemand(node, "z", random.nextInt(60));
                     double grantedRate = allocator.grant(node, "z", headroom, now);
-                    // The response arrives late, twice or never; the grant may be used until a second after it
-                    // was issued.
+                    // The response arrives late, twice or never. The grant may be used for up to a second after it was
+                    // issued.
                     if (random.nextInt(4) > 0) {
                         grantsByNode
                                 .computeIfAbsent(node, n -> new ArrayList<>())
--- a/fleet/src/test/java/weldhitch/fleet/member/CoordinatorOutageLogTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/member/CoordinatorOutageLogTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.fleet.activation.ActiveVersions;
 
-/** Tests when an outage of the coordinators is logged, with given times. */
+/** Tests when an outage of the coordinators is logged, at given times. */
 class CoordinatorOutageLogTest {
     private static final long SECOND = 1_000_000_000L;
     private static final ActiveVersions SERVING =
@@ -46,11 +46,11 @@
         assertEquals(List.of("fleet: coordinators reachable again unreachableMillis=5000"), lines);
         lines.clear();
         outageLog.onNoLeaderResponse("refused", 12 * SECOND);
-        assertEquals(1, lines.size(), "the delay begins anew");
+        assertEquals(1, lines.size(), "the delay is reset after an outage");
     }
 
     @Test
-    void rejectionIsLoggedOnceAnOutage() {
+    void rejectionIsLoggedOncePerOutage() {
         outageLog.onVersionsWithoutLeader(SERVING, 0);
         assertEquals(List.of(), lines);
         outageLog.onVersionsWithoutLeader(IN_DOUBT, SECOND);
--- a/fleet/src/test/java/weldhitch/fleet/member/VersionTableBuilderTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/member/VersionTableBuilderTest.java
@@ -16,7 +16,7 @@
 import weldhitch.fleet.activation.RouteVersion;
 import weldhitch.fleet.member.VersionTableBuilder.BuildResult;
 
-/** Tests what becomes of a version's bundle, with a coordinator that serves one bundle. */
+/** Tests building the table of a version from its bundle, with a coordinator that serves a single bundle. */
 class VersionTableBuilderTest {
     private static final byte[] BUNDLE = "bundle".getBytes(StandardCharsets.UTF_8);
     private static final RouteVersion VERSION = new RouteVersion(1, BundleDigest.sha256(BUNDLE));
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void otherBundleThanDecidedOnIsNotBuilt() {
+    void bundleWithOtherChecksumIsNotBuilt() {
         VersionTableBuilder<String> builder = new VersionTableBuilder<>(client, (file, bundle, errors) -> "unused");
         IOException mismatch = assertThrows(IOException.class, () -> builder.build(new RouteVersion(1, "aa")));
         assertTrue(mismatch.getMessage().startsWith("bundle checksum mismatch coordinator="), mismatch.getMessage());
--- a/fleet/src/test/java/weldhitch/fleet/table/VersionedTablesTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/table/VersionedTablesTest.java
@@ -16,15 +16,15 @@
 import weldhitch.fleet.table.VersionedTables.Table;
 
 /**
- * Checks with Lincheck that no reader holds a retired table in any interleaving, and that this fails without
- * the second check in {@link VersionedTables#acquire}.
+ * Checks with Lincheck that no reader holds a retired table in any interleaving, and that this check fails without the
+ * second test of the view in {@link VersionedTables#acquire}.
  */
 class VersionedTablesTest {
     static ActiveVersions onlyVersion(long version) {
         return new ActiveVersions(version, null, Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE);
     }
 
-    /** The operations for Lincheck; a table's content is whether it was retired. */
+    /** The operations for Lincheck. The content of a table is whether it was retired. */
     static class ReaderOperations {
         final VersionedTables<AtomicBoolean> tables =
                 new VersionedTables<>(onlyVersion(0), new Table<>(0, new AtomicBoolean()));
@@ -34,7 +34,7 @@
             return tables.acquire(0);
         }
 
-        /** Enters, reads, leaves; whether what was read had been retired meanwhile. */
+        /** Acquires, reads and releases a table; returns whether it was retired by the time it was read. */
         @Operation
         public boolean readsRetired() {
             Table<AtomicBoolean> table = acquire();
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Without the second check. */
+    /** Acquires without the second test of the view. */
     public static final class WithoutRecheck extends ReaderOperations {
         @Override
         Table<AtomicBoolean> acquire() {
@@ -64,17 +64,17 @@
         }
     }
 
-    /** With the second check. */
+    /** Acquires with the second test of the view. */
     public static final class WithRecheck extends ReaderOperations {}
 
-    /** The sequential specification: no table that is read was retired. */
+    /** The sequential specification: no table is retired while it is read. */
     public static final class NeverRetired {
         public boolean readsRetired() {
             return false;
         }
 
         public void publish() {
-            // Readers never see a retired table, whatever is published.
+            // Readers never see a retired table, regardless of what is published.
         }
     }
 
@@ -126,7 +126,7 @@
         tables.publish(onlyVersion(2), new Table<>(2, "2"), null);
         Table<String> second = tables.acquire(0);
         tables.publish(onlyVersion(3), new Table<>(3, "3"), null);
-        assertFalse(tables.canAddTable(), "two old ones are still read");
+        assertFalse(tables.canAddTable(), "two old tables are still read");
         tables.release(first);
         assertTrue(tables.canAddTable());
         tables.release(second);
--- a/fleet/src/test/java/weldhitch/fleet/turns/PollSlotsTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/turns/PollSlotsTest.java
@@ -22,8 +22,7 @@
     }
 
     /**
-     * A node that would wait by itself gets the first free slot after that, and leaves those before it to
-     * others.
+     * A node gets the first free slot after its own remaining delay; earlier slots stay free for other nodes.
      */
     @Test
     void slotIsNeverBeforeTheNodesOwnPollTime() {
@@ -35,7 +34,8 @@
     }
 
     /**
-     * A node whose response was lost requests again and keeps its slot; after a failed poll it gets another.
+     * A node that repeats its request because the response was lost keeps its slot; a node that requests again after a
+     * failed poll gets another slot.
      */
     @Test
     void immediatelyRepeatedRequestKeepsItsSlot() {
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Ten thousand nodes that ask within a second: none waits too long, and no tenth of a second has more
-     * than one and a half times its even share.
+     * When 10,000 nodes request a slot within a second, no delay exceeds the maximum, and no tenth of a second has more
+     * than 1.5 times its even share of polls.
      */
     @Test
     void moreNodesThanSlotsAreSpreadEvenly() {
@@ -64,12 +64,12 @@
         int[] pollsByTenth = new int[93];
         pollTimes.forEach(t -> pollsByTenth[(int) (t / (100 * NANOS_PER_MILLI))]++);
         int maxPollsInATenth = java.util.Arrays.stream(pollsByTenth).max().orElseThrow();
-        assertTrue(maxPollsInATenth <= 1.5 * 10_000 / 80, "most in 100 ms: " + maxPollsInATenth);
+        assertTrue(maxPollsInATenth <= 1.5 * 10_000 / 80, "largest number of polls in 100 ms: " + maxPollsInATenth);
     }
 
-    /** For any number of nodes that fits, no tenth of a second has more than four polls. */
+    /** For any number of nodes for which there are enough slots, no tenth of a second has more than four polls. */
     @Test
-    void noTenthOfASecondHasMoreThanFour() {
+    void noTenthOfASecondHasMoreThanFourPolls() {
         for (int nodes : new int[] {12, 20, 60, 200, 260}) {
             PollSlots slots = new PollSlots();
             SplittableRandom random = new SplittableRandom(nodes);
@@ -80,7 +80,7 @@
             pollTimes.sort(null);
             for (int i = 4; i < pollTimes.size(); i++) {
                 assertTrue(
-                        pollTimes.get(i) - pollTimes.get(i - 4) >= 100 * NANOS_PER_MILLI, nodes + " nodes, call " + i);
+                        pollTimes.get(i) - pollTimes.get(i - 4) >= 100 * NANOS_PER_MILLI, nodes + " nodes, poll " + i);
             }
         }
     }
