--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -320,7 +320,7 @@
             assertEquals(
                     1,
                     fleet.eventLog.entries().stream()
-                            .filter(e -> e.source().equals("n2") && e.event().contains(" rejected: "))
+                            .filter(e -> e.source().equals("n2") && e.event().contains("version 1 rejected: "))
                             .count());
             fleet.submit("s1", CoordinatedFleet.routeVersion(2500));
             fleet.awaitActive(2);
--- a/fleet/src/main/java/weldhitch/fleet/activation/ClockEstimate.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ClockEstimate.java
@@ -9,7 +9,7 @@
 public final class ClockEstimate {
     private final double maxDrift;
     private String clockId;
-    /** Lower bound of the remote time minus the local time, as of {@code updatedAt}. */
+    /** Bounds of the remote time minus the local time, as of {@code updatedAt}: {@code offsetLow} is the lower one. */
     private long offsetLow;
 
     private long offsetHigh;
--- a/fleet/src/main/java/weldhitch/fleet/activation/LeaseTiming.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/LeaseTiming.java
@@ -5,10 +5,10 @@
  * by at most {@code maxClockDrift}. Immutable.
  *
  * @param leaderLease leader lease: how long a coordinator promises to follow one leader, counted from its response
- * @param memberLease member lease: how long after being granted a lease may be used at most, as counted by the
+ * @param memberLease member lease: maximum time for which a lease may be used after it was granted, as measured by the
  *     coordinators
- * @param activationDelay delay of a version's activation after the expiry of every lease, in which members can learn
- *     of the decision
+ * @param activationDelay delay of a version's activation after the expiry of every lease, so that members can learn of
+ *     the decision before it
  * @param voteTimeout time that members have to vote
  * @param maxClockDrift fraction by which clocks may run fast or slow, 0 to 0.1
  */
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberHeartbeatResponse.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberHeartbeatResponse.java
@@ -32,7 +32,7 @@
         RouteVersion pendingVersion,
         ActivationOutcome outcome,
         boolean leaseRequired) {
-    /** Creates the response of a follower, which passes on outcomes that it knows, as they are final, but no lease. */
+    /** Creates the response of a follower, which reports outcomes, because they are final, and grants no lease. */
     public static MemberHeartbeatResponse fromFollower(
             String leaderHint,
             long generation,
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberLease.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberLease.java
@@ -58,7 +58,7 @@
         return undecidedUntil;
     }
 
-    /** Returns the time from which the lease state rejects all requests; {@link Long#MAX_VALUE} for never. */
+    /** Returns the time from which the lease does not allow the member to serve; {@link Long#MAX_VALUE} for never. */
     long fencedFrom() {
         if (!joined && fenceBeforeJoin) {
             return Long.MIN_VALUE;
--- a/fleet/src/main/java/weldhitch/fleet/activation/MemberRequest.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/MemberRequest.java
@@ -10,8 +10,8 @@
  * @param waitMillis how long the coordinator may wait for a change before it responds, in milliseconds
  * @param heartbeat the heartbeat
  * @param loadReport the node's zone loads; null if it has no locality rules
- * @param ownPollDelayNanos if the member requests a poll slot for the discovery service, its remaining delay without
- *     an assigned slot, in nanoseconds; otherwise below 0
+ * @param ownPollDelayNanos if the member requests a poll slot for the discovery service, its remaining delay before the
+ *     next poll without an assigned slot, in nanoseconds; otherwise below 0
  */
 public record MemberRequest(
         String cluster,
--- a/fleet/src/main/java/weldhitch/fleet/activation/SwitchSchedule.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/SwitchSchedule.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Returns when this member switches: at the activation time, or if the error of that is too large, once it has
-     * certainly passed.
+     * Returns when this member switches: at the activation time, or, if the error of that time is too large, once it
+     * has certainly passed.
      */
     long activatesAt() {
         return !isKnown() || errorBound <= MAX_CLOCK_ERROR ? switchAt : switchAt + errorBound;
--- a/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
@@ -121,14 +121,14 @@
         }
     }
 
-    /** A coordinator could not write its state log. */
+    /** A coordinator could not open, read or write its state on disk. */
     record StateWriteFailed(String file, String reason) implements FleetError {
         @Override
         public Description describe() {
             return new Description(
                     "disk-refused",
                     file,
-                    "write failed: " + reason + "; nothing was acknowledged or changed",
+                    "cannot read or write the state on disk: " + reason + "; nothing was acknowledged or changed",
                     "free space on the disk, or repair it");
         }
     }
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Returns the utilization that traffic from other zones must not raise a zone above: the lowest at which any rule
+     * Returns the maximum utilization to which traffic from other zones may raise a zone: the lowest at which any rule
      * regards a level as short of capacity.
      */
     double targetUtilization() {
--- a/fleet/src/main/java/weldhitch/fleet/locality/NodeLoadReport.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/NodeLoadReport.java
@@ -5,7 +5,7 @@
 /**
  * A node's report on zones, sent to the coordinators with its heartbeats. Immutable.
  *
- * @param targetUtilization utilization that traffic from other zones must not raise a zone above, according to the
+ * @param targetUtilization maximum utilization to which traffic from other zones may raise a zone, according to the
  *     node's rules; above 0, at most 1
  * @param maxLateFraction fraction of late attempts from which on a zone takes no traffic from other zones; above 0, at
  *     most 1
--- a/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
@@ -8,8 +8,8 @@
 
 /**
  * Splits the unused capacity of a zone among the nodes that request it, so that the total rate that they may send at
- * any time never exceeds it, even if grants are lost, duplicated or late. To ensure this, a grant counts until it must
- * have expired on any node, and a grant that replaces it counts beside it until then. Owned by the leading
+ * any time never exceeds it, even if grants are lost, duplicated or late. To ensure this, a grant counts until it has
+ * certainly expired at its node, and a grant that replaces it counts beside it until then. Owned by the leading
  * coordinator's {@link ZoneLoadAggregator}. Not thread-safe.
  */
 public final class QuotaAllocator {
--- a/fleet/src/main/java/weldhitch/fleet/locality/SpillTokens.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/SpillTokens.java
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Takes a token of the candidate zone that has most tokens, and returns that zone; returns null if no candidate
+     * Takes a token of the candidate zone that has the most tokens, and returns that zone; returns null if no candidate
      * has a token.
      */
     String takeToken(Set<String> candidates, long now) {
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadAggregator.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadAggregator.java
@@ -43,7 +43,7 @@
      * Creates an aggregator without reports.
      *
      * @param leadingSince time at which this coordinator became the leader. Grants of the previous leader may be used
-     *     for up to {@link #GRANT_DURATION} after that, so none are issued until then
+     *     for up to {@link #GRANT_DURATION} after that, so no grants are issued during this time
      * @param maxClockDrift fraction by which clocks may run fast or slow
      */
     public ZoneLoadAggregator(long leadingSince, double maxClockDrift) {
--- a/fleet/src/main/java/weldhitch/fleet/member/VersionTableBuilder.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/VersionTableBuilder.java
@@ -17,7 +17,7 @@
         /** The table is built. */
         record Built<T>(T content) implements BuildResult<T> {}
 
-        /** The bundle cannot be used on this node; contains the reasons that the builder gave, one per line. */
+        /** The bundle cannot be used on this node; contains the builder's reasons, one per line, or no reason. */
         record Rejected<T>(List<String> errors) implements BuildResult<T> {
             /** Copies the list, so that the record stays immutable. */
             public Rejected {
--- a/fleet/src/test/java/weldhitch/fleet/error/FleetErrorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/error/FleetErrorTest.java
@@ -64,7 +64,7 @@
     @Test
     void messageContainsKindLocationProblemAndRemedy() {
         assertEquals(
-                "disk-refused: f: write failed: full; nothing was acknowledged or changed;"
+                "disk-refused: f: cannot read or write the state on disk: full; nothing was acknowledged or changed;"
                         + " free space on the disk, or repair it",
                 ERRORS_BY_KIND.get("disk-refused").message());
     }
--- a/fleet/src/test/java/weldhitch/fleet/locality/QuotaGrantTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/QuotaGrantTest.java
@@ -15,7 +15,7 @@
  * Tests the safety property of quota grants: the nodes together never have permission for more than the largest
  * headroom that a zone had within the last grant duration. It must hold across changes of leader, for late, lost and
  * duplicated messages, and for clocks that drift apart by the configured bound. The tests run seeded schedules, and
- * verify that a schedule without one of the safeguards violates the property.
+ * verify that some schedule violates the property if any one of the safeguards is disabled.
  */
 class QuotaGrantTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
