--- a/node/src/main/java/weldhitch/Main.java
+++ b/node/src/main/java/weldhitch/Main.java
@@ -3,13 +3,13 @@
 import java.io.IOException;
 
 /**
- * The entry point of the archive: {@code serve} runs the node, {@code adapter} the same balancer on the
+ * The entry point of the archive: {@code serve} runs the node, and {@code adapter} runs the same balancer on the
  * simulator's line protocol.
  */
 public final class Main {
     private Main() {}
 
-    /** Runs the command that the arguments name; exits with 64 if there is none. */
+    /** Runs the command that the arguments name; exits with status 64 if they name none. */
     public static void main(String[] args) throws IOException {
         if (args.length == 3 && args[0].equals("serve") && args[1].equals("--operator")) {
             weldhitch.node.NodeService.main(java.nio.file.Path.of(args[2]));
--- a/node/src/main/java/weldhitch/adapter/Adapter.java
+++ b/node/src/main/java/weldhitch/adapter/Adapter.java
@@ -34,8 +34,8 @@
 import weldhitch.decision.settings.FlatSettingsParser;
 
 /**
- * Parses batches, passes their events to one balancer per instance and prints its actions. Makes no decisions
- * of its own; not thread-safe.
+ * Reads batches of events, passes each event to the balancer of its instance and prints the actions that the
+ * balancer returns. Makes no decisions itself; not thread-safe.
  */
 final class Adapter {
     private static final Map<String, AttemptOutcome> OUTCOMES = Map.of(
@@ -86,7 +86,7 @@
     void run() throws IOException {
         for (LineFields fields = readLine(); fields != null; fields = readLine()) {
             if (!fields.name().equals("BATCH")) {
-                throw fields.malformed("expected BATCH, not " + fields.name());
+                throw fields.malformed("expected BATCH, found " + fields.name());
             }
             now = fields.nanos();
             String batchNumber = fields.text();
@@ -141,14 +141,14 @@
             String pair = fields.text();
             int equals = pair.indexOf('=');
             if (equals <= 0) {
-                throw fields.malformed("not a setting: " + pair);
+                throw fields.malformed("expected key=value, found " + pair);
             }
             pairs.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
         return pairs;
     }
 
-    /** The event of a line, or null for one that the balancer does not use. */
+    /** Returns the event of a line, or null if the balancer does not use this kind of event. */
     private BalancerEvent parseEvent(LineFields fields) {
         return switch (fields.name()) {
             case "INGRESS" -> {
@@ -189,7 +189,7 @@
                 if (kind != EndpointUpdateKind.REJECTED) {
                     entries = endpointLists.get(fields.integer());
                     if (entries == null) {
-                        throw fields.malformed("no such list");
+                        throw fields.malformed("unknown list number");
                     }
                 }
                 yield new EndpointsChanged(kind, entries);
@@ -244,8 +244,8 @@
             startLine("FINISH_ERROR", instance).append(' ').append(fail.requestId());
         } else if (action instanceof SubscribeToEndpoints) {
             startLine("STREAM_CHANGES", instance).append(" 1");
-        } else if (action instanceof LogMessage report) {
-            startLine("NOTE_DOWN", instance).append(' ').append(report.text());
+        } else if (action instanceof LogMessage message) {
+            startLine("NOTE_DOWN", instance).append(' ').append(message.text());
         }
         reply.append('\n');
     }
@@ -254,9 +254,7 @@
         return reply.append(name).append(' ').append(instance);
     }
 
-    /**
-     * Appends a duration as seconds, rounded up to the protocol's microseconds so that no timer fires early.
-     */
+    /** Appends a duration in seconds, rounded up to the protocol's microseconds so that no timer fires early. */
     private StringBuilder appendSeconds(long nanos) {
         long micros = (nanos + 999) / 1000;
         String fraction = Long.toString(1_000_000 + micros % 1_000_000).substring(1);
@@ -270,7 +268,7 @@
         for (int i = 0; i < count; i++) {
             LineFields fields = readLine();
             if (fields == null || !fields.name().equals("M")) {
-                throw new MalformedLineException(lineNumber, "expected an entry of a list");
+                throw new MalformedLineException(lineNumber, "expected an M line with a list entry");
             }
             String server = fields.text();
             String zone = fields.text();
--- a/node/src/main/java/weldhitch/adapter/AdapterMain.java
+++ b/node/src/main/java/weldhitch/adapter/AdapterMain.java
@@ -6,7 +6,7 @@
 public final class AdapterMain {
     private AdapterMain() {}
 
-    /** Processes batches until the input ends; exits with 2 on a malformed line. */
+    /** Processes batches until the input ends; exits with status 2 on a malformed line. */
     public static void main(String[] args) throws IOException {
         try {
             new Adapter(System.in, new java.io.FileOutputStream(java.io.FileDescriptor.out)).run();
--- a/node/src/main/java/weldhitch/adapter/LineFields.java
+++ b/node/src/main/java/weldhitch/adapter/LineFields.java
@@ -3,8 +3,7 @@
 import java.util.Map;
 
 /**
- * The fields of one protocol line, parsed from left to right. Used by {@link Adapter}; mutable, not
- * thread-safe.
+ * Parses the fields of one protocol line from left to right. Used by {@link Adapter}; mutable, not thread-safe.
  */
 final class LineFields {
     private final String line;
@@ -51,7 +50,7 @@
     int integer() {
         long value = longInteger();
         if (value != (int) value) {
-            throw malformed("too large a number: " + value);
+            throw malformed("integer out of range: " + value);
         }
         return (int) value;
     }
@@ -61,7 +60,7 @@
         return field == null ? 0 : (int) parseLong(field);
     }
 
-    /** An integer of 64 bits, signed or unsigned: seeds use all bits. */
+    /** Reads a 64-bit integer, signed or unsigned, because seeds use all bits. */
     long longInteger() {
         return parseLong(text());
     }
@@ -73,7 +72,7 @@
             try {
                 return Long.parseUnsignedLong(field);
             } catch (NumberFormatException notUnsigned) {
-                throw malformed("not a whole number: " + field);
+                throw malformed("expected an integer, found " + field);
             }
         }
     }
@@ -83,7 +82,7 @@
         return field == null ? 0 : parseNumber(field);
     }
 
-    /** A time or duration in seconds, as nanoseconds. */
+    /** Reads a time or duration in seconds and returns it in nanoseconds. */
     long nanos() {
         return Math.round(parseNumber(text()) * 1e6) * 1000;
     }
@@ -97,14 +96,14 @@
         try {
             return Double.parseDouble(field);
         } catch (NumberFormatException e) {
-            throw malformed("not a number: " + field);
+            throw malformed("expected a number, found " + field);
         }
     }
 
     boolean bool() {
         String field = text();
         if (!field.equals("0") && !field.equals("1")) {
-            throw malformed("neither 0 nor 1: " + field);
+            throw malformed("expected 0 or 1, found " + field);
         }
         return field.equals("1");
     }
@@ -126,7 +125,7 @@
         String field = text();
         T value = valuesByName.get(field);
         if (value == null) {
-            throw malformed("unknown word: " + field);
+            throw malformed("unknown value: " + field);
         }
         return value;
     }
--- a/node/src/main/java/weldhitch/adapter/MalformedLineException.java
+++ b/node/src/main/java/weldhitch/adapter/MalformedLineException.java
@@ -1,6 +1,6 @@
 package weldhitch.adapter;
 
-/** A line that violates the line protocol; the message gives the line's number and the error. */
+/** Thrown for a line that violates the line protocol; the message gives the line's number and the error. */
 final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/weldhitch/adapter/package-info.java
+++ b/node/src/main/java/weldhitch/adapter/package-info.java
@@ -1,2 +1,2 @@
-/** The adapter: runs the balancer on the simulator's line protocol. */
+/** The simulator adapter, which runs the balancer on the simulator's line protocol. */
 package weldhitch.adapter;
--- a/node/src/main/java/weldhitch/package-info.java
+++ b/node/src/main/java/weldhitch/package-info.java
@@ -1,2 +1,2 @@
-/** The entry point of the packaged archive, which starts the node or the adapter. */
+/** The entry point of the packaged archive, which starts either the node or the simulator adapter. */
 package weldhitch;
