--- a/node/src/main/java/weldhitch/node/ConfigFlattener.java
+++ b/node/src/main/java/weldhitch/node/ConfigFlattener.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * Flattens a JSON value into pairs of a dotted path and a text: arrays of scalars are joined by commas, arrays
- * of objects numbered and counted. Used by {@link NodeConfig}; stateless.
+ * Flattens a JSON value into pairs of a dotted path and a text. Arrays of scalars are joined by commas; the elements
+ * of arrays of objects are numbered from 0 and counted. Used by {@link NodeConfig}; stateless.
  */
 final class ConfigFlattener {
     private ConfigFlattener() {}
 
-    /** Adds the parser's current value, which lies at {@code path}, to the pairs. */
+    /** Adds the parser's current value, which is at {@code path}, to the pairs. */
     static void flatten(JsonParser parser, String path, Map<String, String> flat) throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT -> {
--- a/node/src/main/java/weldhitch/node/EndpointList.java
+++ b/node/src/main/java/weldhitch/node/EndpointList.java
@@ -27,12 +27,11 @@
             Map.of("ready", EndpointState.READY, "draining", EndpointState.DRAINING, "gone", EndpointState.REMOVED);
 
     /**
-     * An entry for the balancer, and the endpoint's address; the address is null if a removed entry has none.
-     * Immutable.
+     * An entry for the balancer with the endpoint's address, which is null if a removed entry has none. Immutable.
      */
     record ListedEndpoint(EndpointEntry entry, InetSocketAddress address) {}
 
-    /** The entries without addresses, as the balancer takes them. */
+    /** Returns the entries without addresses, in the form that the balancer uses. */
     List<EndpointEntry> entries() {
         return endpoints.stream().map(ListedEndpoint::entry).toList();
     }
@@ -42,7 +41,7 @@
             parser.nextToken();
             EndpointList list = read(parser);
             if (parser.nextToken() != null) {
-                throw new MalformedListException("more than one document");
+                throw new MalformedListException("expected one JSON document, found more");
             }
             return list;
         }
@@ -64,7 +63,7 @@
             }
         }
         if (seq < 0 || endpoints == null) {
-            throw new MalformedListException("no seq or no hosts");
+            throw new MalformedListException("seq or hosts is missing");
         }
         return new EndpointList(seq, full, List.copyOf(endpoints));
     }
@@ -102,7 +101,7 @@
             }
         }
         if (id == null || id.isEmpty() || state == null || dialAddress == null && state != EndpointState.REMOVED) {
-            throw new MalformedListException("an entry lacks host, dial or health");
+            throw new MalformedListException("host, dial or health of an entry is missing or invalid");
         }
         return new ListedEndpoint(
                 new EndpointEntry(id, zone, cell, state, weight, Clock.ofMillis(startedAtMillis)),
@@ -118,7 +117,7 @@
     }
 
     /**
-     * Parses a numeric address and port; names are not resolved, as there is no DNS and a lookup would block.
+     * Parses a numeric address and port. Names are not resolved, as there is no DNS and a lookup would block.
      */
     static InetSocketAddress address(String text) throws MalformedAddressException {
         int colon = text.lastIndexOf(':');
--- a/node/src/main/java/weldhitch/node/MalformedAddressException.java
+++ b/node/src/main/java/weldhitch/node/MalformedAddressException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A text that is not a numeric address and port. */
+/** Thrown for a text that is not a numeric address and port. */
 final class MalformedAddressException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/weldhitch/node/MalformedListException.java
+++ b/node/src/main/java/weldhitch/node/MalformedListException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** An endpoint list that is valid JSON but not a list in the discovery service's format. */
+/** Thrown for valid JSON that is not an endpoint list in the discovery service's format. */
 final class MalformedListException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/weldhitch/node/NodeConfig.java
+++ b/node/src/main/java/weldhitch/node/NodeConfig.java
@@ -17,11 +17,11 @@
 /**
  * The node's configuration: the environment and the file that {@code GW_CONFIG} names. Immutable.
  *
- * @param listen where clients connect
+ * @param listen the address that clients connect to
  * @param discovery the address of the discovery service
  * @param sockets the limit of open descriptors, at least 100
  * @param knownEndpoints the cached endpoint list from the previous process
- * @param keepalive nanoseconds that servers keep an idle connection open
+ * @param keepalive time that servers keep an idle connection open, in nanoseconds
  */
 record NodeConfig(
         String name,
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Reads a file that was replaced while the node runs. The environment still names the discovery address of
-     * the start, so here the file's address takes precedence.
+     * Reads a file that was replaced while the node runs. The environment still contains the discovery address from the
+     * start of the process, so here the address in the file takes precedence.
      */
     static NodeConfig reload(Map<String, String> environment) throws InvalidConfigException {
         Map<String, String> withoutDiscovery = new HashMap<>(environment);
@@ -65,7 +65,7 @@
         return load(withoutDiscovery);
     }
 
-    /** The name and addresses in the environment take precedence over those of the file, which are the same. */
+    /** Parses a configuration; the variables in the environment take precedence over the same keys of the file. */
     static NodeConfig parse(byte[] json, Map<String, String> environment) throws InvalidConfigException {
         Map<String, String> flat = new HashMap<>();
         EndpointList knownEndpoints = new EndpointList(0, true, List.of());
@@ -99,7 +99,7 @@
             FlatSettingsParser flatSettings = new FlatSettingsParser(settingPairs);
             BalancerSettings settings = flatSettings.settings();
             if (settings.classes().stream().anyMatch(c -> c.name().isEmpty())) {
-                // Requests name their class, so no request could ever use this one.
+                // Requests name their class, so no request could ever use this class.
                 throw InvalidConfigException.invalidValue(
                         "settings: classes.name", "none", "the name of a class", null);
             }
@@ -127,7 +127,7 @@
         });
         if (settingPairs.isEmpty()) {
             throw InvalidConfigException.invalidValue(
-                    "settings", "none", "the object that the platform's page describes", null);
+                    "settings", "none", "an object with the node's settings", null);
         }
         return settingPairs;
     }
@@ -138,7 +138,7 @@
             return EndpointList.address(text);
         } catch (MalformedAddressException e) {
             throw InvalidConfigException.invalidValue(
-                    name, text.isEmpty() ? "none" : text, "an address in digits and a port", e);
+                    name, text.isEmpty() ? "none" : text, "an address and port, both numeric", e);
         }
     }
 
@@ -159,7 +159,7 @@
                 return sockets;
             }
         } catch (NumberFormatException e) {
-            // Reported below, like a number that is too small.
+            // Thrown below, as for a number that is too small.
         }
         throw InvalidConfigException.invalidValue(
                 "limits.sockets", text.isEmpty() ? "none" : text, "a number of " + MIN_SOCKETS + " or more", null);
--- a/node/src/main/java/weldhitch/node/RouteConfigLoader.java
+++ b/node/src/main/java/weldhitch/node/RouteConfigLoader.java
@@ -11,7 +11,7 @@
 import weldhitch.routeconfig.RouteConfig;
 
 /**
- * Loads the route configuration at start and on reload; a file with errors is never applied. Owned by
+ * Loads the route configuration at the start and on each reload; a file with errors is never applied. Owned by
  * {@link Node}; not synchronized.
  */
 final class RouteConfigLoader {
@@ -25,7 +25,7 @@
         this.platformSettings = platformSettings;
     }
 
-    /** The fleet settings of the file as it was at start; null if the node is not part of a fleet. */
+    /** Returns the fleet settings that the file had at the start; null if the node is not part of a fleet. */
     FleetSettings fleet() {
         return fleet;
     }
@@ -38,27 +38,27 @@
     }
 
     /**
-     * Parses a route version of the fleet with the checks of this node's own file; null if it has errors, which
-     * are passed to {@code errors}.
+     * Parses a route version of the fleet with the same checks as the node's own file. Returns null if it has errors,
+     * which are passed to {@code errors}.
      */
     LoadedRules parseVersion(String name, byte[] bundle, Consumer<String> errors) {
         RouteConfig parsed = RouteConfig.parse(name, bundle, platformSettings);
         parsed.errors().forEach(problem -> errors.accept(problem.toString()));
         if (parsed.isUsable() && (parsed.fleet() != null || parsed.capture() != null)) {
-            errors.accept(name + ":1: error: a version holds rules alone, no [fleet] and no [capture]; take them out");
+            errors.accept(name + ":1: error: a route version must not contain [fleet] or [capture]; remove them");
         }
         return parsed.isUsable() ? LoadedRules.of(parsed) : null;
     }
 
-    /** The capture settings of the last valid file; null if it has none. */
+    /** Returns the capture settings of the last valid file; null if it has none. */
     CaptureSettings capture() {
         return capture;
     }
 
     /**
-     * Reads the file at start.
+     * Reads the file at the start.
      *
-     * @throws InvalidConfigException if the file has errors; all of them are logged
+     * @throws InvalidConfigException if the file has errors, all of which are logged
      */
     LoadedRules load() throws InvalidConfigException {
         RouteConfig parsed = RouteConfig.read(file, platformSettings);
@@ -71,7 +71,7 @@
         return LoadedRules.of(parsed);
     }
 
-    /** Reads the file again; null if it has errors, in which case the previous rules stay active. */
+    /** Reads the file again; returns null if it has errors, in which case the previous rules stay active. */
     LoadedRules reload() {
         RouteConfig parsed = RouteConfig.read(file, platformSettings);
         if (!parsed.isUsable()) {
