--- a/node/src/main/java/weldhitch/node/BufferedBody.java
+++ b/node/src/main/java/weldhitch/node/BufferedBody.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * A body buffered completely in memory, accounted for in {@link ResourceLimits}. Copied out of the read buffers into
- * chunks of its own: a peer that sends single bytes would otherwise pin a read buffer for each of them, outside
- * the accounting. Not thread-safe, confined to the event loop.
+ * A body that is buffered completely in memory and accounted for in {@link ResourceLimits}. The bytes are copied
+ * from the read buffers into separate chunks: a peer that sends single bytes would otherwise pin one read buffer
+ * per byte, which the accounting would not include. Not thread-safe, confined to the event loop.
  */
 final class BufferedBody {
     static final int MAX_CHUNK_BYTES = 64 * 1024;
@@ -20,13 +20,13 @@
     private long size;
     private long reservedBytes;
 
-    /** {@code statedLength}: the length that the peer states, or -1. */
+    /** Creates an empty body; {@code statedLength} is the length that the peer states, or -1. */
     BufferedBody(ResourceLimits limits, long statedLength) {
         this.limits = limits;
         this.firstChunkBytes = (int) Math.min(MAX_CHUNK_BYTES, statedLength < 0 ? 1024 : Math.max(1, statedLength));
     }
 
-    /** Appends the buffer's content; false if the memory limit is reached. */
+    /** Appends the buffer's content; returns false if the memory limit is reached. */
     boolean add(ByteBuf buffer) {
         while (buffer.isReadable()) {
             if (chunks.isEmpty() || bytesInLastChunk == lastChunk().length) {
@@ -65,7 +65,7 @@
         return Unpooled.wrappedBuffer(chunk, 0, index == chunks.size() - 1 ? bytesInLastChunk : chunk.length);
     }
 
-    /** All of it as one buffer, for bodies that are written at once. */
+    /** Returns the body as one buffer, for bodies that are written in a single write. */
     ByteBuf asSingleBuffer() {
         ByteBuf[] buffers = new ByteBuf[chunks.size()];
         for (int i = 0; i < buffers.length; i++) {
--- a/node/src/main/java/weldhitch/node/ByteObserver.java
+++ b/node/src/main/java/weldhitch/node/ByteObserver.java
@@ -6,8 +6,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * Observes a client's bytes before they are parsed, as a head that trickles in shows nowhere else, and releases
- * them once input is discarded. Owned by a {@link ClientConnection}; not thread-safe, confined to the event loop.
+ * Observes a client's bytes before they are parsed, because a head that arrives slowly is not visible anywhere else,
+ * and releases them without parsing once input is discarded. Owned by a {@link ClientConnection}; not thread-safe,
+ * confined to the event loop.
  */
 final class ByteObserver extends ChannelInboundHandlerAdapter {
     private final ClientInput input;
--- a/node/src/main/java/weldhitch/node/ClientCallback.java
+++ b/node/src/main/java/weldhitch/node/ClientCallback.java
@@ -1,19 +1,27 @@
 package weldhitch.node;
 
-/** The client side of a request: receives exactly one final answer, buffered or streamed, on the event loop. */
+/** Passes the answer of a request to its client: exactly one final answer, buffered or streamed, on the event loop. */
 interface ClientCallback extends StreamSink {
-    /** Answers with a complete response. */
+    /** Answers the request with a complete response. */
     void served(ServerResponse response);
 
-    /** Rejects: not executed, a retry does no harm; {@code retryAfter} in nanoseconds, 0 for no advice. */
+    /**
+     * Rejects the request, which has not been executed, so that a retry is safe.
+     *
+     * @param retryAfter nanoseconds after which the client may retry, or 0 to state none
+     */
     void rejected(long retryAfter);
 
     /**
-     * Whether the client is connected at this moment, as far as the system knows. Reads what the system holds of
-     * its input.
+     * Returns whether the client is connected at this moment, as far as the operating system knows. Reads the client's
+     * input that the operating system has already received.
      */
     boolean isConnected();
 
-    /** Fails without a promise about effects; {@code timedOut}: the request's deadline has passed. */
+    /**
+     * Answers that the request failed; it may have been executed.
+     *
+     * @param timedOut whether the request's deadline has passed
+     */
     void failed(boolean timedOut);
 }
--- a/node/src/main/java/weldhitch/node/ClientConnection.java
+++ b/node/src/main/java/weldhitch/node/ClientConnection.java
@@ -16,9 +16,9 @@
 
 /**
  * Handles one downstream connection: the state machine that receives its requests one by one, passes each
- * to the {@link Dispatcher} and writes the response that this returns. Owns the collaborators that validate
- * heads, queue pipelined input, decide timeouts and encode responses. Created by
- * {@link ClientConnectionManager}; not thread-safe, confined to the event loop.
+ * to the {@link Dispatcher} and writes the dispatcher's response. Owns the objects that validate heads, queue
+ * pipelined input, track timeouts and encode responses. Created by {@link ClientConnectionManager}; not thread-safe,
+ * confined to the event loop.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientCallback {
     private final ClientConnectionListener<ClientConnection> owner;
@@ -35,7 +35,7 @@
     private ClientConnectionState state = ClientConnectionState.IDLE;
     /** The request that is being received or answered; null if there is none. */
     private InFlightRequest inFlight;
-    /** Where the streamed response comes from; null if none is streamed. */
+    /** The source of the response that is being streamed; null if none is. */
     private StreamSource source;
 
     ClientConnection(
@@ -77,7 +77,10 @@
         channel.close();
     }
 
-    /** Closes the connection between two requests. Unread bytes are read first: a reset would lose their request. */
+    /**
+     * Closes the connection if it is between two requests. Reads pending input first, because closing with unread bytes
+     * would reset the connection and lose the request that they hold.
+     */
     void closeIfIdle() {
         PendingInput.read(channel);
         if (channel.isActive() && state == ClientConnectionState.IDLE && !deadlines.isReadingHead()) {
@@ -124,14 +127,14 @@
                 || !channel.isWritable();
     }
 
-    /** Processes queued input; a client that does not read its responses gets no further ones. */
+    /** Processes queued input; stops while the client does not read its responses. */
     private void processPipelined() {
         while (!pipelined.isEmpty() && !mustQueue()) {
             PipelinedInput.QueuedMessage next = pipelined.poll();
             handleMessage(next.message(), next.arrivedAt());
         }
         if (pipelined.isExhausted() && !mustQueue() && state != ClientConnectionState.CLOSING) {
-            // The rest of a request was discarded. None of it was forwarded, so the client may retry.
+            // The rest of a request was discarded. None of the request was forwarded, so the client may retry.
             abortRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, NodeEvent.Close.PIPELINING_LIMIT);
         }
     }
@@ -214,12 +217,12 @@
         } else if (state == ClientConnectionState.RECEIVING) {
             inFlight.receivedAt = arrivedAt;
             transitionTo(ClientConnectionState.RECEIVED);
-            // Not within the read: what follows reads on, to see whether the client is still there.
+            // Not within this read: dispatching reads further input, to check whether the client is still connected.
             channel.eventLoop().execute(this::dispatchReceived);
         }
     }
 
-    /** Dispatches the request that has been received, unless its client has disconnected meanwhile. */
+    /** Dispatches the request that has been received, unless its client has disconnected in the meantime. */
     private void dispatchReceived() {
         if (state != ClientConnectionState.RECEIVED) {
             return;
@@ -240,7 +243,7 @@
         respond(reason.status(), 0);
     }
 
-    /** Where the next request would begin is unknown: nothing more is read from this client. */
+    /** Answers malformed input and reads nothing more, as the position of the next request is unknown. */
     private void rejectMalformed(Throwable cause) {
         if (state != ClientConnectionState.DISCARDING_BODY) {
             state = ClientConnectionState.RECEIVING;
@@ -248,7 +251,7 @@
         abortRequest(ClientRequestParser.malformedStatus(cause), NodeEvent.Close.MALFORMED);
     }
 
-    /** Answers a request that has not been received completely, unless it is answered already, and closes. */
+    /** Answers an incompletely received request, unless it has already been answered, and closes the connection. */
     private void abortRequest(HttpResponseStatus status, NodeEvent.Close reason) {
         context.events().count(NodeEvent.CLIENT_CLOSED, reason, inFlight == null ? null : inFlight.request.id());
         if (state == ClientConnectionState.RECEIVING) {
@@ -292,7 +295,7 @@
         }
     }
 
-    /** The request is done: it has been answered and its last byte read. */
+    /** Called when the request has been answered and its last byte has been read. */
     private void requestCompleted() {
         inFlight = null;
         if (responseWriter.keepAlive()) {
@@ -311,7 +314,7 @@
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> channel.shutdownOutput());
     }
 
-    /** Closes the connection if only the client's own close is outstanding. */
+    /** Closes the connection if it only waits for the client to close its side. */
     void closeIfLingering() {
         if (state == ClientConnectionState.CLOSING && !deadlines.hasPendingWrites()) {
             close(NodeEvent.Close.LINGERING);
@@ -351,7 +354,10 @@
         }
     }
 
-    /** Ends or closes the connection if one of its timeouts has expired, also with what is read only now. */
+    /**
+     * Ends the current request or closes the connection if one of its timeouts has expired. Reads pending input first,
+     * which may end the timeout.
+     */
     void checkTimeouts(long now) {
         if (deadlines.expiry(state, now) != ConnectionDeadlines.Expiry.NONE) {
             PendingInput.read(channel);
@@ -391,7 +397,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // An IOException is the client's reset: its request is cancelled like on any other close.
+        // An IOException means that the client reset the connection: its request is cancelled as on any other close.
         if (!(cause instanceof IOException)) {
             Log.failure("client connection failed", cause);
         }
--- a/node/src/main/java/weldhitch/node/ClientConnectionListener.java
+++ b/node/src/main/java/weldhitch/node/ClientConnectionListener.java
@@ -1,17 +1,18 @@
 package weldhitch.node;
 
 /**
- * The listener side that accepted a connection. All of its methods are called on the event loop.
+ * Receives the state changes of a client connection from when it is accepted. All methods are called on the event
+ * loop.
  *
  * @param <C> the type of the connection
  */
 interface ClientConnectionListener<C> {
-    /** The connection has been accepted. */
+    /** Called when the connection has been accepted. */
     void opened(C connection);
 
-    /** The connection has closed. */
+    /** Called when the connection has closed. */
     void closed(C connection);
 
-    /** The connection has become idle, or has stopped being so. */
+    /** Called when the connection has become idle or is no longer idle. */
     void idleChanged(C connection, boolean isIdle);
 }
--- a/node/src/main/java/weldhitch/node/ClientConnectionManager.java
+++ b/node/src/main/java/weldhitch/node/ClientConnectionManager.java
@@ -32,16 +32,17 @@
 import weldhitch.decision.settings.RequestClass;
 
 /**
- * Accepts and tracks client connections: limits their number by evicting idle ones, sweeps them for timeouts,
- * and runs the graceful shutdown that {@link GracefulShutdown} schedules. Not thread-safe, confined to the event loop.
+ * Accepts and tracks client connections: limits their number by closing idle ones, checks them for timeouts
+ * periodically, and runs the graceful shutdown that {@link GracefulShutdown} plans. Not thread-safe, confined to the
+ * event loop.
  */
 final class ClientConnectionManager implements ClientConnectionListener<ClientConnection>, ClientPolicy {
     private static final int BACKLOG = 4096;
     private static final int MAX_REQUEST_LINE_BYTES = 8 * 1024;
     /**
-     * Requests that the HTTP codec may have read on one connection without having seen their response; with
-     * more the codec fails, and the connection with it. Above what the pipelining limit admits plus what one
-     * read can add (18 bytes each).
+     * Number of requests on one connection that the HTTP codec may read before it sees their responses. With more, the
+     * codec fails and so does the connection. The value exceeds what the pipelining limit admits plus what one read can
+     * add, at 18 bytes for each request.
      */
     private static final int MAX_UNANSWERED_REQUESTS = 2048;
 
@@ -63,7 +64,7 @@
     private final LinkedHashSet<ClientConnection> idle = new LinkedHashSet<>();
     private Channel listener;
     private final GracefulShutdown shutdown;
-    /** Idle connections when clients are first asked to close; negative until then. */
+    /** Number of idle connections when clients are first asked to disconnect; negative until then. */
     private int idleAtCloseStart = -1;
 
     private long lastAcceptedAt;
@@ -130,7 +131,7 @@
         return !shutdown.started() && ready.getAsBoolean();
     }
 
-    /** Whether a response written now asks its client to reconnect elsewhere. */
+    /** Returns whether a response written now asks its client to reconnect elsewhere. */
     @Override
     public boolean sendsConnectionClose() {
         return shutdown.sendsConnectionClose(clock.now());
@@ -160,8 +161,6 @@
         return classesByName.get(name);
     }
 
-    // ---- how many are open ----
-
     @Override
     public void opened(ClientConnection connection) {
         lastAcceptedAt = clock.now();
@@ -176,8 +175,8 @@
     }
 
     /**
-     * Sets how many connections one poll may accept: all that may be open. What stays in the backlog gets older, and
-     * nothing tells by how much once it is accepted.
+     * Sets how many connections one poll may accept: all that may still be opened. A connection that waits in the
+     * backlog gets older, and once it is accepted its age is unknown.
      */
     private void limitAccepts(int count) {
         if (listener.config().getRecvByteBufAllocator() instanceof MaxMessagesRecvByteBufAllocator acceptAllocator) {
@@ -197,10 +196,11 @@
     }
 
     /**
-     * Closes this many of the connections that have been idle longest, less those that turn out not to be idle.
+     * Closes {@code count} of the connections that have been idle longest, or fewer if some turn out not to be idle.
      */
     private void closeOldestIdle(int count) {
-        // A last read may find a request that is answered at once, which makes its connection idle again.
+        // The last read may find a request that is answered at once, which makes its connection idle again. So the
+        // candidates are collected first.
         List<ClientConnection> candidates = new ArrayList<>(Math.max(0, count));
         for (Iterator<ClientConnection> oldest = idle.iterator(); candidates.size() < count && oldest.hasNext(); ) {
             candidates.add(oldest.next());
@@ -225,7 +225,7 @@
         }
     }
 
-    /** Whether so many clients have requests in flight that a further request is rejected. */
+    /** Returns whether so many clients have requests in flight that a further request is rejected. */
     @Override
     public boolean overloaded() {
         return connections.size() - idle.size() > limits.maxActiveClients;
@@ -252,11 +252,9 @@
         }
     }
 
-    // ---- the planned end ----
-
     void drain(Runnable onDrained) {
         if (!shutdown.started()) {
-            // The process is killed so long after the signal was sent, whenever that is handled.
+            // The platform kills the process a fixed time after it sent the signal, however late the signal is handled.
             shutdown.start(context.polls().signalledNotBefore(clock.now()));
             loop.scheduleWithFixedDelay(
                     () -> drainStep(onDrained), DRAIN_INTERVAL_MS, DRAIN_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -264,8 +262,8 @@
     }
 
     /**
-     * Accepts what the system's backlog holds: closing the listener would reset those connections, requests and
-     * all. Reads as many as the backlog holds, beyond the connection limit if need be. Does nothing while that is
+     * Accepts all connections in the operating system's backlog, because closing the listener would reset them and lose
+     * their requests. This may exceed the connection limit, but nothing is accepted if the limit has already been
      * reached.
      */
     private void acceptBacklog() {
--- a/node/src/main/java/weldhitch/node/ClientConnectionState.java
+++ b/node/src/main/java/weldhitch/node/ClientConnectionState.java
@@ -1,12 +1,12 @@
 package weldhitch.node;
 
-/** Progress of the current request on a {@link ClientConnection}. */
+/** The progress of the current request on a {@link ClientConnection}. */
 enum ClientConnectionState {
     /** Between requests. */
     IDLE,
-    /** A request's head has been read, its body not completely. */
+    /** The head of a request has been read, but not its complete body. */
     RECEIVING,
-    /** A request has been received completely and is dispatched once this read is over. */
+    /** A request has been received completely and is dispatched after the current read. */
     RECEIVED,
     /** A request has been dispatched and has no response yet. */
     WAITING,
--- a/node/src/main/java/weldhitch/node/ClientInput.java
+++ b/node/src/main/java/weldhitch/node/ClientInput.java
@@ -4,11 +4,11 @@
 import weldhitch.decision.connection.PollHistory;
 
 /**
- * What the input of one downstream connection tells beyond its bytes: when these arrived, and whether the client
- * is still there. Owned by a {@link ClientConnection}; not thread-safe, confined to the event loop.
+ * Determines when the bytes of a downstream connection arrived, and whether the client is still connected, neither
+ * of which the bytes show. Owned by a {@link ClientConnection}; not thread-safe, confined to the event loop.
  */
 final class ClientInput {
-    /** A read stops after 256 KiB; the end of the stream may lie behind more than one, pipelined. */
+    /** A read stops after 256 KiB; with pipelined input, it may take several reads to find the end of the stream. */
     private static final int MAX_READS = 8;
 
     private final SocketChannel channel;
@@ -18,7 +18,7 @@
     private final long connectedNotBefore;
     private int buffersRead;
 
-    /** The connection has just been accepted. */
+    /** Creates the input of a connection that has just been accepted. */
     ClientInput(SocketChannel channel, Clock clock, PollHistory polls) {
         this.channel = channel;
         this.clock = clock;
@@ -27,19 +27,19 @@
         connectedNotBefore = polls.arrivedNotBefore();
     }
 
-    /** A buffer has been read. */
+    /** Called when a buffer has been read. */
     void bufferRead() {
         buffersRead++;
     }
 
-    /** When the bytes arrived that are being read, as far as is known. */
+    /** Returns the assumed arrival time of the bytes that are being read, in nanoseconds of {@link Clock}. */
     long arrivedAt() {
         return PollHistory.assumedArrival(clock.now(), polls.arrivedNotBefore(acceptedAt, connectedNotBefore));
     }
 
     /**
-     * Whether the client is connected now. Reads what the system holds, as nothing else shows a close that waits
-     * behind a request; must not be called from within a read of this connection.
+     * Returns whether the client is connected now. Reads what the operating system has already received, as nothing
+     * else shows a close that follows a request. Must not be called from within a read of this connection.
      */
     boolean isConnected() {
         int buffersBefore;
--- a/node/src/main/java/weldhitch/node/ClientPolicy.java
+++ b/node/src/main/java/weldhitch/node/ClientPolicy.java
@@ -3,25 +3,26 @@
 import weldhitch.decision.settings.RequestClass;
 
 /**
- * What a node currently grants its clients, by its load and its shutdown. Asked by each {@link ClientConnection};
- * implemented by {@link ClientConnectionManager}. Not thread-safe, confined to the event loop.
+ * Decides what the node currently accepts from its clients, depending on its load and its shutdown. Used by
+ * {@link ClientConnection}; implemented by {@link ClientConnectionManager}. Not thread-safe, confined to the event
+ * loop.
  */
 interface ClientPolicy {
-    /** Whether so many clients have requests in flight that a further request is rejected. */
+    /** Returns whether so many clients have requests in flight that a further request is rejected. */
     boolean overloaded();
 
-    /** What {@code GET /ready} reports. */
+    /** Returns whether the node is ready, as {@code GET /ready} reports it. */
     boolean ready();
 
-    /** Whether a response written now asks its client to reconnect elsewhere ({@code Connection: close}). */
+    /** Returns whether a response written now asks its client to reconnect elsewhere ({@code Connection: close}). */
     boolean sendsConnectionClose();
 
-    /** The request class of this name, or null. */
+    /** Returns the request class of this name, or null if there is none. */
     RequestClass requestClass(String name);
 
     /**
-     * Decides whether a completely received request may be dispatched, and if so, reduces its timeout to what it
-     * may still take; returns why not, or null.
+     * Decides whether a completely received request may be dispatched. If so, reduces the request's timeout to the time
+     * that is left and returns null; otherwise returns the reason for its rejection.
      */
     Rejection admit(InFlightRequest request);
 }
--- a/node/src/main/java/weldhitch/node/ClientRequest.java
+++ b/node/src/main/java/weldhitch/node/ClientRequest.java
@@ -5,11 +5,11 @@
 import weldhitch.decision.settings.RequestClass;
 
 /**
- * A client's request as it is forwarded to endpoints; the body is mutable, and released by {@link Dispatcher}
- * or, before it is dispatched, by {@link ClientConnection}.
+ * A client's request as it is forwarded to endpoints. The body is mutable; {@link Dispatcher} releases it, or
+ * {@link ClientConnection} if the request has not been dispatched.
  *
  * @param id the value of {@code X-Trace-Id}
- * @param headers all headers of the client's request, hop-by-hop ones included
+ * @param headers all headers of the client's request, including the hop-by-hop headers
  */
 record ClientRequest(
         String id, RequestClass requestClass, HttpMethod method, String uri, HttpHeaders headers, BufferedBody body) {}
--- a/node/src/main/java/weldhitch/node/ClientRequestParser.java
+++ b/node/src/main/java/weldhitch/node/ClientRequestParser.java
@@ -11,9 +11,9 @@
 import weldhitch.decision.settings.RequestClass;
 
 /**
- * Validates the head of a client's request and extracts what the node decides by: the id, the request class,
- * the timeout and the length. Used by {@link ClientConnection}; without state, and thread-safe if the class
- * lookup is.
+ * Validates the head of a client's request and extracts what the node needs for its decisions: the id, the request
+ * class, the timeout and the body length. Used by {@link ClientConnection}; has no state, and is thread-safe if the
+ * class lookup is.
  */
 final class ClientRequestParser {
     /** The outcome of parsing a request's head. */
@@ -22,7 +22,7 @@
     /**
      * A valid head.
      *
-     * @param timeout in nanoseconds
+     * @param timeout the request's timeout in nanoseconds
      * @param contentLength the stated length of the body, or -1
      */
     record Accepted(String id, RequestClass requestClass, long timeout, long contentLength) implements Result {
@@ -31,12 +31,12 @@
         }
     }
 
-    /** An invalid head, and the status that its request is answered with. */
+    /** An invalid head, with the status that answers its request. */
     record Rejected(HttpResponseStatus status) implements Result {}
 
-    /** The longest body that is accepted. */
+    /** The maximum length of a request body. */
     static final long MAX_BODY_BYTES = 32L << 20;
-    /** Upper bound of a request's timeout; a larger {@code X-Expires-In} is reduced to it. */
+    /** The maximum timeout of a request; a larger {@code X-Expires-In} is reduced to it. */
     static final long MAX_REQUEST_TIMEOUT_NANOS = 60_000_000_000L;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -45,12 +45,12 @@
 
     private final Function<String, RequestClass> requestClasses;
 
-    /** {@code requestClasses}: the request class of a name, or null. */
+    /** Creates a parser; {@code requestClasses} returns the request class of a name, or null if there is none. */
     ClientRequestParser(Function<String, RequestClass> requestClasses) {
         this.requestClasses = requestClasses;
     }
 
-    /** Validates the head; {@code path} is its URI's {@link #path}. */
+    /** Validates the head; {@code path} is the {@link #path} of its URI. */
     Result parse(HttpRequest request, String path) {
         if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.POST)) {
             return new Rejected(HttpResponseStatus.METHOD_NOT_ALLOWED);
@@ -66,7 +66,7 @@
             return new Rejected(HttpResponseStatus.NOT_FOUND);
         }
         if (classHeaders.size() > 1 || !requestClass.name().equals(pathClass)) {
-            // Endpoints go by the header, the retry rules by the path: the two must agree.
+            // Endpoints use the header, the retry rules use the path: the two must agree.
             return new Rejected(HttpResponseStatus.BAD_REQUEST);
         }
         long timeout = parseTimeout(request.headers().getAll(Headers.EXPIRES_IN), requestClass);
@@ -80,7 +80,7 @@
         return new Accepted(requestIds.get(0), requestClass, timeout, contentLength);
     }
 
-    /** The status that answers input which is not valid HTTP, by the decoder's exception. */
+    /** Returns the status that answers input that is not valid HTTP, by the decoder's exception. */
     static HttpResponseStatus malformedStatus(Throwable cause) {
         if (cause instanceof TooLongHttpLineException) {
             return HttpResponseStatus.REQUEST_URI_TOO_LONG;
@@ -92,14 +92,14 @@
     }
 
     /**
-     * The request's timeout in nanoseconds, by default its class's deadline; negative if the header is invalid.
+     * Returns the request's timeout in nanoseconds, by default its class's deadline; negative if the header is invalid.
      */
     private static long parseTimeout(List<String> headerValues, RequestClass requestClass) {
         if (headerValues.isEmpty()) {
             return requestClass.deadline();
         }
         String value = headerValues.get(0).trim();
-        // Java parses more than the protocol allows as a number, Infinity for example.
+        // Java accepts more numbers than the protocol does, Infinity for example.
         if (headerValues.size() > 1 || !isDecimal(value)) {
             return -1;
         }
@@ -107,8 +107,8 @@
     }
 
     /**
-     * 1 to 64 visible ASCII characters. A loop, as a regular expression costs a fresh node a tenth of its
-     * request.
+     * Returns whether the text is 1 to 64 visible ASCII characters. Uses a loop, because a regular expression takes a
+     * tenth of the time of a request on a node that has just started.
      */
     static boolean isRequestId(String text) {
         boolean valid = !text.isEmpty() && text.length() <= MAX_REQUEST_ID_LENGTH;
@@ -118,7 +118,7 @@
         return valid;
     }
 
-    /** 1 to 18 digits, then optionally a dot and up to 18 more. */
+    /** Returns whether the text is 1 to 18 digits, optionally followed by a dot and up to 18 more digits. */
     static boolean isDecimal(String text) {
         int dot = text.indexOf('.');
         int integerDigits = dot < 0 ? text.length() : dot;
@@ -138,7 +138,7 @@
         return true;
     }
 
-    /** The URI without its query. */
+    /** Returns the URI without its query. */
     static String path(String uri) {
         int query = uri.indexOf('?');
         return query < 0 ? uri : uri.substring(0, query);
--- a/node/src/main/java/weldhitch/node/ClientResponseWriter.java
+++ b/node/src/main/java/weldhitch/node/ClientResponseWriter.java
@@ -19,14 +19,15 @@
 
 /**
  * Encodes and writes the responses of one downstream connection, complete or streamed, and decides whether the
- * connection persists after them. Owned by a {@link ClientConnection}, which changes its state after each call:
- * a write may call back into the connection before it returns. Not thread-safe, confined to the event loop.
+ * connection persists after them. Owned by a {@link ClientConnection}, which must change its own state after each
+ * call, because a write may call back into the connection before it returns. Not thread-safe, confined to the event
+ * loop.
  */
 final class ClientResponseWriter {
     private final Channel channel;
     private final Clock clock;
     private final ConnectionDeadlines deadlines;
-    /** Whether the connection must close after the response written now; evaluated once for each response. */
+    /** Returns whether the connection must close after the current response; evaluated once for each response. */
     private final BooleanSupplier closeRequired;
 
     private final BooleanSupplier reportsVersion;
@@ -46,12 +47,12 @@
         this.reportsVersion = reportsVersion;
     }
 
-    /** Responses are written in the version of the request, if it is an HTTP/1 one. */
+    /** Sets the version of the request, in which the response is written if it is an HTTP/1 version. */
     void requestVersion(HttpVersion version) {
         httpVersion = version.majorVersion() == 1 ? version : HttpVersion.HTTP_1_1;
     }
 
-    /** Whether the connection persists after the current response. */
+    /** Returns whether the connection persists after the current response. */
     boolean keepAlive() {
         return keepAlive;
     }
@@ -61,7 +62,7 @@
         keepAlive = requested;
     }
 
-    /** The connection persists if the client wants it to. */
+    /** Lets the connection persist if the request asks for that. */
     void keepAliveAsRequested(HttpRequest request) {
         keepAlive = HttpUtil.isKeepAlive(request);
     }
@@ -74,7 +75,7 @@
         }
     }
 
-    /** Writes a server's complete response; {@code inFlight} is the request it answers. */
+    /** Writes a server's complete response; {@code inFlight} is the request that it answers. */
     void writeServed(ServerResponse serverResponse, InFlightRequest inFlight) {
         ByteBuf body =
                 serverResponse.body().size() > 0 ? serverResponse.body().asSingleBuffer() : Unpooled.EMPTY_BUFFER;
@@ -89,7 +90,7 @@
      * Writes a response without a body.
      *
      * @param retryAfter nanoseconds, or 0 for no {@code Retry-After}
-     * @param inFlight the request it answers; null if none was accepted
+     * @param inFlight the request that the response answers; null if none was accepted
      */
     void writeStatus(HttpResponseStatus status, long retryAfter, InFlightRequest inFlight) {
         DefaultFullHttpResponse response = new DefaultFullHttpResponse(httpVersion, status, Unpooled.EMPTY_BUFFER);
@@ -153,8 +154,8 @@
     }
 
     /**
-     * Breaks off a streamed response by a reset, so that the client can tell that it is incomplete, whatever
-     * its framing.
+     * Aborts a streamed response with a connection reset, which shows the client that the response is incomplete
+     * whatever its framing.
      */
     void resetStream() {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
--- a/node/src/main/java/weldhitch/node/ConnectionContext.java
+++ b/node/src/main/java/weldhitch/node/ConnectionContext.java
@@ -3,9 +3,9 @@
 import weldhitch.decision.connection.PollHistory;
 
 /**
- * What all connections of a node share. Confined to the event loop.
+ * The objects that all connections of a node share. Confined to the event loop.
  *
- * @param polls when the event loop polled its sockets
- * @param events where rejections, retries and closes are accounted for
+ * @param polls the times at which the event loop polled its sockets
+ * @param events counts rejections, retries and closes
  */
 record ConnectionContext(Clock clock, ResourceLimits limits, PollHistory polls, NodeEventLog events) {}
--- a/node/src/main/java/weldhitch/node/ConnectionDeadlines.java
+++ b/node/src/main/java/weldhitch/node/ConnectionDeadlines.java
@@ -2,8 +2,8 @@
 
 /**
  * The timeouts of one downstream connection: on a request's head and body, between requests, on responses that
- * the client does not read, and on closing. Decides by the times that its {@link ClientConnection} records, and
- * acts on nothing itself; not thread-safe, confined to the event loop. Times are of {@link Clock}.
+ * the client does not read, and on closing. Decides from the times that its {@link ClientConnection} records, which
+ * acts on the expired timeouts. Not thread-safe, confined to the event loop. Times are nanoseconds of {@link Clock}.
  */
 final class ConnectionDeadlines {
     /** A timeout that has expired, or none. */
@@ -15,13 +15,14 @@
         IDLE,
         /** The body of a request arrives too slowly. */
         BODY,
-        /** The client has not closed its side after the last response. */
+        /** The client has not closed its side of the connection after the last response. */
         LINGER
     }
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     /**
-     * A client that stalls within a request is answered within 3 s; the sweep interval takes its part of them.
+     * A client that stalls within a request must be answered within 3 s. The timeout is shorter, as the sweep interval
+     * adds to it.
      */
     static final long HEAD_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
 
@@ -29,16 +30,16 @@
     static final long MIN_BODY_BYTES_PER_SECOND = 32 * 1024;
     static final long IDLE_TIMEOUT_NANOS = 60 * NANOS_PER_SECOND;
     /**
-     * Clients open a connection for a request that waits; one that never sends anything is closed this soon.
+     * Clients open a connection when they have a request to send, so one that sends nothing is closed this soon.
      */
     static final long FIRST_REQUEST_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
-    /** How long a client may leave a response unread. */
+    /** Maximum time that a client may leave a response unread. */
     static final long WRITE_TIMEOUT_NANOS = 30 * NANOS_PER_SECOND;
 
     static final long LINGER_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
 
     private long stateSince;
-    /** When the first byte of a still incomplete head arrived; 0 if there is none. */
+    /** The arrival time of the first byte of a head that is still incomplete; 0 if there is none. */
     private long headStartedAt;
 
     private long bytesReceived;
@@ -52,7 +53,7 @@
         stateSince = now;
     }
 
-    /** The connection has entered another state. */
+    /** Records that the connection has entered another state. */
     void stateChanged(long now) {
         stateSince = now;
         headStartedAt = 0;
@@ -66,29 +67,29 @@
         bytesReceived += count;
     }
 
-    /** The first byte of a request's head has arrived. */
+    /** Records that the first byte of a request's head has arrived. */
     void headStarted(long now) {
         headStartedAt = now;
     }
 
-    /** Whether a part of a request's head has arrived, but not all of it. */
+    /** Returns whether a part of a request's head has arrived, but not all of it. */
     boolean isReadingHead() {
         return headStartedAt != 0;
     }
 
-    /** The head of a request has been read; the bytes of its body are counted from here. */
+    /** Records that the head of a request has been read; the bytes of its body are counted from here. */
     void requestStarted() {
         requestSeen = true;
         bytesReceived = 0;
     }
 
-    /** A write that ends a response is pending from now on. */
+    /** Records that a write that ends a response is pending from now on. */
     void writeStarted(long now) {
         pendingWrites++;
         pendingWriteSince = now;
     }
 
-    /** A part of a streamed response has been passed to the channel. */
+    /** Records that a part of a streamed response has been passed to the channel. */
     void writeProgressed(long now) {
         pendingWriteSince = now;
     }
@@ -101,7 +102,7 @@
         return pendingWrites > 0;
     }
 
-    /** The timeout that has expired in this state. */
+    /** Returns the timeout that has expired in this state. */
     Expiry expiry(ClientConnectionState state, long now) {
         long elapsed = now - stateSince;
         return switch (state) {
@@ -125,7 +126,7 @@
         return Expiry.NONE;
     }
 
-    /** Whether the client has left a response unread for too long. */
+    /** Returns whether the client has left a response unread for too long. */
     boolean writeStalled(long now, boolean writable) {
         return (pendingWrites > 0 || !writable) && now - pendingWriteSince > WRITE_TIMEOUT_NANOS;
     }
--- a/node/src/main/java/weldhitch/node/HeaderValidator.java
+++ b/node/src/main/java/weldhitch/node/HeaderValidator.java
@@ -4,9 +4,9 @@
 import io.netty.util.ByteProcessor;
 
 /**
- * Scans the bytes of a response head for a line that is no header. Netty's decoder takes such a line for a
- * header without a value, so an invalid head would pass for a valid one. Heads of 1xx responses may precede.
- * One per {@link ServerConnection}; not thread-safe.
+ * Scans the bytes of a response head for lines that are not headers. Netty's decoder treats such a line as a header
+ * without a value, so that an invalid head would be accepted. The heads of 1xx responses may precede the head. One
+ * per {@link ServerConnection}; not thread-safe.
  */
 final class HeaderValidator implements ByteProcessor {
     private static final int STATUS_CLASS_OFFSET = "HTTP/1.1 ".length();
@@ -18,7 +18,7 @@
     private boolean colonSeen;
     private int lineLength;
 
-    /** A request is being sent: the next byte is the first of its response's head. */
+    /** Called when a request is sent: the next byte received is the first of its response's head. */
     void expectResponse() {
         inHead = true;
         valid = true;
@@ -36,7 +36,7 @@
         lineLength = 0;
     }
 
-    /** Whether all of the head received so far is valid. */
+    /** Scans the bytes and returns whether the whole head received so far is valid. */
     boolean valid(ByteBuf bytes) {
         if (inHead) {
             bytes.forEachByte(this);
--- a/node/src/main/java/weldhitch/node/Headers.java
+++ b/node/src/main/java/weldhitch/node/Headers.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /**
- * The headers that this protocol defines, and which headers are forwarded from a client to an endpoint.
+ * The headers that this protocol defines, and the rules for which headers of a client are forwarded to an endpoint.
  * Stateless.
  */
 final class Headers {
@@ -42,17 +42,17 @@
 
     private Headers() {}
 
-    /** The tenant of a request, or null. */
+    /** Returns the tenant of a request, or null if it has none. */
     static String tenant(ClientRequest request) {
         return request.headers().get(TENANT);
     }
 
-    /** Whether the client states that this is a retry of its own. */
+    /** Returns whether the client marks this request as its own retry. */
     static boolean isRetry(ClientRequest request) {
         return "1".equals(request.headers().get(RETRY));
     }
 
-    /** The client's cost hint, sent in microseconds, as seconds; 0 if it is missing or invalid. */
+    /** Returns the client's cost hint, sent in microseconds, in seconds; 0 if it is missing or invalid. */
     static double hintedCost(ClientRequest request) {
         String hint = request.headers().get(COST_HINT);
         try {
@@ -92,13 +92,13 @@
         return false;
     }
 
-    /** A duration as decimal seconds, rounded down to the millisecond. */
+    /** Formats a duration as decimal seconds, rounded down to the millisecond. */
     static String formatSeconds(long nanos) {
         long millis = nanos / 1_000_000;
         return millis / 1000 + "." + Long.toString(1000 + millis % 1000).substring(1);
     }
 
-    /** The Retry-After of a response in nanoseconds, at most a minute; 0 if it is missing or invalid. */
+    /** Returns the Retry-After of a response in nanoseconds, at most 60 s; 0 if it is missing or invalid. */
     static long parseRetryAfter(HttpHeaders headers) {
         String value = headers.get(HttpHeaderNames.RETRY_AFTER);
         try {
--- a/node/src/main/java/weldhitch/node/PendingInput.java
+++ b/node/src/main/java/weldhitch/node/PendingInput.java
@@ -4,18 +4,18 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * Reads what the system already holds for a channel, ahead of the event loop's next poll. The loop's view of a
- * socket is as old as its last read: a close may wait there behind bytes that have been read. Whoever acts on a
- * connection's state where that matters reads first. Stateless; called on the event loop, and not from within a
- * read of the same channel.
+ * Reads what the operating system has already received for a channel, before the event loop's next poll. The
+ * loop's view of a socket is as old as its last read: a close may follow bytes that have been read. Code that acts on
+ * the state of a connection reads first where this matters. Stateless; must be called on the event loop, and not from
+ * within a read of the same channel.
  */
 final class PendingInput {
     private PendingInput() {}
 
     /**
-     * Reads once: up to 16 buffers, and the end of the stream or a reset if nothing lies before it. The channel's
-     * handlers have seen the bytes when this returns; an ended channel is inactive then, which its handlers are
-     * told later.
+     * Reads once: up to 16 buffers, and the end of the stream or a reset if nothing precedes it. When this method
+     * returns, the channel's handlers have received the bytes. A channel that has ended is inactive by then, but its
+     * handlers are notified later.
      */
     static void read(Channel channel) {
         if (channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
--- a/node/src/main/java/weldhitch/node/PipelinedInput.java
+++ b/node/src/main/java/weldhitch/node/PipelinedInput.java
@@ -6,20 +6,20 @@
 import java.util.ArrayDeque;
 
 /**
- * The queue of decoded input that a client sent ahead, while an earlier request of its connection is in flight.
- * Input is read on even then, as nothing else shows that the client has disconnected; what exceeds the limits
- * is discarded, and with it all that follows. Owned by a {@link ClientConnection}; not thread-safe, confined to
- * the event loop.
+ * The queue of decoded input that a client has sent while an earlier request on its connection is in flight. Input
+ * is read even then, as nothing else shows that the client has disconnected. Input that exceeds the limits is
+ * discarded, and so is everything after it. Owned by a {@link ClientConnection}; not thread-safe, confined to the
+ * event loop.
  */
 final class PipelinedInput {
-    /** Memory that the pipelined input of one connection may use. */
+    /** Maximum memory for the pipelined input of one connection. */
     static final int MAX_BYTES = 512 * 1024;
     /** Estimated memory of a pipelined head, and of a body chunk in addition to its bytes. */
     static final int HEAD_BYTES = 2 * 1024;
 
     static final int CONTENT_OVERHEAD_BYTES = 128;
 
-    /** A decoded message, and when it arrived, from which its request's time counts, however long it is queued. */
+    /** A decoded message and its arrival time, from which its request's timeout counts however long it is queued. */
     record QueuedMessage(Object message, long arrivedAt) {}
 
     private final ResourceLimits limits;
@@ -35,19 +35,19 @@
         return messages.isEmpty();
     }
 
-    /** Whether input has been discarded: nothing after it is read any more. */
+    /** Returns whether input has been discarded; nothing is read after it. */
     boolean isDiscarding() {
         return discarding;
     }
 
-    /** Whether input has been discarded and all that was queued before it is processed. */
+    /** Returns whether input has been discarded and everything that was queued before it has been processed. */
     boolean isExhausted() {
         return discarding && messages.isEmpty();
     }
 
     /**
-     * Queues a message, or discards it if a limit is reached; owns the message either way. A body chunk is
-     * copied out of its read buffer, which even one byte of it would pin.
+     * Queues a message, or discards it if a limit is reached; takes ownership of the message in both cases. A body
+     * chunk is copied out of its read buffer, because even one byte of it would pin the buffer.
      */
     void enqueue(Object message, long arrivedAt) {
         Object queued = message;
@@ -71,7 +71,7 @@
                 : HEAD_BYTES;
     }
 
-    /** Removes the oldest message, which the caller then owns; the queue must not be empty. */
+    /** Removes and returns the oldest message, which the caller then owns; the queue must not be empty. */
     QueuedMessage poll() {
         QueuedMessage next = messages.poll();
         int cost = memoryCost(next.message);
--- a/node/src/main/java/weldhitch/node/Rejection.java
+++ b/node/src/main/java/weldhitch/node/Rejection.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** Why a request was rejected that has not been forwarded: by the balancer, or by the node before that. */
+/** The reason why the balancer, or the node before it, rejected a request that had not been forwarded. */
 enum Rejection {
     /** The balancer sheds load. */
     ADMISSION(HttpResponseStatus.SERVICE_UNAVAILABLE, false),
@@ -10,15 +10,15 @@
     CLIENT_LIMIT(HttpResponseStatus.SERVICE_UNAVAILABLE, true),
     /** Memory for request bodies is exhausted. */
     MEMORY_LIMIT(HttpResponseStatus.SERVICE_UNAVAILABLE, false),
-    /** The body is longer than any that is accepted. */
+    /** The body exceeds the maximum length. */
     BODY_TOO_LARGE(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, false),
-    /** The client's time had passed before the request was read. */
+    /** The client's timeout had passed before the request was read. */
     DEADLINE_EXCEEDED(HttpResponseStatus.SERVICE_UNAVAILABLE, false),
-    /** This node shuts down too soon to serve it; another one has the time. */
+    /** This node shuts down too soon to answer the request; another node has the time. */
     SHUTTING_DOWN(HttpResponseStatus.SERVICE_UNAVAILABLE, true),
-    /** It is unknown which route version applies. */
+    /** The route version that applies is in doubt. */
     VERSION_IN_DOUBT(HttpResponseStatus.SERVICE_UNAVAILABLE, false),
-    /** A request of this id is in flight. */
+    /** Another request with the same id is in flight. */
     DUPLICATE_ID(HttpResponseStatus.BAD_REQUEST, false);
 
     private final HttpResponseStatus status;
@@ -33,7 +33,7 @@
         return status;
     }
 
-    /** Whether the client should go on elsewhere. */
+    /** Returns whether the connection closes, so that the client reconnects elsewhere. */
     boolean closesConnection() {
         return closesConnection;
     }
--- a/node/src/main/java/weldhitch/node/ResourceLimits.java
+++ b/node/src/main/java/weldhitch/node/ResourceLimits.java
@@ -1,13 +1,13 @@
 package weldhitch.node;
 
 /**
- * Limits on memory for bodies and on connections, derived from the heap and the descriptor limit. Shared by the
- * connections of one node; not thread-safe, confined to the event loop.
+ * The limits on connections and on memory for bodies, derived from the descriptor limit and the heap size. Shared by
+ * the connections of one node; not thread-safe, confined to the event loop.
  */
 final class ResourceLimits {
     private static final int RESERVED_DESCRIPTORS = 64;
     /**
-     * The fraction of the bytes reserved for small bodies, so that a few long uploads do not block the rest.
+     * The fraction of the memory that is reserved for small bodies, so that a few long uploads do not block all others.
      */
     private static final double RESERVED_FOR_SMALL_BODIES = 0.25;
 
@@ -27,7 +27,7 @@
         maxBytes = heapBytes * 11 / 20;
     }
 
-    /** Reserves bytes for a body that has {@code alreadyReserved}; false if the limit is reached. */
+    /** Reserves bytes for a body that already holds {@code alreadyReserved}; returns false if the limit is reached. */
     boolean tryReserve(int requestedBytes, long alreadyReserved) {
         long availableBytes = alreadyReserved + requestedBytes <= SMALL_BODY_BYTES
                 ? maxBytes
