--- a/node/src/main/java/weldhitch/node/Attempt.java
+++ b/node/src/main/java/weldhitch/node/Attempt.java
@@ -4,16 +4,17 @@
 import weldhitch.decision.endpoint.AttemptOutcome;
 
 /**
- * One forwarding of a request to one endpoint. It ends exactly once, with {@link AttemptListener#ended}. Shared
- * by {@link Dispatcher} and the upstream connections; confined to the event loop.
+ * An attempt to have a request answered by one endpoint. Each attempt ends exactly once, with a call of
+ * {@link AttemptListener#ended}. Shared by {@link Dispatcher} and the upstream connections; confined to the event
+ * loop.
  */
 final class Attempt {
-    /** What carries the attempt: a pending connect or a connection. */
+    /** The pending connect or the connection that carries an attempt. */
     interface Transport {
         /** Aborts the attempt; the caller reports its outcome. */
         void abort();
 
-        /** Reads what the system already holds of the response, which may end the attempt. */
+        /** Reads the part of the response that the operating system has already received, which may end the attempt. */
         default void readPendingInput() {}
     }
 
@@ -24,18 +25,18 @@
     final long deadline;
     Future<?> timeoutTimer;
     Transport transport;
-    /** The operating system has the request's last byte: from here on the server may execute it. */
+    /** Whether the operating system has accepted the request's last byte; from then on the server may execute it. */
     boolean requestWritten;
 
     boolean streaming;
     boolean ended;
-    /** How it ended; null until then. */
+    /** The outcome; null until the attempt has ended. */
     AttemptOutcome outcome;
-    /** Known not to have been executed. */
+    /** Whether the attempt is known not to have been executed. */
     boolean notExecuted;
     /**
-     * Until when endpoints deduplicate it if an earlier attempt was executed; {@code Long.MAX_VALUE} if none
-     * can have been.
+     * Time until which endpoints deduplicate this attempt against an earlier one that may have been executed, in
+     * nanoseconds of {@link Clock}; {@code Long.MAX_VALUE} if no earlier attempt may have been executed.
      */
     final long deduplicatedUntil;
 
@@ -48,7 +49,7 @@
         this.deduplicatedUntil = deduplicatedUntil;
     }
 
-    /** Reads what the system already holds of the response, which may end the attempt. */
+    /** Reads the part of the response that the operating system has already received, which may end the attempt. */
     void readPendingInput() {
         if (transport != null) {
             transport.readPendingInput();
--- a/node/src/main/java/weldhitch/node/RequestWriter.java
+++ b/node/src/main/java/weldhitch/node/RequestWriter.java
@@ -13,23 +13,24 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Writes the requests of one upstream connection: a small one at once, a larger body chunk by chunk as the
- * socket has room. Owned by a {@link ServerConnection}; not thread-safe, confined to the event loop.
+ * Writes the requests of one upstream connection: a request with a small body in a single write, a larger body chunk
+ * by chunk while the socket is writable. Owned by a {@link ServerConnection}; not thread-safe, confined to the event
+ * loop.
  */
 final class RequestWriter {
-    /** The connection; its methods are called within writes, before these return. */
+    /** The connection that is written to; its methods are called during writes, before these return. */
     interface Listener {
-        /** Whether the attempt still waits for its outcome; nothing more of another is written. */
+        /** Returns whether the attempt still waits for its outcome; if not, nothing more of it is written. */
         boolean isPending(Attempt attempt);
 
-        /** A part of the request is about to be written, or all of it has been. */
+        /** Called when a part of the request is about to be written, or all of it has been written. */
         void progressed();
 
-        /** A write failed: the connection is lost. */
+        /** Called when a write has failed, which means that the connection is lost. */
         void writeFailed();
     }
 
-    /** Requests with bodies up to this size are written at once. */
+    /** Requests with bodies up to this size are written in a single write. */
     private static final int MAX_SINGLE_WRITE_BYTES = 64 * 1024;
 
     private final Channel channel;
@@ -43,18 +44,18 @@
         this.listener = listener;
     }
 
-    /** Whether the last byte of the current request has been written. */
+    /** Returns whether the last byte of the current request has been written. */
     boolean requestWritten() {
         return requestWritten;
     }
 
-    /** Forgets the previous request. */
+    /** Clears the state of the previous request. */
     void reset() {
         requestWritten = false;
         nextChunk = 0;
     }
 
-    /** Writes an attempt's request, or as much of it as the socket has room for. */
+    /** Writes an attempt's request, or as much of it as the socket accepts. */
     void write(Attempt attempt, HttpHeaders headers) {
         ClientRequest request = attempt.request;
         if (request.body().size() <= MAX_SINGLE_WRITE_BYTES) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /** The socket has room again: writes on, if the attempt's request is not written yet. */
+    /** Continues writing once the socket is writable again, if the attempt's request is not written yet. */
     void resume(Attempt attempt) {
         if (writesInChunks && !attempt.requestWritten) {
             writeChunks(attempt);
@@ -101,8 +102,8 @@
     }
 
     /**
-     * Reports the failure of any part: the close that follows would otherwise be taken for the end of a response
-     * that has begun.
+     * Returns a promise that reports the failure of a part. Without it, the close that follows would be taken as
+     * the end of a response that has begun.
      */
     private ChannelPromise partPromise() {
         ChannelPromise promise = channel.newPromise();
@@ -115,9 +116,9 @@
     }
 
     /**
-     * Completes as the write happens, so that whatever else happens within the write, such as the buffer
-     * becoming writable again, finds the attempt already written. A listener added after the call has returned
-     * would run later than all that.
+     * Returns a promise that is completed during the write, so that any other callback of the same write, such as the
+     * buffer becoming writable again, finds the attempt already written. A listener that is added after the call has
+     * returned would run after those callbacks.
      */
     private ChannelPromise writePromise(Attempt writtenAttempt) {
         ChannelPromise promise = channel.newPromise();
--- a/node/src/main/java/weldhitch/node/ResponseBuffer.java
+++ b/node/src/main/java/weldhitch/node/ResponseBuffer.java
@@ -3,29 +3,29 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Buffers the start of one server response, and decides when it is streamed instead: responses up to
- * {@link #MAX_BUFFERED_BYTES} are buffered completely, so that an attempt with a truncated one can be retried.
+ * Buffers the start of one server response and decides when the response is streamed instead. Responses up to
+ * {@link #MAX_BUFFERED_BYTES} are buffered completely, so that an attempt with a truncated response can be retried.
  * Owned by a {@link ServerConnection}; not thread-safe, confined to the event loop.
  */
 final class ResponseBuffer {
-    /** What becomes of a part of the body. */
+    /** The way in which a part of the body is handled. */
     enum Disposition {
-        /** It has been buffered. */
+        /** The part has been buffered. */
         BUFFERED,
-        /** It has not been buffered; the response is to be streamed. */
+        /** The part has not been buffered; the response is to be streamed. */
         FORWARD,
-        /** The response is longer than its class allows, or memory is short. */
+        /** The response is longer than its class allows, or the memory limit is reached. */
         UNUSABLE
     }
 
     /**
-     * Longer responses are streamed if their class allows it; for other classes no body is longer, and one that
-     * claims to be is an error.
+     * Longer responses are streamed if their class allows it. Responses of other classes are never longer, and one that
+     * states a longer body is an error.
      */
     static final int MAX_BUFFERED_BYTES = 64 * 1024;
     /**
-     * A response without a stated length is buffered only for a limited time and up to this size: if it turns
-     * out to be long, its client's latency is measured to the first bytes, and a slow server takes a second for
+     * Limit for a response without a stated length, which is also buffered only for a limited time. If such a response
+     * turns out to be long, its client's latency is measured to the first bytes, and a slow server takes 1 s to send
      * 64 KiB.
      */
     static final int MAX_BUFFERED_UNSIZED_BYTES = 16 * 1024;
@@ -45,12 +45,12 @@
         return response.body().size() == 0;
     }
 
-    /** Buffers no more: what arrives from now on is forwarded. */
+    /** Stops buffering: parts that arrive from now on are forwarded. */
     void stopBuffering() {
         bufferingTimeElapsed = true;
     }
 
-    /** Buffers a part of the body, if it may; {@code streamed} tells whether the class's responses are streamed. */
+    /** Buffers a part of the body if possible; {@code streamed} states whether the class's responses are streamed. */
     Disposition add(ByteBuf bytes, boolean streamed) {
         BufferedBody body = response.body();
         if (!streamed) {
--- a/node/src/main/java/weldhitch/node/ServerConnection.java
+++ b/node/src/main/java/weldhitch/node/ServerConnection.java
@@ -24,9 +24,9 @@
  * confined to the event loop.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter implements StreamSource, Attempt.Transport {
-    /** How long a response without a stated length is buffered. */
+    /** Maximum time that a response without a stated length is buffered. */
     private static final long MAX_UNSIZED_BUFFERING_NANOS = 100_000_000L;
-    /** Servers pause within a response for 0.1 s at most; one that is silent for this long has broken off. */
+    /** Servers pause for at most 0.1 s within a response; one that sends nothing for this long has failed. */
     private static final long STREAM_IDLE_TIMEOUT_NANOS = 5_000_000_000L;
 
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
@@ -55,7 +55,7 @@
     private boolean responseStarted;
     private boolean keepAlive;
     private int discardedBytes;
-    /** The response that is being received; null if there is none, or if it is of no use. */
+    /** The response that is being received; null if there is none or if its content is discarded. */
     private ResponseBuffer responseBuffer;
     /** The client that the response is streamed to; null if it is not streamed. */
     private StreamSink sink;
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Validates a response's head before it is parsed. */
+    /** Returns a handler that validates a response's head before it is parsed. */
     ChannelHandler headValidationHandler() {
         return new ChannelInboundHandlerAdapter() {
             @Override
@@ -111,7 +111,7 @@
         };
     }
 
-    /** Whether it has carried a request before. */
+    /** Returns whether the connection has carried a request before. */
     boolean reused() {
         return requestCount > 0;
     }
@@ -196,7 +196,7 @@
             startResponse(response);
             return;
         }
-        // A rejection counts as not executed only if the server states so; a bare 503 may have run.
+        // A rejection counts as not executed only if the server states so; a 503 alone may have been executed.
         boolean notExecuted = (status == 503 || status == 504)
                 && "1".equals(response.headers().get(Headers.NEVER_RAN));
         endAttempt(notExecuted ? AttemptOutcome.FULL : AttemptOutcome.ERROR);
@@ -276,7 +276,7 @@
         }
     }
 
-    /** The response is unusable. The request may have been executed, and the connection cannot be reused. */
+    /** Ends the attempt of an unusable response. The request may have been executed; the connection is not reusable. */
     private void failResponse() {
         endAttempt(AttemptOutcome.ERROR);
         close();
@@ -299,7 +299,7 @@
         }
     }
 
-    /** Ends the attempt, if it is still pending, and releases what was buffered of the response. */
+    /** Ends the attempt if it is still pending, and releases the buffered part of the response. */
     private void endAttempt(AttemptOutcome outcome) {
         Attempt current = attempt;
         ResponseBuffer buffer = responseBuffer;
@@ -339,13 +339,13 @@
     }
 
     /**
-     * Ends a stream that its server has stalled; an attempt that waits for its first byte has its own timeout.
+     * Ends a stream that its server has stalled. An attempt that waits for its first byte has its own timeout.
      */
     void checkTimeouts(long now) {
         boolean stalled = sink != null ? channel.config().isAutoRead() : busy && attempt == null;
         if (stalled && now - lastProgressAt > STREAM_IDLE_TIMEOUT_NANOS) {
             long progressBefore = lastProgressAt;
-            // The loop may not have read the next bytes yet.
+            // The event loop may not have read the next bytes yet.
             readPendingInput();
             if (lastProgressAt == progressBefore) {
                 connectionLost();
@@ -354,8 +354,8 @@
     }
 
     /**
-     * The connection failed. The attempt ends before the close: the decoder takes any close for the end of a
-     * response without a stated length, where only an end of stream is one (RFC 9112 section 8).
+     * Ends the attempt of a connection that has failed, and only then closes it: the decoder takes any close as the end
+     * of a response without a stated length, although only an end of the stream is one (RFC 9112 section 8).
      */
     private void connectionLost() {
         failAttempt();
@@ -382,7 +382,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // An IOException is the server's reset: the attempt's outcome tells it.
+        // An IOException means that the server reset the connection, which the attempt's outcome reports.
         if (!(cause instanceof IOException)) {
             Log.failure("upstream connection failed server=" + endpointId, cause);
         }
--- a/node/src/main/java/weldhitch/node/ServerConnectionPool.java
+++ b/node/src/main/java/weldhitch/node/ServerConnectionPool.java
@@ -27,8 +27,8 @@
 import weldhitch.decision.settings.Idempotency;
 
 /**
- * The pool of upstream connections: tracks the listed endpoints' addresses and incarnations, starts attempts on
- * idle or new connections, and limits descriptors. Used by {@link Dispatcher} and {@link Node}; not
+ * The pool of upstream connections: tracks the addresses and incarnations of the listed endpoints, starts attempts
+ * on idle or new connections, and limits the number of descriptors. Used by {@link Dispatcher} and {@link Node}; not
  * thread-safe, confined to the event loop.
  */
 final class ServerConnectionPool implements ServerConnectionOwner<ServerConnection> {
@@ -43,7 +43,7 @@
     private final long maxIdleNanos;
     private final Map<String, PooledEndpoint> pooledEndpoints = new HashMap<>();
     private final Set<ServerConnection> open = new HashSet<>();
-    /** Pending connects and open connections. */
+    /** The number of pending connects and open connections. */
     private int openDescriptors;
 
     private final ConnectionReusePolicy reusePolicy = new ConnectionReusePolicy();
@@ -55,8 +55,8 @@
         InetSocketAddress address;
         long startedAt;
         /**
-         * Changes with each start and each address, and is {@link DispatchGuard#NOT_LISTED} once the endpoint is
-         * removed.
+         * Changes whenever the endpoint restarts or its address changes; {@link DispatchGuard#NOT_LISTED} once the
+         * endpoint is removed.
          */
         long incarnation;
 
@@ -96,8 +96,6 @@
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    // ---- servers ----
-
     void apply(EndpointList endpoints) {
         if (endpoints.full()) {
             Set<String> removed = new HashSet<>(pooledEndpoints.keySet());
@@ -143,8 +141,6 @@
         }
     }
 
-    // ---- attempts ----
-
     void send(Attempt attempt) {
         PooledEndpoint pooledEndpoint = pooledEndpoints.get(attempt.endpointId);
         if (pooledEndpoint == null) {
@@ -159,7 +155,8 @@
         for (ServerConnection connection = pooledEndpoint.idle.pollFirst();
                 connection != null;
                 connection = pooledEndpoint.idle.pollFirst()) {
-            // The loop may not have read yet that the server has closed it, or written what answers nothing.
+            // The server may have closed the connection, or sent bytes that belong to no response, without the event
+            // loop having read that yet.
             connection.readPendingInput();
             if (!connection.usable()) {
                 context.events().count(NodeEvent.SERVER_CONNECTION_DISCARDED, attempt.request.id());
@@ -172,7 +169,7 @@
         connect(pooledEndpoint, attempt);
     }
 
-    /** The only place where an attempt starts, or is found not to be allowed to any more. */
+    /** Starts an attempt, or ends it as not sent if it may not start any more. Attempts start nowhere else. */
     private void startAttempt(Attempt attempt, PooledEndpoint pooledEndpoint, ServerConnection connection) {
         Verdict verdict = DispatchGuard.check(
                 listener.isAwaited(attempt),
@@ -208,9 +205,9 @@
         openDescriptors++;
         long incarnation = pooledEndpoint.incarnation;
         ChannelFuture connectFuture = bootstrap.connect(pooledEndpoint.address);
-        // The only place that releases a descriptor: a connect that fails or is aborted ends here like a
-        // connection. Otherwise each failed connect would leak a descriptor, until every later attempt failed
-        // unsent.
+        // The only place that releases a descriptor: a connect that fails or is aborted ends here too, like an
+        // open connection. Otherwise each failed connect would leak a descriptor, until every later attempt
+        // failed without being sent.
         connectFuture.channel().closeFuture().addListener(f -> openDescriptors--);
         attempt.transport = connectFuture.channel()::close;
         connectFuture.addListener(f -> {
@@ -239,8 +236,6 @@
         }
     }
 
-    // ---- the pool ----
-
     @Override
     public void reuseSucceeded(long idle, long now) {
         reusePolicy.recordSuccess(idle, now);
--- a/node/src/main/java/weldhitch/node/StreamSink.java
+++ b/node/src/main/java/weldhitch/node/StreamSink.java
@@ -4,15 +4,15 @@
 
 /** Receives a streamed response; implemented by {@link ClientConnection} and called on the event loop. */
 interface StreamSink {
-    /** A stream starts; {@code response} gives its content type and length. */
+    /** Called when a stream starts; {@code response} states its content type and length. */
     void streamStarted(StreamSource source, ServerResponse response);
 
-    /** The next bytes; the sink takes over their reference. */
+    /** Receives the next bytes and takes ownership of their reference. */
     void streamData(ByteBuf bytes);
 
-    /** Whether there is room for more; if not, {@link StreamSource#resume} is called once there is. */
+    /** Returns whether the sink accepts more bytes; if not, {@link StreamSource#resume} is called once it does. */
     boolean isWritable();
 
-    /** The stream has ended; {@code complete} is false if the response was truncated. */
+    /** Called when the stream has ended; {@code complete} is false if the response was truncated. */
     void streamEnded(boolean complete);
 }
--- a/node/src/main/java/weldhitch/node/StreamSource.java
+++ b/node/src/main/java/weldhitch/node/StreamSource.java
@@ -1,10 +1,10 @@
 package weldhitch.node;
 
-/** The origin of a streamed response; implemented by {@link ServerConnection}, called on the event loop. */
+/** The source of a streamed response; implemented by {@link ServerConnection} and called on the event loop. */
 interface StreamSource {
-    /** The client of the stream can take more bytes. */
+    /** Called when the client of the stream accepts more bytes again. */
     void resume();
 
-    /** The client of the stream has disconnected. */
+    /** Called when the client of the stream has disconnected. */
     void sinkClosed();
 }
