--- a/node/src/main/java/weldhitch/node/BalancerDriver.java
+++ b/node/src/main/java/weldhitch/node/BalancerDriver.java
@@ -11,8 +11,8 @@
 import weldhitch.decision.event.BalancerEvent;
 
 /**
- * Delivers events to the balancer one at a time, has its actions executed, and records both if the node is
- * captured. Events that are submitted while actions are executed are queued behind. Owned by
+ * Delivers events to the balancer one at a time, passes the resulting actions to an executor, and records both if
+ * the node is being captured. Events that are submitted while actions are being executed are queued. Owned by
  * {@link Dispatcher}; not thread-safe, confined to the event loop.
  */
 final class BalancerDriver {
@@ -21,7 +21,7 @@
     private final Consumer<BalancerAction> executor;
     private final ArrayDeque<BalancerEvent> eventQueue = new ArrayDeque<>();
     private boolean delivering;
-    /** Records all events that the balancer handles; null if nothing is captured. */
+    /** Records all events that the balancer handles; null if no capture is active. */
     private CaptureRecorder capture;
 
     BalancerDriver(Clock clock, RatioBalancer balancer, Consumer<BalancerAction> executor) {
@@ -30,7 +30,7 @@
         this.executor = executor;
     }
 
-    /** Records every event from the next one on; null stops recording. */
+    /** Records every event from the next one on; null stops the recording. */
     void capture(CaptureRecorder next) {
         if (capture != null) {
             capture.completeSnapshot();
@@ -42,12 +42,12 @@
         return balancer.beginSnapshot();
     }
 
-    /** The active routes, from which their successors are built. */
+    /** Returns the active routes, from which the next version's routes are built. */
     RouteStates activeRoutes() {
         return balancer.routes();
     }
 
-    /** Delivers the event, or queues it if another is being delivered. */
+    /** Delivers the event, or queues it if another event is being delivered. */
     void submit(BalancerEvent event) {
         eventQueue.add(event);
         if (delivering) {
@@ -70,8 +70,8 @@
                 executor.accept(action);
             }
         } catch (RuntimeException e) {
-            // A fault in the balancer costs the request at hand, which its watchdog ends, and never the
-            // process.
+            // A fault in the balancer must not end the process. It affects only the current request, which its
+            // watchdog ends.
             Log.failure("balancer failed event=" + event.getClass().getSimpleName(), e);
         }
     }
--- a/node/src/main/java/weldhitch/node/CaptureControl.java
+++ b/node/src/main/java/weldhitch/node/CaptureControl.java
@@ -7,8 +7,8 @@
 import weldhitch.routeconfig.CaptureSettings;
 
 /**
- * Turns a node's capture on and off as the route configuration says, and owns the active one; while off,
- * nothing of it exists. Thread-safe; not to be called on the event loop.
+ * Starts and stops a node's capture as the route configuration requires, and owns the active capture. While capture
+ * is off, no recorder exists. Thread-safe; must not be called on the event loop.
  */
 final class CaptureControl {
     private final String nodeName;
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Applies these settings, or turns the capture off if null. Waits for the loop and the disk, so must not be
-     * called on the loop.
+     * Applies these settings; null stops the capture. Waits for the event loop and the disk, so it must not be called
+     * on the event loop.
      */
     synchronized void apply(CaptureSettings requested) {
         if (Objects.equals(requested, activeSettings)) {
--- a/node/src/main/java/weldhitch/node/Clock.java
+++ b/node/src/main/java/weldhitch/node/Clock.java
@@ -1,7 +1,7 @@
 package weldhitch.node;
 
 /**
- * A wall clock that never goes back: the start's epoch time plus the monotonic time since. Immutable,
+ * A wall clock that never goes back: the epoch time of its creation plus the monotonic time since then. Immutable,
  * thread-safe.
  */
 final class Clock {
@@ -10,12 +10,12 @@
     private final long epoch = System.currentTimeMillis() * MILLI;
     private final long start = System.nanoTime();
 
-    /** Nanoseconds since the epoch. */
+    /** Returns the nanoseconds since the epoch. */
     long now() {
         return epoch + (System.nanoTime() - start);
     }
 
-    /** Nanoseconds of a discovery entry's {@code born_ms}; 0 stays 0 and means "long ago". */
+    /** Converts a discovery entry's {@code born_ms} to nanoseconds; 0 stays 0, which means a start long ago. */
     static long ofMillis(long millis) {
         return millis * MILLI;
     }
--- a/node/src/main/java/weldhitch/node/Discovery.java
+++ b/node/src/main/java/weldhitch/node/Discovery.java
@@ -31,17 +31,18 @@
 import weldhitch.fleet.member.FleetMember;
 
 /**
- * Polls the discovery service by HTTP long polls and hands each endpoint list to the node; {@link DiscoveryPolling}
+ * Polls the discovery service by HTTP long polls and passes each endpoint list to the node. {@link DiscoveryPolling}
  * decides on the pauses, backoff and timeouts. Confined to the event loop, except the
- * {@link FleetMember.ListPoller} methods, which the fleet's thread calls.
+ * {@link FleetMember.ListPoller} methods, which the thread of the fleet member calls.
  */
 final class Discovery implements FleetMember.ListPoller {
     private static final int MAX_RESPONSE_BYTES = 2 << 20;
     /**
-     * Pause between polls that return immediately without an update; within the 200 ms that a watch goes on.
+     * Pause after a poll that returned immediately without an update. It is below the 200 ms within which the next poll
+     * must continue a watch.
      */
     private static final long EMPTY_POLL_PAUSE_NANOS = 100_000_000L;
-    /** How long a first poll waits for its poll slot: a few of a node's heartbeats to the coordinators. */
+    /** Time that a first poll waits for its poll slot: a few of a node's heartbeats to the coordinators. */
     private static final long POLL_SLOT_WAIT_NANOS = 1_000_000_000L;
 
     private final EventLoop loop;
@@ -54,21 +55,23 @@
     private Channel channel;
     private Future<?> timeout;
     private boolean pollActive;
-    /** The next poll while it waits for its time; null otherwise. */
+    /** The next poll while it is scheduled; null otherwise. */
     private Future<?> scheduledPoll;
 
     private long pollStartedAt;
-    /** When the response to the current poll is due: at the end of the wait that it requests. */
+    /** The time at which the response to the current poll is due: at the end of the wait that the poll requests. */
     private long responseExpectedAt;
 
     private long seq;
     private boolean listReceived;
-    /** Whether coordinators assign poll slots, and whether one is awaited. */
+    /** Whether coordinators assign poll slots. */
     private boolean usesPollSlots;
 
+    /** Whether the next poll waits for its slot. */
     private volatile boolean awaitingPollSlot;
+    /** The time of the next poll if no slot is assigned. */
     private volatile long ownPollAt;
-    /** When the next poll goes out at the latest, with or without a slot, once a list has been received. */
+    /** The latest time of the next poll after a failed one, with or without a slot, once a list has been received. */
     private long latestPollAt;
 
     Discovery(
@@ -118,10 +121,10 @@
         }
     }
 
-    /** The balancer subscribes to updates from now on. */
+    /** Starts to poll for updates, to which the balancer now subscribes. */
     void subscribe() {
         if (!pollActive && usesPollSlots) {
-            // A slot may be on its way; without one the poll goes out when the balancer would have it.
+            // A slot may be assigned soon; without one, the poll is sent after this wait.
             schedulePoll(POLL_SLOT_WAIT_NANOS);
         } else if (!pollActive) {
             poll();
@@ -129,8 +132,8 @@
     }
 
     /**
-     * From now on coordinators assign poll slots: the first poll, and one after a failure, waits for its slot
-     * instead of a random delay. If no slot arrives, it polls as it would without any.
+     * Declares that coordinators assign poll slots from now on: the first poll, and a poll after a failure, waits for
+     * its slot instead of a random delay. If no slot is assigned, it is sent without one.
      */
     void enablePollSlots() {
         usesPollSlots = onDemand;
@@ -159,9 +162,9 @@
     }
 
     /**
-     * Switches to another discovery address. The poll to the old one is abandoned at once, as it may stay open
-     * for long without an update; the new one is asked for the complete list, as its sequence numbers need not
-     * continue those of the old one. Until it responds, the current list stays active.
+     * Switches to another discovery address. The poll to the old address is abandoned at once, as it may stay open for
+     * a long time without an update. The new address is asked for the complete list, as its sequence numbers need not
+     * continue those of the old one. The current list stays active until the new address responds.
      */
     void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -192,7 +195,7 @@
         scheduledPoll = null;
         pollStartedAt = System.nanoTime();
         if (channel != null) {
-            // The loop may not have read yet that the service has closed it.
+            // The service may have closed the connection without the event loop having read that yet.
             PendingInput.read(channel);
         }
         if (channel != null && channel.isActive()) {
@@ -212,7 +215,7 @@
     }
 
     private void sendRequest() {
-        // An agent answers a first poll without a wait at once, so that the node is ready sooner.
+        // A first poll to an agent requests no wait, so that it is answered at once and the node is ready sooner.
         long waitNanos = polling.needsFullList() || !listReceived && !onDemand ? 0 : polling.requestedWait();
         String uri = "/v1/endpoints"
                 + (polling.needsFullList()
@@ -229,14 +232,14 @@
     }
 
     private void pollTimedOut(Channel pollChannel) {
-        // The loop may not have read the response yet; if it is complete, it ends the timeout.
+        // The event loop may not have read the response yet; a complete response cancels the timeout.
         PendingInput.read(pollChannel);
         if (timeout != null) {
             pollFailed(pollChannel, PollFailure.TIMED_OUT, "timeout");
         }
     }
 
-    /** Ends a poll that brought no list; the current list stays valid and polling continues. */
+    /** Ends a poll that returned no list; the current list stays valid and polling continues. */
     private void pollFailed(Channel pollChannel, PollFailure failure, String description) {
         pollFailed(pollChannel, failure, description, 0);
     }
@@ -299,8 +302,8 @@
             return;
         }
         if (polling.needsFullList() ? !endpoints.full() : endpoints.seq() < seq) {
-            // A list older than the current one, or changes relative to another, carries no information; only a
-            // complete list that was requested does.
+            // A list that is older than the current one, or a delta to a different list, is useless; only a complete
+            // list that was requested may be older.
             pollFailed(pollChannel, PollFailure.STALE, "stale-list");
             return;
         }
@@ -323,7 +326,7 @@
         schedulePoll(emptyPoll ? EMPTY_POLL_PAUSE_NANOS : polling.pauseBetweenPolls());
     }
 
-    /** Receives the responses of one discovery connection; on the event loop. */
+    /** Receives the responses on one connection to the discovery service, on the event loop. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
--- a/node/src/main/java/weldhitch/node/Dispatcher.java
+++ b/node/src/main/java/weldhitch/node/Dispatcher.java
@@ -42,8 +42,8 @@
 final class Dispatcher implements AttemptListener {
     private static final long WATCHDOG_SLACK_NANOS = 8_000_000L;
     /**
-     * Retry-After of a request rejected because a version is in doubt: a few of its node's heartbeats to the
-     * coordinators.
+     * Retry-After of a request that is rejected because the route version is in doubt: a few of the node's heartbeats
+     * to the coordinators.
      */
     private static final long REJECTION_RETRY_AFTER_NANOS = 1_000_000_000L;
 
@@ -72,7 +72,7 @@
         onSubscribe = subscribe;
     }
 
-    /** Records every event from the next one on; null stops recording. */
+    /** Records every event from the next one on; null stops the recording. */
     void capture(CaptureRecorder next) {
         driver.capture(next);
     }
@@ -81,7 +81,7 @@
         return driver.snapshot();
     }
 
-    /** Number of requests that still wait for their final answer. */
+    /** Returns the number of requests that still wait for their final answer. */
     int unanswered() {
         return requests.unanswered();
     }
@@ -90,12 +90,12 @@
         return requests.contains(id);
     }
 
-    /** A request has been received completely; its timeout counts from here. */
+    /** Passes a request that has been received completely to the balancer; the request's timeout starts now. */
     void dispatch(InFlightRequest inFlight) {
         long now = clock.now();
         inFlight.deadline = now + inFlight.timeout;
         requests.add(inFlight);
-        // Covers a request that the balancer has lost, or that a fault in the balancer left unanswered.
+        // Ends a request that the balancer has lost, or left unanswered because of a fault.
         inFlight.watchdog = loop.schedule(
                 () -> watchdogExpired(inFlight), inFlight.timeout + WATCHDOG_SLACK_NANOS, TimeUnit.NANOSECONDS);
         ClientRequest clientRequest = inFlight.request;
@@ -117,7 +117,7 @@
                 inFlight.zoneSelection == null ? null : inFlight.zoneSelection.zones()));
     }
 
-    /** Activates the table that applies to a request arriving now; false if the request is rejected instead. */
+    /** Activates the route table for a request that arrives now; returns false if the request is rejected instead. */
     private boolean acquireRoutes(InFlightRequest inFlight) {
         inFlight.routeTable = routeSelector.acquire(inFlight.request);
         if (inFlight.routeTable == null) {
@@ -136,28 +136,28 @@
         return true;
     }
 
-    /** From now on this gate decides which routes are active. */
+    /** Sets the gate that decides from now on which routes are active. */
     void versionGate(RouteVersionGate next) {
         routeSelector.versionGate(next);
     }
 
-    /** The active routes, from which their successors are built. */
+    /** Returns the active routes, from which the next version's routes are built. */
     RouteStates activeRoutes() {
         return driver.activeRoutes();
     }
 
-    /** Requests that arrive from now on use these routes and locality rules; null for none. */
+    /** Applies these routes and locality rules to requests that arrive from now on; null for none. */
     void applyRules(RouteTable routes, LocalityRules locality) {
         submit(new RoutesChanged(routes));
         zoneRouter.applyRules(locality);
     }
 
-    /** From now on this router may select the zones that requests go to. */
+    /** Sets the router that may select the zones of requests from now on. */
     void zoneRouter(ZoneRouter next) {
         zoneRouter = next;
     }
 
-    /** Whether responses report the route version that decided their request. */
+    /** Returns whether responses report the route version that decided their request. */
     boolean reportsVersion() {
         return routeSelector.reportsVersion();
     }
@@ -169,15 +169,16 @@
         }
     }
 
-    /** The request is answered or no longer wanted: the balancer stops work on it. */
+    /** Makes the balancer stop work on a request that is answered or no longer needed. */
     private void abandonRequest(InFlightRequest inFlight) {
         submit(new ClientDisconnected(inFlight.request.id()));
         removeIfComplete(inFlight);
     }
 
     /**
-     * The last look at the client before an attempt begins. What the loop has seen of its connection may be older
-     * than the client's close: after a stall, a poll may have shown the request alone.
+     * Returns whether the attempt is still needed. This is the last check of the client before an attempt starts: the
+     * client may have closed its connection without the event loop having seen that. After a stall, a poll may have
+     * reported only the request and not the close.
      */
     @Override
     public boolean isAwaited(Attempt attempt) {
@@ -188,7 +189,7 @@
         return !attempt.ended && !inFlight.finished;
     }
 
-    /** From here on the client receives its final answer. */
+    /** Marks the request as answered and returns its client's sink, or null if the client has its final answer. */
     @Override
     public StreamSink openStream(Attempt attempt) {
         InFlightRequest inFlight = requests.get(attempt.request.id());
@@ -254,8 +255,8 @@
     }
 
     /**
-     * Answers all in-flight requests, as the process ends and nobody can answer them afterwards: rejected if
-     * nothing was sent, failed otherwise.
+     * Answers all in-flight requests, because they cannot be answered any more once the process has ended. A request
+     * without attempts is rejected, any other one fails.
      */
     void answerAll() {
         List<InFlightRequest> answered = new ArrayList<>();
@@ -269,17 +270,17 @@
                 }
             }
         }
-        // Only now, as each removal frees capacity for a waiting request: one that has been answered must not
-        // be sent any more.
+        // This comes last, as each removal frees capacity for a waiting request, and a request that has been answered
+        // must not be sent any more.
         answered.forEach(this::abandonRequest);
     }
 
     private void attemptTimedOut(Attempt attempt) {
-        // The loop may not have read the response yet.
+        // The event loop may not have read the response yet.
         attempt.readPendingInput();
         if (!attempt.ended) {
-            // An attempt whose last byte has not been written has not started anywhere, and may be rejected
-            // instead of failed.
+            // An attempt whose last byte has not been written has not been executed anywhere, so its request may be
+            // rejected instead of failed.
             boolean written = attempt.requestWritten;
             connectionPool.abort(attempt);
             ended(attempt, written ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CONNECT_FAILED, null);
@@ -310,12 +311,12 @@
             assignZones(zoneRequest);
         } else if (action instanceof SubscribeToEndpoints) {
             onSubscribe.run();
-        } else if (action instanceof LogMessage report) {
-            Log.line(report.text());
+        } else if (action instanceof LogMessage message) {
+            Log.line(message.text());
         }
     }
 
-    /** Answers the request, unless it has been answered or is not in flight any more. */
+    /** Answers the request, unless it has been answered or is no longer in flight. */
     private void answer(String requestId, Consumer<InFlightRequest> response) {
         InFlightRequest inFlight = requests.get(requestId);
         if (inFlight != null && requests.markFinished(inFlight)) {
@@ -375,9 +376,9 @@
     }
 
     /**
-     * Cancels the unwritten attempts of an answered request where the settings do not let the balancer cancel:
-     * an attempt whose last byte has not been written does not exist yet for its endpoint, and must not come
-     * to.
+     * Ends the unwritten attempts of an answered request if the settings do not let the balancer cancel attempts. For
+     * its endpoint, an attempt whose last byte has not been written does not exist yet, and that byte must not be
+     * written any more.
      */
     private void cancelUnwrittenAttempts(InFlightRequest inFlight) {
         for (int i = 0; i < inFlight.attempts.size() && inFlight.attemptsInFlight > 0; i++) {
--- a/node/src/main/java/weldhitch/node/InFlightRequest.java
+++ b/node/src/main/java/weldhitch/node/InFlightRequest.java
@@ -10,31 +10,31 @@
 import weldhitch.fleet.table.VersionedTables.Table;
 
 /**
- * An in-flight request, from its head until it is answered and no attempt is outstanding. Mutable; owned by
- * {@link Dispatcher} and its {@link ClientConnection}, confined to the event loop.
+ * An in-flight request, from when its head is read until it is answered and no attempt is outstanding. Mutable;
+ * owned by {@link Dispatcher} and its {@link ClientConnection}, confined to the event loop.
  */
 final class InFlightRequest {
     final ClientRequest request;
     final ClientCallback client;
     /**
-     * Nanoseconds the answer may take: the client's timeout, from the request's last byte; once it is dispatched,
-     * what is left of that, or less if this node shuts down before.
+     * Time that the answer may take, in nanoseconds: the client's timeout, counted from the request's last byte.
+     * Once the request is dispatched, the rest of that time, or less if this node shuts down before.
      */
     long timeout;
 
-    /** When its last byte arrived; its timeout counts from here. */
+    /** The arrival time of the request's last byte, from which its timeout counts. */
     long receivedAt;
 
     final List<Attempt> attempts = new ArrayList<>(2);
     long deadline;
     int attemptsInFlight;
-    /** The final answer has been given or started, or nobody waits for it. */
+    /** Whether the final answer has been given or started, or the client no longer waits for it. */
     boolean finished;
 
     Future<?> watchdog;
-    /** The route version that decides it; null if the fleet manages no versions. */
+    /** The route table that decides the request; null if the fleet does not manage route versions. */
     Table<RoutingRules> routeTable;
-    /** The zones it may go to by its locality rule; null if no rule applies. */
+    /** The zones that the request may go to by its locality rule; null if no rule applies. */
     ZoneSelection zoneSelection;
 
     InFlightRequest(ClientRequest request, long timeout, ClientCallback client) {
@@ -43,7 +43,7 @@
         this.client = client;
     }
 
-    /** Buffers a part of the body, unless a limit is exceeded; returns the reason then, or null. */
+    /** Buffers a part of the body and returns null; returns the reason for a rejection if a limit is exceeded. */
     Rejection receiveBody(ByteBuf bytes) {
         BufferedBody body = request.body();
         if (body.size() + bytes.readableBytes() > ClientRequestParser.MAX_BODY_BYTES) {
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Until when endpoints deduplicate a repeat of an attempt that may have run. Counted from the decision to
-     * send that attempt, which precedes the first byte from which the endpoints remember it.
+     * Returns the time until which endpoints deduplicate a repeat of an attempt that may have been executed. It counts
+     * from the decision to send that attempt, which precedes the first byte, from which the endpoints remember it.
      */
     long deduplicatedUntil() {
         RequestClass requestClass = request.requestClass();
--- a/node/src/main/java/weldhitch/node/InFlightRequests.java
+++ b/node/src/main/java/weldhitch/node/InFlightRequests.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * The in-flight requests of a node by id, and how many of them have no final answer yet. Owned by
+ * The in-flight requests of a node by id, and the number of those without a final answer. Owned by
  * {@link Dispatcher}; not thread-safe, confined to the event loop.
  */
 final class InFlightRequests {
-    /** Its iteration order is the order in which requests are answered when the process ends. */
+    /** The requests by id; the iteration order is the order in which they are answered when the process ends. */
     private final Map<String, InFlightRequest> byId = new HashMap<>();
 
     private int unanswered;
@@ -19,7 +19,7 @@
         unanswered++;
     }
 
-    /** The request of this id; null if it is not in flight. */
+    /** Returns the request of this id, or null if it is not in flight. */
     InFlightRequest get(String id) {
         return byId.get(id);
     }
@@ -32,12 +32,12 @@
         return byId.values();
     }
 
-    /** Number of requests that still wait for their final answer. */
+    /** Returns the number of requests that still wait for their final answer. */
     int unanswered() {
         return unanswered;
     }
 
-    /** Marks the request as answered; false if it already was. */
+    /** Marks the request as answered; returns false if it already was. */
     boolean markFinished(InFlightRequest inFlight) {
         if (inFlight.finished) {
             return false;
@@ -48,7 +48,7 @@
         return true;
     }
 
-    /** Removes a finished request without outstanding attempts and releases its body; false if it must stay. */
+    /** Removes a finished request without outstanding attempts and releases its body; returns false if it must stay. */
     boolean removeIfComplete(InFlightRequest inFlight) {
         if (inFlight.finished && inFlight.attemptsInFlight == 0 && byId.remove(inFlight.request.id(), inFlight)) {
             inFlight.request.body().release();
--- a/node/src/main/java/weldhitch/node/Log.java
+++ b/node/src/main/java/weldhitch/node/Log.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.ArrayBlockingQueue;
 
 /**
- * Writes log lines to standard error. A daemon thread writes them, so that a pipe that nobody reads never
- * blocks the event loop; the queue and the lines per second are bounded, and the number of dropped lines is
- * logged. Thread-safe.
+ * Writes log lines to standard error. A daemon thread writes them, so that the event loop never blocks on a pipe
+ * that is not read. The queue and the lines per second are limited, and the number of dropped lines is logged.
+ * Thread-safe.
  */
 final class Log {
     private static final int LINES_PER_SECOND = 30;
--- a/node/src/main/java/weldhitch/node/Node.java
+++ b/node/src/main/java/weldhitch/node/Node.java
@@ -22,13 +22,14 @@
 import weldhitch.fleet.member.FleetSettings;
 
 /**
- * One balancer node: a single event loop that does all socket I/O and runs the balancer. Owns and wires the
- * components; used by {@link NodeService}, whose threads may call its methods but must not be the loop's.
+ * A balancer node: a single event loop does all socket I/O and runs the balancer. Creates, connects and owns the
+ * components. Used by {@link NodeService}, whose threads may call its methods; they must not be called on the event
+ * loop.
  */
 public final class Node {
     /**
-     * How long a node without any response from discovery waits before it serves by the endpoint list it was
-     * started with.
+     * Time that a node waits for a first response of discovery before it serves requests with the endpoint list that it
+     * was started with.
      */
     private static final long INITIAL_LIST_TIMEOUT_NANOS = 1_000_000_000L;
 
@@ -40,7 +41,7 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory(SelectorProvider.provider(), () -> pollMonitor));
     private final long startedAt = clock.now();
     private final CountDownLatch drained = new CountDownLatch(1);
-    /** Reads the route configuration; null if none was given. */
+    /** Reads the route configuration; null if the node was started without one. */
     private final RouteConfigLoader routeConfig;
 
     private Dispatcher dispatcher;
@@ -48,13 +49,13 @@
     private Discovery discovery;
     private ClientConnectionManager clientConnections;
     private ResourceLimits limits;
-    /** Turns captures on and off; null if no route configuration was given. */
+    /** Starts and stops captures; null if the node was started without a route configuration. */
     private CaptureControl captureControl;
-    /** This node's membership in the fleet, with the active routes; null if it is not part of one. */
+    /** The node's membership in the fleet, which holds the active routes; null if the node is not part of a fleet. */
     private FleetMember<RoutingRules> fleetMember;
 
     private volatile RouteVersionGate versionGate;
-    /** Selects the zones that requests may go to; null if no route configuration was given. */
+    /** Selects the zones that requests may go to; null if the node was started without a route configuration. */
     private ZoneRouter zoneRouter;
 
     private int nodeCount = 1;
@@ -62,16 +63,16 @@
     private InetSocketAddress boundAddress;
     private final String name;
 
-    private Node(String name, RouteConfigLoader operator) {
+    private Node(String name, RouteConfigLoader loader) {
         this.name = name;
-        this.routeConfig = operator;
+        this.routeConfig = loader;
     }
 
     /**
-     * The platform settings of a configuration file, for checks without a running node.
+     * Reads the platform settings from a configuration file, for checks without a running node.
      *
      * @param config the file in the format of {@code GW_CONFIG}
-     * @return its settings
+     * @return the settings of the file
      * @throws IllegalArgumentException with a one-line message that names the invalid setting
      */
     public static BalancerSettings platformSettings(Path config) {
@@ -92,7 +93,7 @@
         return node;
     }
 
-    /** Creates a node that knows its endpoints and polls discovery, and does not listen yet. */
+    /** Creates a node that knows its endpoints and polls discovery, but does not listen yet. */
     static Node prepare(NodeConfig config, Path operatorFile) throws Exception {
         Node node = new Node(
                 config.name(), operatorFile == null ? null : new RouteConfigLoader(operatorFile, config.settings()));
@@ -117,7 +118,7 @@
     }
 
     /**
-     * Schedules the opening of the listener on the loop, ahead of everything submitted to the loop after this.
+     * Schedules the opening of the listener on the event loop, ahead of everything that is submitted to the loop later.
      */
     Future<ChannelFuture> bind(NodeConfig config) {
         return group.next().submit(() -> clientConnections.listen(config.listen()));
@@ -189,7 +190,7 @@
         dispatcher.endpointsChanged(kind, endpoints.entries());
     }
 
-    /** Joins the fleet if the route configuration says so. Blocks on the loop, so must not be called on it. */
+    /** Joins the fleet if the route configuration names one. Waits for the event loop, so must not be called on it. */
     private void joinFleet(NodeConfig config, RouteConfigLoader.LoadedRules ownRules) {
         FleetSettings settings = routeConfig.fleet();
         if (settings == null) {
@@ -237,12 +238,12 @@
         return boundAddress;
     }
 
-    /** The one loop that does all work. For tests, like the three methods below. */
+    /** Returns the event loop that does all work. For tests, like the three methods below. */
     EventLoop loop() {
         return group.next();
     }
 
-    /** Number of open client connections. */
+    /** Returns the number of open client connections. */
     int openConnections() {
         return group.next()
                 .submit(clientConnections::openConnections)
@@ -250,12 +251,12 @@
                 .getNow();
     }
 
-    /** Bytes reserved for bodies and pipelined input. */
+    /** Returns the number of bytes reserved for bodies and pipelined input. */
     long reservedBytes() {
         return group.next().submit(limits::reservedBytes).syncUninterruptibly().getNow();
     }
 
-    /** Host and port of the discovery service that is polled. */
+    /** Returns the host and port of the discovery service that is polled. */
     String discoveryAddress() {
         InetSocketAddress address =
                 group.next().submit(discovery::address).syncUninterruptibly().getNow();
@@ -263,14 +264,14 @@
     }
 
     /**
-     * Applies from a new configuration what may change while the node runs: the address of discovery, and the
-     * routes of the route configuration. An invalid file changes nothing. Reads both files and returns once the
-     * routes are active, so must not be called on the loop.
+     * Applies those parts of a new configuration that may change while the node runs: the address of discovery, and the
+     * routes of the route configuration. An invalid file changes nothing. Reads both files and returns once the routes
+     * are active, so it must not be called on the event loop.
      */
     void reload(Map<String, String> environment) {
         RouteConfigLoader.LoadedRules loadedRules = routeConfig == null ? null : routeConfig.reload();
         if (loadedRules != null && fleetMember != null) {
-            // The fleet's route version takes precedence as long as there is one.
+            // A route version of the fleet takes precedence over this node's own routes while there is one.
             fleetMember.replaceOwnTable(new RoutingRules(
                     activeRoutes().prepareNext(loadedRules.routes(), nodeCount), loadedRules.locality()));
             captureControl.apply(routeConfig.capture());
--- a/node/src/main/java/weldhitch/node/NodeEvent.java
+++ b/node/src/main/java/weldhitch/node/NodeEvent.java
@@ -2,26 +2,26 @@
 
 import java.util.Locale;
 
-/** What a node does to a request or a connection that an operator may have to account for; see {@link NodeEventLog}. */
+/** An event of a request or a connection that an operator may have to explain; see {@link NodeEventLog}. */
 enum NodeEvent {
-    /** A request was answered with a promise of no effect; the reason is a {@link Rejection}. */
+    /** A request was answered as not executed; the reason is a {@link Rejection}. */
     REQUEST_REJECTED,
-    /** A request was answered as failed, without such a promise. */
+    /** A request was answered as failed; it may have been executed. */
     REQUEST_FAILED,
     /** A client disconnected while its request waited for the answer. */
     CLIENT_DISCONNECTED,
     /** The node closed a client's connection. */
     CLIENT_CLOSED,
-    /** An attempt was not begun that the balancer had decided on; the reason is the dispatch guard's verdict. */
+    /** An attempt that the balancer had decided on was not sent; the reason is the verdict of the dispatch guard. */
     ATTEMPT_NOT_SENT,
-    /** A further attempt was begun after one that had ended; the reason is the outcome of that one. */
+    /** A further attempt was sent after one that had ended; the reason is the outcome of the ended attempt. */
     RETRY_SENT,
-    /** A further attempt was begun while another was in flight. */
+    /** A further attempt was sent while another was in flight. */
     HEDGED_REQUEST_SENT,
-    /** An idle server connection was not reused, as it had ended or carried bytes that answer nothing. */
+    /** An idle server connection was not reused, as it had ended or carried bytes that belong to no response. */
     SERVER_CONNECTION_DISCARDED;
 
-    /** Why the node closed a client's connection. */
+    /** The reason why the node closed a client's connection. */
     enum Close {
         IDLE,
         REQUEST_TIMEOUT,
@@ -31,12 +31,12 @@
         UNREAD_RESPONSE
     }
 
-    /** The name of an event, as log lines write it. */
+    /** Returns the name of an event as log lines contain it. */
     static String toPhrase(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    /** The name of a reason, as log lines write it: one token. */
+    /** Returns the name of a reason as log lines contain it, as one token. */
     static String toToken(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/node/src/main/java/weldhitch/node/NodeEventLog.java
+++ b/node/src/main/java/weldhitch/node/NodeEventLog.java
@@ -6,17 +6,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accounts for rejections, retries, closes and the like without a line for each: counts them by event and reason,
- * and once a second logs the counts that are not 0, each with the id of its first request. Not thread-safe,
+ * Logs rejections, retries, closes and similar events without a line for each: counts them by event and reason, and
+ * once a second logs the counts that are not 0, each with the id of the first request concerned. Not thread-safe,
  * confined to the event loop.
  */
 final class NodeEventLog {
     private static final long INTERVAL_SECONDS = 1;
 
-    /** What is counted together; the reason is null for events that have none. */
+    /** The key of a count; the reason is null for events that have none. */
     private record Kind(NodeEvent event, Enum<?> reason) {}
 
-    /** How often an event has occurred, and the request it concerned first; null if it concerned none. */
+    /** The number of occurrences of an event, and the id of the first request concerned; null if there is none. */
     private static final class Count {
         final String firstRequestId;
         int occurrences;
@@ -32,7 +32,7 @@
         loop.scheduleWithFixedDelay(this::flush, INTERVAL_SECONDS, INTERVAL_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Counts an event that has no reason beyond itself. */
+    /** Counts an event that has no reason. */
     void count(NodeEvent event, String requestId) {
         count(event, null, requestId);
     }
@@ -42,7 +42,7 @@
         counts.computeIfAbsent(new Kind(event, reason), kind -> new Count(requestId)).occurrences++;
     }
 
-    /** Counts an attempt that is about to be added to the request, if it is not the first. */
+    /** Counts an attempt that is about to be added to the request, unless it is the first one. */
     void countRetryOrHedge(InFlightRequest inFlight) {
         if (inFlight.attemptsInFlight > 0) {
             count(NodeEvent.HEDGED_REQUEST_SENT, inFlight.request.id());
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Logs and forgets all counts. */
+    /** Logs all counts and resets them. */
     void flush() {
         counts.forEach((kind, count) -> Log.line(line(kind, count)));
         counts.clear();
--- a/node/src/main/java/weldhitch/node/NodeService.java
+++ b/node/src/main/java/weldhitch/node/NodeService.java
@@ -9,15 +9,15 @@
 import weldhitch.decision.lifecycle.ProcessLifecycle.LifecycleAction;
 
 /**
- * A node as a process: executes what {@link ProcessLifecycle} decides for each signal. Installs its signal handlers
- * before anybody can connect, as without them the runtime ends the process on a signal and the requests
- * received by then are lost. Thread-safe: signals arrive on threads of their own.
+ * Runs a node as a process and executes what {@link ProcessLifecycle} decides for each signal. Installs the signal
+ * handlers before any client can connect: without them the runtime ends the process on a signal, and the requests
+ * received by then are lost. Thread-safe: each signal arrives on a separate thread.
  */
 public final class NodeService {
     private static final int EXIT_CONFIG = 78;
 
     private final Map<String, String> environment;
-    /** Guarded by itself: signals arrive on threads of their own. */
+    /** Guarded by itself, as each signal arrives on a separate thread. */
     private final ProcessLifecycle lifecycle = new ProcessLifecycle();
 
     private volatile Node node;
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Runs a node as the environment configures it, until the process is terminated.
+     * Runs a node with the configuration that the environment names, until the process is terminated.
      *
      * @param operatorFile the route configuration file, or null for none
      */
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Starts the node and returns once it listens, or without listening if termination came first. */
+    /** Starts the node and returns once it listens, or without listening if it was terminated before. */
     Node start(Path operatorFile) throws Exception {
         NodeConfig config = NodeConfig.load(environment);
         Node prepared = Node.prepare(config, operatorFile);
@@ -63,7 +63,7 @@
         return prepared;
     }
 
-    /** Reloads the configuration as often as the transition requires. */
+    /** Reloads the configuration as often as the lifecycle transition requires. */
     private void reload(Function<ProcessLifecycle, LifecycleAction> transition) {
         for (LifecycleAction step = apply(transition);
                 step == LifecycleAction.RELOAD;
--- a/node/src/main/java/weldhitch/node/PollMonitor.java
+++ b/node/src/main/java/weldhitch/node/PollMonitor.java
@@ -8,8 +8,8 @@
 import weldhitch.decision.connection.PollHistory;
 
 /**
- * Notes each poll that the event loop makes of its sockets, so that the age of what is read can be bounded, and
- * logs when the loop was held up. Confined to the event loop, except {@link #startLogging}.
+ * Records each time that the event loop polls its sockets, so that the age of what is read can be bounded, and logs
+ * stalls of the loop. Confined to the event loop, except {@link #startLogging}.
  */
 final class PollMonitor implements SelectStrategy {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -26,13 +26,13 @@
         history = new PollHistory(clock.now());
     }
 
-    /** Makes the loop poll at least every {@link PollHistory#MAX_POLL_INTERVAL}. */
+    /** Makes the loop poll at least once every {@link PollHistory#MAX_POLL_INTERVAL}. */
     void start(EventLoop loop) {
         loop.scheduleWithFixedDelay(
                 () -> {}, PollHistory.MAX_POLL_INTERVAL, PollHistory.MAX_POLL_INTERVAL, TimeUnit.NANOSECONDS);
     }
 
-    /** Logs stalls from now on: before a node listens, the loop is held up by its own start. */
+    /** Logs stalls from now on. It is called once the node listens, because the start itself stalls the loop. */
     void startLogging() {
         logging = true;
     }
@@ -41,7 +41,7 @@
         return history;
     }
 
-    /** Called by the loop right before each poll. */
+    /** Records a poll; the loop calls this method right before each poll. */
     @Override
     public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
         long stall = history.pollStarted(clock.now());
--- a/node/src/main/java/weldhitch/node/RouteVersionGate.java
+++ b/node/src/main/java/weldhitch/node/RouteVersionGate.java
@@ -6,9 +6,9 @@
 import weldhitch.fleet.table.VersionedTables.View;
 
 /**
- * Selects the route version that decides a request, where the fleet manages versions, and rejects requests
- * while the version is fenced or in doubt. Called by {@link Dispatcher} on the event loop; {@link #fenced} from
- * any thread. Times are of {@link System#nanoTime}.
+ * Selects the route version that decides a request if the fleet manages versions, and rejects requests while this
+ * node is fenced or the version is in doubt. Called by {@link Dispatcher} on the event loop; {@link #fenced} may be
+ * called from any thread. Times are of {@link System#nanoTime}.
  */
 final class RouteVersionGate {
     private final FleetMember<RoutingRules> member;
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Acquires the route table that applies to this request, to be released when it has ended; null if this
-     * node cannot tell which version decides it.
+     * Acquires the route table that applies to this request and that must be released when the request has ended.
+     * Returns null if this node does not know which version decides the request.
      */
     Table<RoutingRules> acquire(ClientRequest request) {
         long now = System.nanoTime();
@@ -41,12 +41,12 @@
                         && view.current().content().differsFor(view.next().content(), request);
     }
 
-    /** Whether all requests are rejected, so that no client should be routed to this node. */
+    /** Returns whether all requests are rejected, so that no client should be routed to this node. */
     boolean fenced() {
         return member.tables().view().activeVersions().isFencedAt(System.nanoTime());
     }
 
-    /** Whether responses report the version that decided their request. */
+    /** Returns whether responses report the version that decided their request. */
     boolean reportsVersion() {
         return reportsVersion;
     }
--- a/node/src/main/java/weldhitch/node/RoutingRules.java
+++ b/node/src/main/java/weldhitch/node/RoutingRules.java
@@ -6,13 +6,13 @@
 import weldhitch.fleet.locality.LocalityRules;
 
 /**
- * The routing rules that a route configuration or a route version activates. Created by {@link Node}; read on
- * the event loop.
+ * The routing rules that become active with a route configuration or a route version. Created by {@link Node}; read
+ * on the event loop.
  *
- * @param locality null for none
+ * @param locality the locality rules, or null for none
  */
 record RoutingRules(RouteStates routes, LocalityRules locality) {
-    /** Whether the two sets of rules differ for this request. */
+    /** Returns whether the two sets of rules differ for this request. */
     boolean differsFor(RoutingRules other, ClientRequest request) {
         return routes.decidesDifferently(
                         other.routes,
@@ -22,7 +22,7 @@
                 || LocalityRules.differ(locality, localityRule(request), other.locality, other.localityRule(request));
     }
 
-    /** The locality rule of a request, or null. */
+    /** Returns the locality rule of a request, or null if none applies. */
     private LocalityRule localityRule(ClientRequest request) {
         return locality == null
                 ? null
@@ -32,7 +32,7 @@
                         locality.needsRoute() ? routeName(routes.routes(), request) : null);
     }
 
-    /** The name of the route that a request matches, or null. */
+    /** Returns the name of the route that a request matches, or null if it matches none. */
     static String routeName(RouteTable routes, ClientRequest request) {
         RouteTable.Route route = routes == null
                 ? null
--- a/node/src/main/java/weldhitch/node/Signals.java
+++ b/node/src/main/java/weldhitch/node/Signals.java
@@ -1,14 +1,14 @@
 package weldhitch.node;
 
-/** Registers handlers for the signals to reload the configuration (SIGHUP) and to terminate (SIGTERM). */
+/** Registers handlers for the signals that reload the configuration (SIGHUP) and terminate the process (SIGTERM). */
 interface Signals {
-    /** From now on SIGHUP runs this, on a thread that may block, and no longer ends the process. */
+    /** Makes SIGHUP run the handler, on a thread that may block, instead of ending the process. */
     void onHangUp(Runnable handler);
 
-    /** From now on SIGTERM runs this, on a thread that may block, and the process ends when it returns. */
+    /** Makes SIGTERM run the handler, on a thread that may block; the process ends when the handler returns. */
     void onTerminate(Runnable handler);
 
-    /** The signals of the operating system. */
+    /** Returns the signals that the operating system sends to this process. */
     static Signals ofProcess() {
         return new Signals() {
             @Override
--- a/node/src/main/java/weldhitch/node/Sockets.java
+++ b/node/src/main/java/weldhitch/node/Sockets.java
@@ -7,7 +7,7 @@
 final class Sockets {
     static final int READ_BUFFER_BYTES = 16 * 1024;
     private static final int PAGE_BYTES = 8 * 1024;
-    /** Chunks of 512 KB (page size times 2^6), as a node with little memory uses few buffers at any moment. */
+    /** Results in chunks of 512 KB (page size times 2^6): a node with little memory uses few buffers at any moment. */
     private static final int MAX_ORDER = 6;
 
     private static final int SMALL_CACHE_SIZE = 64;
@@ -15,7 +15,7 @@
 
     private Sockets() {}
 
-    /** One arena, as only one thread reads and writes. */
+    /** Returns an allocator with one arena, as only one thread reads and writes. */
     static ByteBufAllocator allocator() {
         return new PooledByteBufAllocator(
                 true, 1, 1, PAGE_BYTES, MAX_ORDER, SMALL_CACHE_SIZE, NORMAL_CACHE_SIZE, false);
--- a/node/src/main/java/weldhitch/node/ZoneRouter.java
+++ b/node/src/main/java/weldhitch/node/ZoneRouter.java
@@ -22,19 +22,19 @@
 import weldhitch.fleet.member.FleetMember;
 
 /**
- * Selects the zones that requests may go to, by the active locality rules. Confined to the event loop, except
- * what the fleet's thread calls: {@link #loadReport()}, which the loop publishes for it, and {@link #onFleetView}, which
- * passes views to the loop.
+ * Selects the zones that requests may go to, by the active locality rules. Confined to the event loop, except the
+ * methods that the thread of the fleet member calls: {@link #loadReport()} returns what the loop has published, and
+ * {@link #onFleetView} passes views to the loop.
  */
 final class ZoneRouter implements FleetMember.ZoneLoadExchange {
     private static final long REFRESH_INTERVAL_MS = 100;
 
     private final Clock clock;
     private final EventLoop loop;
-    private final ZoneSelector locality;
+    private final ZoneSelector zoneSelector;
     private final SplittableRandom random;
     private Future<?> refreshTask;
-    /** The load report for the coordinators as of the last refresh; null while no rule is active. */
+    /** The load report for the coordinators as of the last refresh; null if no rule is active. */
     private volatile NodeLoadReport report;
 
     /**
@@ -46,9 +46,9 @@
             String name, BalancerSettings settings, long seed, boolean hasCoordinators, Clock clock, EventLoop loop) {
         this.clock = clock;
         this.loop = loop;
-        // Separate from the balancer's random numbers, which therefore stay the same with or without rules.
+        // Separate from the balancer's random numbers, which therefore do not depend on whether there are rules.
         random = new SplittableRandom(seed ^ 0x5EED_0F_20E5L);
-        locality = new ZoneSelector(
+        zoneSelector = new ZoneSelector(
                 name,
                 String.valueOf(settings.zone()),
                 settings.nodeCount(),
@@ -57,18 +57,16 @@
                 hasCoordinators);
     }
 
-    // ---- the list and the rules ----
-
     void endpointsChanged(EndpointsChanged event) {
         if (event.kind() == EndpointUpdateKind.REJECTED) {
             return;
         }
-        List<ZoneEndpoint> servers =
-                event.entries().stream().map(ZoneRouter::toZoneServer).toList();
-        locality.updateEndpoints(event.kind() != EndpointUpdateKind.DELTA, servers, clock.now());
+        List<ZoneEndpoint> endpoints =
+                event.entries().stream().map(ZoneRouter::toZoneEndpoint).toList();
+        zoneSelector.updateEndpoints(event.kind() != EndpointUpdateKind.DELTA, endpoints, clock.now());
     }
 
-    private static ZoneEndpoint toZoneServer(EndpointEntry entry) {
+    private static ZoneEndpoint toZoneEndpoint(EndpointEntry entry) {
         return new ZoneEndpoint(
                 entry.endpointId(),
                 String.valueOf(entry.zone()),
@@ -78,49 +76,47 @@
                 entry.state() == EndpointState.REMOVED);
     }
 
-    /** Applies these rules to requests that arrive from now on; none if null. */
+    /** Applies these rules to requests that arrive from now on; null for none. */
     void applyRules(LocalityRules newRules) {
-        locality.updateRules(newRules, clock.now());
-        if (locality.isActive() && refreshTask == null) {
+        zoneSelector.updateRules(newRules, clock.now());
+        if (zoneSelector.isActive() && refreshTask == null) {
             refreshTask = loop.scheduleWithFixedDelay(
                     this::refresh, REFRESH_INTERVAL_MS, REFRESH_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        } else if (!locality.isActive() && refreshTask != null) {
+        } else if (!zoneSelector.isActive() && refreshTask != null) {
             refreshTask.cancel(false);
             refreshTask = null;
         }
-        report = locality.loadReport(clock.now());
+        report = zoneSelector.loadReport(clock.now());
     }
 
     private void refresh() {
         long now = clock.now();
-        locality.tick(now).forEach(line -> Log.line("locality " + line));
-        report = locality.loadReport(now);
+        zoneSelector.tick(now).forEach(line -> Log.line("locality " + line));
+        report = zoneSelector.loadReport(now);
     }
 
-    // ---- requests ----
-
-    /** The zones for a request that arrives now; null if no rule applies. */
+    /** Returns the zones for a request that arrives now; null if no rule applies. */
     ZoneSelection selectZones(ClientRequest request, RouteTable routes) {
-        if (!locality.isActive()) {
+        if (!zoneSelector.isActive()) {
             return null;
         }
-        String route = locality.needsRoute() ? RoutingRules.routeName(routes, request) : null;
-        return locality.select(
+        String route = zoneSelector.needsRoute() ? RoutingRules.routeName(routes, request) : null;
+        return zoneSelector.select(
                 request.requestClass().name(), Headers.tenant(request), route, random.nextDouble(), clock.now());
     }
 
     ZoneSelection selectNextZones(ZoneSelection previous) {
-        return locality.selectNext(previous, clock.now());
+        return zoneSelector.selectNext(previous, clock.now());
     }
 
     void attemptSent(String endpointId, ZoneSelection selection) {
-        if (locality.isActive()) {
-            locality.onAttemptSent(endpointId, selection, clock.now());
+        if (zoneSelector.isActive()) {
+            zoneSelector.onAttemptSent(endpointId, selection, clock.now());
         }
     }
 
     void attemptEnded(String endpointId, AttemptOutcome outcome, long sentAt, long latencyObjective) {
-        if (!locality.isActive() || outcome == AttemptOutcome.CANCELLED || outcome == AttemptOutcome.NOT_SENT) {
+        if (!zoneSelector.isActive() || outcome == AttemptOutcome.CANCELLED || outcome == AttemptOutcome.NOT_SENT) {
             return;
         }
         CallResult result = switch (outcome) {
@@ -128,9 +124,9 @@
             case TIMED_OUT, CONNECT_FAILED, RESET -> CallResult.FAILED;
             default -> CallResult.ANSWERED;
         };
-        // An application error counts as a late response, and yet shows that its endpoint is reachable.
+        // An application error counts as a late response, not a failed one, as its endpoint is reachable.
         long now = clock.now();
-        locality.onAttemptEnded(
+        zoneSelector.onAttemptEnded(
                 endpointId,
                 result,
                 outcome == AttemptOutcome.ERROR || latencyObjective > 0 && now - sentAt > latencyObjective,
@@ -138,8 +134,6 @@
                 now);
     }
 
-    // ---- the fleet's thread ----
-
     @Override
     public NodeLoadReport loadReport() {
         return report;
@@ -148,6 +142,6 @@
     @Override
     public void onFleetView(FleetView view, long sentAt) {
         long sentAtClockTime = clock.now() - (System.nanoTime() - sentAt);
-        loop.execute(() -> locality.onFleetView(view, sentAtClockTime, clock.now()));
+        loop.execute(() -> zoneSelector.onFleetView(view, sentAtClockTime, clock.now()));
     }
 }
--- a/node/src/main/java/weldhitch/node/package-info.java
+++ b/node/src/main/java/weldhitch/node/package-info.java
@@ -1,2 +1,2 @@
-/** The node: sockets, timers, discovery, start and shutdown. Makes no balancing decisions of its own. */
+/** The node: sockets, timers, discovery, start and shutdown. It makes no balancing decisions itself. */
 package weldhitch.node;
