--- a/node/src/main/java/weldhitch/node/AttemptListener.java
+++ b/node/src/main/java/weldhitch/node/AttemptListener.java
@@ -10,7 +10,7 @@
      */
     boolean isAwaited(Attempt attempt);
 
-    /** Called when an attempt has ended; {@code response} is the completely buffered response of an OK, or null. */
+    /** Called when an attempt has ended; {@code response} is the completely buffered response of a success, or null. */
     void ended(Attempt attempt, AttemptOutcome outcome, ServerResponse response);
 
     /**
--- a/node/src/main/java/weldhitch/node/ClientConnection.java
+++ b/node/src/main/java/weldhitch/node/ClientConnection.java
@@ -222,7 +222,7 @@
         }
     }
 
-    /** Dispatches the request that has been received, unless its client has disconnected in the meantime. */
+    /** Dispatches or rejects the received request; does nothing if its client has disconnected in the meantime. */
     private void dispatchReceived() {
         if (state != ClientConnectionState.RECEIVED) {
             return;
--- a/node/src/main/java/weldhitch/node/ClientConnectionListener.java
+++ b/node/src/main/java/weldhitch/node/ClientConnectionListener.java
@@ -1,8 +1,8 @@
 package weldhitch.node;
 
 /**
- * Receives the state changes of a client connection from when it is accepted. All methods are called on the event
- * loop.
+ * Receives the changes of a client connection: accepted, idle or no longer idle, closed. All methods are called on the
+ * event loop.
  *
  * @param <C> the type of the connection
  */
--- a/node/src/main/java/weldhitch/node/ClientConnectionManager.java
+++ b/node/src/main/java/weldhitch/node/ClientConnectionManager.java
@@ -41,8 +41,8 @@
     private static final int MAX_REQUEST_LINE_BYTES = 8 * 1024;
     /**
      * Number of requests on one connection that the HTTP codec may read before it sees their responses. With more, the
-     * codec fails and so does the connection. The value exceeds what the pipelining limit admits plus what one read can
-     * add, at 18 bytes for each request.
+     * codec fails and so does the connection. The value exceeds the number that the pipelining limit admits plus the
+     * number that one read can add (18 bytes each).
      */
     private static final int MAX_UNANSWERED_REQUESTS = 2048;
 
@@ -175,8 +175,8 @@
     }
 
     /**
-     * Sets how many connections one poll may accept: all that may still be opened. A connection that waits in the
-     * backlog gets older, and once it is accepted its age is unknown.
+     * Limits how many connections one poll accepts. This is normally the number that may still be opened: a connection
+     * that waits in the backlog gets older, and once it is accepted its age is unknown.
      */
     private void limitAccepts(int count) {
         if (listener.config().getRecvByteBufAllocator() instanceof MaxMessagesRecvByteBufAllocator acceptAllocator) {
@@ -199,8 +199,8 @@
      * Closes {@code count} of the connections that have been idle longest, or fewer if some turn out not to be idle.
      */
     private void closeOldestIdle(int count) {
-        // The last read may find a request that is answered at once, which makes its connection idle again. So the
-        // candidates are collected first.
+        // Collects the candidates first: closeIfIdle reads pending input and may find a request that is answered at
+        // once, which makes its connection idle again.
         List<ClientConnection> candidates = new ArrayList<>(Math.max(0, count));
         for (Iterator<ClientConnection> oldest = idle.iterator(); candidates.size() < count && oldest.hasNext(); ) {
             candidates.add(oldest.next());
--- a/node/src/main/java/weldhitch/node/ClientInput.java
+++ b/node/src/main/java/weldhitch/node/ClientInput.java
@@ -4,8 +4,8 @@
 import weldhitch.decision.connection.PollHistory;
 
 /**
- * Determines when the bytes of a downstream connection arrived, and whether the client is still connected, neither
- * of which the bytes show. Owned by a {@link ClientConnection}; not thread-safe, confined to the event loop.
+ * Determines when the bytes of a downstream connection arrived, and whether the client is still connected; the bytes
+ * themselves show neither. Owned by a {@link ClientConnection}; not thread-safe, confined to the event loop.
  */
 final class ClientInput {
     /** A read stops after 256 KiB; with pipelined input, it may take several reads to find the end of the stream. */
--- a/node/src/main/java/weldhitch/node/ClientPolicy.java
+++ b/node/src/main/java/weldhitch/node/ClientPolicy.java
@@ -3,9 +3,9 @@
 import weldhitch.decision.settings.RequestClass;
 
 /**
- * Decides what the node currently accepts from its clients, depending on its load and its shutdown. Used by
- * {@link ClientConnection}; implemented by {@link ClientConnectionManager}. Not thread-safe, confined to the event
- * loop.
+ * Decides what the node currently accepts from its clients, depending on its load and on the progress of its graceful
+ * shutdown. Used by {@link ClientConnection}; implemented by {@link ClientConnectionManager}. Not thread-safe,
+ * confined to the event loop.
  */
 interface ClientPolicy {
     /** Returns whether so many clients have requests in flight that a further request is rejected. */
--- a/node/src/main/java/weldhitch/node/ClientResponseWriter.java
+++ b/node/src/main/java/weldhitch/node/ClientResponseWriter.java
@@ -19,9 +19,9 @@
 
 /**
  * Encodes and writes the responses of one downstream connection, complete or streamed, and decides whether the
- * connection persists after them. Owned by a {@link ClientConnection}, which must change its own state after each
- * call, because a write may call back into the connection before it returns. Not thread-safe, confined to the event
- * loop.
+ * connection persists after them. Owned by a {@link ClientConnection}, which handles the end of a response only after
+ * the call that writes it, because a write may call back into the connection before it returns. Not thread-safe,
+ * confined to the event loop.
  */
 final class ClientResponseWriter {
     private final Channel channel;
@@ -47,7 +47,7 @@
         this.reportsVersion = reportsVersion;
     }
 
-    /** Sets the version of the request, in which the response is written if it is an HTTP/1 version. */
+    /** Sets the HTTP version of the request; the response uses it if it is HTTP/1, and HTTP/1.1 otherwise. */
     void requestVersion(HttpVersion version) {
         httpVersion = version.majorVersion() == 1 ? version : HttpVersion.HTTP_1_1;
     }
@@ -154,7 +154,7 @@
     }
 
     /**
-     * Aborts a streamed response with a connection reset, which shows the client that the response is incomplete
+     * Aborts a streamed response with a connection reset, which shows the client that the response is incomplete,
      * whatever its framing.
      */
     void resetStream() {
--- a/node/src/main/java/weldhitch/node/ConnectionDeadlines.java
+++ b/node/src/main/java/weldhitch/node/ConnectionDeadlines.java
@@ -2,8 +2,9 @@
 
 /**
  * The timeouts of one downstream connection: on a request's head and body, between requests, on responses that
- * the client does not read, and on closing. Decides from the times that its {@link ClientConnection} records, which
- * acts on the expired timeouts. Not thread-safe, confined to the event loop. Times are nanoseconds of {@link Clock}.
+ * the client does not read, and on closing. Only decides which timeouts have expired, from the times that its
+ * {@link ClientConnection} records; the connection acts on them. Not thread-safe, confined to the event loop. Times
+ * are nanoseconds of {@link Clock}.
  */
 final class ConnectionDeadlines {
     /** A timeout that has expired, or none. */
--- a/node/src/main/java/weldhitch/node/Discovery.java
+++ b/node/src/main/java/weldhitch/node/Discovery.java
@@ -38,11 +38,11 @@
 final class Discovery implements FleetMember.ListPoller {
     private static final int MAX_RESPONSE_BYTES = 2 << 20;
     /**
-     * Pause after a poll that returned immediately without an update. It is below the 200 ms within which the next poll
-     * must continue a watch.
+     * Pause after a poll that returned immediately without an update. The next poll must follow within 200 ms to
+     * continue the watch.
      */
     private static final long EMPTY_POLL_PAUSE_NANOS = 100_000_000L;
-    /** Time that a first poll waits for its poll slot: a few of a node's heartbeats to the coordinators. */
+    /** Time that a first poll waits for its poll slot: a few of the node's heartbeat intervals. */
     private static final long POLL_SLOT_WAIT_NANOS = 1_000_000_000L;
 
     private final EventLoop loop;
@@ -69,7 +69,7 @@
 
     /** Whether the next poll waits for its slot. */
     private volatile boolean awaitingPollSlot;
-    /** The time of the next poll if no slot is assigned. */
+    /** The time of the next poll if no slots were used; the coordinators receive the delay until then. */
     private volatile long ownPollAt;
     /** The latest time of the next poll after a failed one, with or without a slot, once a list has been received. */
     private long latestPollAt;
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Starts to poll for updates, to which the balancer now subscribes. */
+    /** Called when the balancer subscribes to updates: starts polling unless a poll is active or scheduled. */
     void subscribe() {
         if (!pollActive && usesPollSlots) {
             // A slot may be assigned soon; without one, the poll is sent after this wait.
--- a/node/src/main/java/weldhitch/node/Dispatcher.java
+++ b/node/src/main/java/weldhitch/node/Dispatcher.java
@@ -42,8 +42,8 @@
 final class Dispatcher implements AttemptListener {
     private static final long WATCHDOG_SLACK_NANOS = 8_000_000L;
     /**
-     * Retry-After of a request that is rejected because the route version is in doubt: a few of the node's heartbeats
-     * to the coordinators.
+     * Retry-After of a request that is rejected because the node is fenced or the route version is in doubt: a few of
+     * the node's heartbeat intervals.
      */
     private static final long REJECTION_RETRY_AFTER_NANOS = 1_000_000_000L;
 
@@ -90,7 +90,7 @@
         return requests.contains(id);
     }
 
-    /** Passes a request that has been received completely to the balancer; the request's timeout starts now. */
+    /** Passes a completely received request to the balancer; its deadline is its remaining timeout from now. */
     void dispatch(InFlightRequest inFlight) {
         long now = clock.now();
         inFlight.deadline = now + inFlight.timeout;
@@ -189,7 +189,7 @@
         return !attempt.ended && !inFlight.finished;
     }
 
-    /** Marks the request as answered and returns its client's sink, or null if the client has its final answer. */
+    /** Marks the request as answered and returns its client's sink; returns null if it already has its final answer. */
     @Override
     public StreamSink openStream(Attempt attempt) {
         InFlightRequest inFlight = requests.get(attempt.request.id());
@@ -256,7 +256,7 @@
 
     /**
      * Answers all in-flight requests, because they cannot be answered any more once the process has ended. A request
-     * without attempts is rejected, any other one fails.
+     * without attempts is rejected, as nothing of it has been sent; any other request fails.
      */
     void answerAll() {
         List<InFlightRequest> answered = new ArrayList<>();
@@ -377,8 +377,8 @@
 
     /**
      * Ends the unwritten attempts of an answered request if the settings do not let the balancer cancel attempts. For
-     * its endpoint, an attempt whose last byte has not been written does not exist yet, and that byte must not be
-     * written any more.
+     * an endpoint, an attempt exists only once its last byte has been written; the last byte of such an attempt must
+     * therefore not be written any more.
      */
     private void cancelUnwrittenAttempts(InFlightRequest inFlight) {
         for (int i = 0; i < inFlight.attempts.size() && inFlight.attemptsInFlight > 0; i++) {
--- a/node/src/main/java/weldhitch/node/EndpointList.java
+++ b/node/src/main/java/weldhitch/node/EndpointList.java
@@ -63,7 +63,7 @@
             }
         }
         if (seq < 0 || endpoints == null) {
-            throw new MalformedListException("seq or hosts is missing");
+            throw new MalformedListException("seq is missing or negative, or hosts is missing");
         }
         return new EndpointList(seq, full, List.copyOf(endpoints));
     }
--- a/node/src/main/java/weldhitch/node/HeaderValidator.java
+++ b/node/src/main/java/weldhitch/node/HeaderValidator.java
@@ -5,7 +5,7 @@
 
 /**
  * Scans the bytes of a response head for lines that are not headers. Netty's decoder treats such a line as a header
- * without a value, so that an invalid head would be accepted. The heads of 1xx responses may precede the head. One
+ * without a value, so that an invalid head would be accepted. The heads of preceding 1xx responses are scanned too. One
  * per {@link ServerConnection}; not thread-safe.
  */
 final class HeaderValidator implements ByteProcessor {
@@ -36,7 +36,7 @@
         lineLength = 0;
     }
 
-    /** Scans the bytes and returns whether the whole head received so far is valid. */
+    /** Scans the bytes and returns whether everything received of the head so far is valid. */
     boolean valid(ByteBuf bytes) {
         if (inHead) {
             bytes.forEachByte(this);
--- a/node/src/main/java/weldhitch/node/Headers.java
+++ b/node/src/main/java/weldhitch/node/Headers.java
@@ -47,12 +47,12 @@
         return request.headers().get(TENANT);
     }
 
-    /** Returns whether the client marks this request as its own retry. */
+    /** Returns whether the client marks this request as its retry of an earlier request. */
     static boolean isRetry(ClientRequest request) {
         return "1".equals(request.headers().get(RETRY));
     }
 
-    /** Returns the client's cost hint, sent in microseconds, in seconds; 0 if it is missing or invalid. */
+    /** Returns the client's cost hint in seconds, converted from microseconds; 0 if it is missing or invalid. */
     static double hintedCost(ClientRequest request) {
         String hint = request.headers().get(COST_HINT);
         try {
--- a/node/src/main/java/weldhitch/node/InFlightRequest.java
+++ b/node/src/main/java/weldhitch/node/InFlightRequest.java
@@ -18,7 +18,7 @@
     final ClientCallback client;
     /**
      * Time that the answer may take, in nanoseconds: the client's timeout, counted from the request's last byte.
-     * Once the request is dispatched, the rest of that time, or less if this node shuts down before.
+     * Once the request is dispatched, the rest of that time, or less if this node shuts down before its end.
      */
     long timeout;
 
@@ -53,8 +53,9 @@
     }
 
     /**
-     * Returns the time until which endpoints deduplicate a repeat of an attempt that may have been executed. It counts
-     * from the decision to send that attempt, which precedes the first byte, from which the endpoints remember it.
+     * Returns the time until which endpoints deduplicate a repeat of an attempt that may have been executed, or
+     * {@code Long.MAX_VALUE} if there is none or the class does not use idempotency keys. The window counts from the
+     * decision to send that attempt; endpoints remember an attempt from its first byte, which is later.
      */
     long deduplicatedUntil() {
         RequestClass requestClass = request.requestClass();
--- a/node/src/main/java/weldhitch/node/MalformedAddressException.java
+++ b/node/src/main/java/weldhitch/node/MalformedAddressException.java
@@ -7,6 +7,6 @@
     private static final long serialVersionUID = 1L;
 
     MalformedAddressException(String text) {
-        super("not an address and port: " + text);
+        super("expected a numeric address and port, found " + text);
     }
 }
--- a/node/src/main/java/weldhitch/node/Node.java
+++ b/node/src/main/java/weldhitch/node/Node.java
@@ -28,8 +28,8 @@
  */
 public final class Node {
     /**
-     * Time that a node waits for a first response of discovery before it serves requests with the endpoint list that it
-     * was started with.
+     * Time that a node waits for a first response of discovery before it reports itself ready with the endpoint list
+     * that it was started with.
      */
     private static final long INITIAL_LIST_TIMEOUT_NANOS = 1_000_000_000L;
 
--- a/node/src/main/java/weldhitch/node/NodeConfig.java
+++ b/node/src/main/java/weldhitch/node/NodeConfig.java
@@ -65,7 +65,10 @@
         return load(withoutDiscovery);
     }
 
-    /** Parses a configuration; the variables in the environment take precedence over the same keys of the file. */
+    /**
+     * Parses a configuration; the variables in the environment take precedence over the same keys of the file. The name
+     * and the addresses are given in both, with the same values.
+     */
     static NodeConfig parse(byte[] json, Map<String, String> environment) throws InvalidConfigException {
         Map<String, String> flat = new HashMap<>();
         EndpointList knownEndpoints = new EndpointList(0, true, List.of());
--- a/node/src/main/java/weldhitch/node/Rejection.java
+++ b/node/src/main/java/weldhitch/node/Rejection.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** The reason why the balancer, or the node before it, rejected a request that had not been forwarded. */
+/** The reason for rejecting a request that has not been forwarded, either by the balancer or by the node itself. */
 enum Rejection {
     /** The balancer sheds load. */
     ADMISSION(HttpResponseStatus.SERVICE_UNAVAILABLE, false),
@@ -16,7 +16,7 @@
     DEADLINE_EXCEEDED(HttpResponseStatus.SERVICE_UNAVAILABLE, false),
     /** This node shuts down too soon to answer the request; another node has the time. */
     SHUTTING_DOWN(HttpResponseStatus.SERVICE_UNAVAILABLE, true),
-    /** The route version that applies is in doubt. */
+    /** The node is fenced, or the route version that applies to the request is in doubt. */
     VERSION_IN_DOUBT(HttpResponseStatus.SERVICE_UNAVAILABLE, false),
     /** Another request with the same id is in flight. */
     DUPLICATE_ID(HttpResponseStatus.BAD_REQUEST, false);
--- a/node/src/main/java/weldhitch/node/ResponseBuffer.java
+++ b/node/src/main/java/weldhitch/node/ResponseBuffer.java
@@ -19,14 +19,14 @@
     }
 
     /**
-     * Longer responses are streamed if their class allows it. Responses of other classes are never longer, and one that
-     * states a longer body is an error.
+     * Longer responses are streamed if their class allows it. Other classes have no longer responses, so a longer one
+     * is treated as an error.
      */
     static final int MAX_BUFFERED_BYTES = 64 * 1024;
     /**
-     * Limit for a response without a stated length, which is also buffered only for a limited time. If such a response
-     * turns out to be long, its client's latency is measured to the first bytes, and a slow server takes 1 s to send
-     * 64 KiB.
+     * Limit for a response without a stated length, which is also buffered only for a limited time. The client's
+     * latency of a long response is measured to the first bytes, so these should not wait until the response turns out
+     * to be long: a slow server takes 1 s to send 64 KiB.
      */
     static final int MAX_BUFFERED_UNSIZED_BYTES = 16 * 1024;
 
--- a/node/src/main/java/weldhitch/node/ServerConnection.java
+++ b/node/src/main/java/weldhitch/node/ServerConnection.java
@@ -26,7 +26,7 @@
 final class ServerConnection extends ChannelInboundHandlerAdapter implements StreamSource, Attempt.Transport {
     /** Maximum time that a response without a stated length is buffered. */
     private static final long MAX_UNSIZED_BUFFERING_NANOS = 100_000_000L;
-    /** Servers pause for at most 0.1 s within a response; one that sends nothing for this long has failed. */
+    /** Servers pause for at most 0.1 s within a response; one that sends nothing for this long is taken as failed. */
     private static final long STREAM_IDLE_TIMEOUT_NANOS = 5_000_000_000L;
 
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
@@ -196,7 +196,7 @@
             startResponse(response);
             return;
         }
-        // A rejection counts as not executed only if the server states so; a 503 alone may have been executed.
+        // A request counts as not executed only if the server states so; a 503 alone does not state that.
         boolean notExecuted = (status == 503 || status == 504)
                 && "1".equals(response.headers().get(Headers.NEVER_RAN));
         endAttempt(notExecuted ? AttemptOutcome.FULL : AttemptOutcome.ERROR);
