--- a/client/src/main/java/weldhitch/client/CallException.java
+++ b/client/src/main/java/weldhitch/client/CallException.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import weldhitch.client.policy.CallResult;
 
-/** A call that ended without a response. Its subtype says what the caller may do. Has no stack trace. */
+/**
+ * Thrown when a call ends without a successful response; the subtype states whether repeating the call is safe. Has
+ * no stack trace.
+ */
 public abstract sealed class CallException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -14,12 +17,12 @@
         this.attempts = attempts;
     }
 
-    /** How many attempts were sent; 0 for none. */
+    /** Returns the number of attempts that were sent; 0 if there was none. */
     public int attempts() {
         return attempts;
     }
 
-    /** The request was not executed: a later call does no harm. */
+    /** Thrown when the request was not executed, so that repeating the call is safe. */
     public static final class NotExecuted extends CallException {
         private static final long serialVersionUID = 1L;
         private final CallResult reason;
@@ -27,42 +30,45 @@
 
         NotExecuted(CallResult reason, int attempts, Duration retryAfter) {
             super(
-                    "it never ran: "
+                    "the request was not executed: "
                             + reason.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '),
                     attempts);
             this.reason = reason;
             this.retryAfter = retryAfter;
         }
 
-        /** Why it was not executed. */
+        /** Returns why the request was not executed. */
         public CallResult reason() {
             return reason;
         }
 
-        /** How long to wait before the next call; zero if there is no advice. */
+        /** Returns how long to wait before the next call; zero if there is no advice. */
         public Duration retryAfter() {
             return retryAfter;
         }
     }
 
-    /** An idempotent request without a response: repeating it does no harm, but has cost nodes work already. */
+    /**
+     * Thrown when an idempotent request got no successful response. Repeating the call is safe, but nodes have already
+     * spent work on it.
+     */
     public static final class Failed extends CallException {
         private static final long serialVersionUID = 1L;
 
         Failed(int attempts) {
-            super("no answer", attempts);
+            super("no successful response", attempts);
         }
     }
 
     /**
-     * The request may have been executed, or may be yet: not a failure, and never to be repeated automatically.
-     * Ask the service what became of it, or a person.
+     * Thrown when the request may have been executed, or may still be executed. This is not a failure, and the call
+     * must never be repeated automatically: ask the service, or a person, whether the request was executed.
      */
     public static final class OutcomeUnknown extends CallException {
         private static final long serialVersionUID = 1L;
 
         OutcomeUnknown(int attempts) {
-            super("it may have run: its outcome is unknown", attempts);
+            super("the request may have been executed: its outcome is unknown", attempts);
         }
     }
 }
--- a/client/src/main/java/weldhitch/client/ConnectionPool.java
+++ b/client/src/main/java/weldhitch/client/ConnectionPool.java
@@ -21,7 +21,7 @@
 import java.util.function.Supplier;
 import weldhitch.client.policy.AttemptOutcome;
 
-/** Owns the connections of a client, by node. Used only on the event loop. */
+/** Owns the connections of a client, grouped by node. Used only on the event loop. */
 final class ConnectionPool implements NodeConnection.Owner {
     private final EventLoop eventLoop;
     private final int connectMillis;
@@ -34,9 +34,9 @@
     private boolean closed;
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
-     * @param onConnectionLost called with a node whose last connection was closed without notice
+     * @param onConnectionLost called with the node when its last connection was closed without being announced
      */
     ConnectionPool(
             EventLoop eventLoop, int connectMillis, int maxConcurrentConnects, Consumer<String> onConnectionLost) {
@@ -46,7 +46,7 @@
         this.onConnectionLost = onConnectionLost;
     }
 
-    /** A handle of one attempt, by which it can be abandoned. */
+    /** Identifies an attempt, so that it can be abandoned. */
     final class AttemptHandle {
         private NodeConnection connection;
         private boolean abandoned;
@@ -61,9 +61,10 @@
     }
 
     /**
-     * Sends on the idle connection used last that is still usable, or on a new one.
+     * Sends a request on the most recently used idle connection that is still usable, or on a new one.
      *
-     * @param request creates the request right before it is written, as it states the time that is left then
+     * @param request creates the request immediately before it is written, because the request states the time that
+     *     remains until its deadline
      */
     AttemptHandle send(String node, Supplier<FullHttpRequest> request, NodeConnection.AttemptListener listener) {
         AttemptHandle handle = new AttemptHandle();
@@ -77,7 +78,7 @@
         return handle;
     }
 
-    /** Takes out the idle connection used last, of those that are still usable; null if there is none. */
+    /** Removes and returns the most recently used idle connection that is still usable; null if there is none. */
     private NodeConnection pollUsable(String node) {
         ArrayDeque<NodeConnection> idleConnections = idleByNode.getOrDefault(node, new ArrayDeque<>());
         NodeConnection connection = idleConnections.pollLast();
--- a/client/src/main/java/weldhitch/client/NodeConnection.java
+++ b/client/src/main/java/weldhitch/client/NodeConnection.java
@@ -13,19 +13,19 @@
 import weldhitch.client.policy.AttemptOutcome;
 
 /**
- * One connection to a node, with one attempt on it at a time. It reports the outcome of each attempt once, and
- * tells its owner when it is idle or closed. Belongs to the event loop of the client.
+ * A connection to a node, which carries one attempt at a time. It reports the outcome of each attempt once, and
+ * notifies its owner when it is idle or closed. Used only on the event loop of the client.
  */
 final class NodeConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    /** The pool that opened the connection. */
+    /** Notified when the state of a connection changes; implemented by the pool that opened it. */
     interface Owner {
-        /** The connection can carry another attempt. */
+        /** Called when the connection can carry another attempt. */
         void onIdle(NodeConnection connection);
 
         /**
-         * The connection is closed.
+         * Called when the connection is closed.
          *
-         * @param closeAnnounced whether the node had announced that it would close it
+         * @param closeAnnounced whether the node had announced that it would close the connection
          */
         void onClosed(NodeConnection connection, boolean closeAnnounced);
     }
@@ -33,10 +33,10 @@
     /** Receives the outcome of an attempt, once. */
     interface AttemptListener {
         /**
-         * The attempt has ended.
+         * Called when the attempt has ended.
          *
-         * @param retryAfterNanos 0 for no advice
-         * @param body null unless it was answered
+         * @param retryAfterNanos the node's Retry-After in nanoseconds; 0 if there is none
+         * @param body the body of the response; null unless the outcome is {@link AttemptOutcome#OK}
          */
         void onAttemptEnded(AttemptOutcome outcome, long retryAfterNanos, byte[] body);
     }
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Whether an idle connection can carry an attempt. Reads what the system holds first: the node may have closed
-     * it, or written what answers nothing, and the event loop may not have read that yet.
+     * Decides whether an idle connection can carry an attempt. Reads from the socket first, because the node may have
+     * closed the connection or sent an unsolicited response that the event loop has not read yet.
      */
     boolean isUsable() {
         if (!reading && channel.isActive() && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
@@ -80,7 +80,10 @@
         });
     }
 
-    /** Abandons the attempt and closes the connection: a late response could not be told from the next one. */
+    /**
+     * Abandons the attempt and closes the connection, because a late response could not be distinguished from the
+     * response to the next request.
+     */
     void abandonAttempt() {
         listener = null;
         channel.close();
@@ -113,8 +116,8 @@
             return;
         }
         if (listener == null || !requestWritten || response.decoderResult().isFailure()) {
-            // Unsolicited or malformed: the connection is out of step, and no later response on it can be
-            // trusted.
+            // After an unsolicited or malformed response, no later response can be matched to its request, so the
+            // connection is closed.
             endAttempt(AttemptOutcome.TRANSPORT_ERROR, 0, null);
             channel.close();
             return;
@@ -151,8 +154,8 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        // A request that was not completely written cannot have been executed. One that was may have been, even
-        // if the connection was closed before.
+        // A request that was not completely written cannot have been executed. A completely written one may have
+        // been executed, even if the node had closed the connection before.
         endAttempt(
                 !requestWritten
                         ? AttemptOutcome.NOT_SENT
--- a/client/src/main/java/weldhitch/client/Request.java
+++ b/client/src/main/java/weldhitch/client/Request.java
@@ -5,15 +5,15 @@
 import weldhitch.client.policy.Idempotency;
 
 /**
- * A request of a caller. Immutable: the body is copied in and out.
+ * A request that a client sends to a node. Immutable: the body is copied on construction and on access.
  *
- * @param requestClass the class by which nodes prioritise it, and the first part of its path
- * @param idempotency whether it may be executed more than once
- * @param path what follows the class in the path; empty or beginning with a slash
- * @param tenant on whose behalf; null for none
+ * @param requestClass the request class, by which nodes prioritise the request; also the first segment of the path
+ * @param idempotency whether the request may be executed more than once
+ * @param path the rest of the path after the class; empty or beginning with a slash
+ * @param tenant the tenant on whose behalf the request is sent; null for none
  * @param idempotencyKey the idempotency key; null if the request has none
- * @param body 64 KiB at most; empty for an idempotent request
- * @param timeout how long the caller waits, more than zero; null for the default of the client
+ * @param body the body, 64 KiB at most; empty for an idempotent request
+ * @param timeout how long the caller waits, more than zero; null for the default timeout of the client
  */
 public record Request(
         String requestClass,
@@ -27,63 +27,65 @@
     public static final int MAX_BODY_BYTES = 64 << 10;
 
     /**
-     * Checks all components.
+     * Validates all components.
      *
-     * @throws IllegalArgumentException naming the first that is out of range
+     * @throws IllegalArgumentException naming the first component that is out of range
      */
     public Request {
         requireToken("requestClass", requestClass);
-        Objects.requireNonNull(idempotency, "effect");
+        Objects.requireNonNull(idempotency, "idempotency");
         Objects.requireNonNull(path, "path");
         Objects.requireNonNull(body, "body");
         require(
                 path.isEmpty() || path.startsWith("/") && path.chars().allMatch(c -> c > ' ' && c < 127),
-                "path: " + path + ", expected nothing, or a slash and printable characters without spaces");
+                "path: " + path + ", expected an empty path, or a slash and printable characters without spaces");
         require(
                 idempotency == Idempotency.IDEMPOTENCY_KEY == (idempotencyKey != null),
-                "key: expected where the effect is KEYED, and nowhere else");
+                "idempotencyKey: expected for a request with idempotency IDEMPOTENCY_KEY, and for no other");
         if (tenant != null) {
             requireToken("tenant", tenant);
         }
         if (idempotencyKey != null) {
-            requireToken("key", idempotencyKey);
+            requireToken("idempotencyKey", idempotencyKey);
         }
         require(
                 body.length <= MAX_BODY_BYTES,
                 "body: " + body.length + " bytes, expected " + MAX_BODY_BYTES + " at most");
-        require(idempotency != Idempotency.IDEMPOTENT || body.length == 0, "body: expected none for a safe request");
+        require(
+                idempotency != Idempotency.IDEMPOTENT || body.length == 0,
+                "body: expected none for an idempotent request");
         require(
                 timeout == null || !timeout.isNegative() && !timeout.isZero(),
-                "deadline: " + timeout + ", expected more than nothing");
+                "timeout: " + timeout + ", expected more than zero");
         body = body.clone();
     }
 
-    /** An idempotent request, sent with GET. */
+    /** Returns an idempotent request, sent with GET. */
     public static Request idempotent(String requestClass) {
         return new Request(requestClass, Idempotency.IDEMPOTENT, "", null, null, new byte[0], null);
     }
 
-    /** A request that must never be executed twice. */
+    /** Returns a request that must never be executed twice. */
     public static Request nonIdempotent(String requestClass, byte[] body) {
         return new Request(requestClass, Idempotency.NON_IDEMPOTENT, "", null, null, body, null);
     }
 
-    /** A request whose repeats servers discard by its idempotency key. */
+    /** Returns a request with an idempotency key, by which servers discard repeats. */
     public static Request withIdempotencyKey(String requestClass, String idempotencyKey, byte[] body) {
         return new Request(requestClass, Idempotency.IDEMPOTENCY_KEY, "", null, idempotencyKey, body, null);
     }
 
-    /** A copy with this timeout. */
+    /** Returns a copy with this timeout. */
     public Request withTimeout(Duration timeout) {
         return new Request(requestClass, idempotency, path, tenant, idempotencyKey, body, timeout);
     }
 
-    /** A copy on behalf of this tenant. */
+    /** Returns a copy that is sent on behalf of this tenant. */
     public Request withTenant(String tenant) {
         return new Request(requestClass, idempotency, path, tenant, idempotencyKey, body, timeout);
     }
 
-    /** A copy with this path after the class. */
+    /** Returns a copy with this path after the class. */
     public Request withPath(String path) {
         return new Request(requestClass, idempotency, path, tenant, idempotencyKey, body, timeout);
     }
@@ -93,7 +95,7 @@
         return body.clone();
     }
 
-    /** Requires a value fit for a header or the path: no spaces, no line breaks. */
+    /** Requires a value that fits into a header or a path: printable ASCII without spaces or line breaks. */
     private static void requireToken(String name, String value) {
         require(
                 value != null && !value.isEmpty() && value.chars().allMatch(c -> c > ' ' && c < 127),
--- a/client/src/main/java/weldhitch/client/RetryAfterHeader.java
+++ b/client/src/main/java/weldhitch/client/RetryAfterHeader.java
@@ -15,7 +15,7 @@
 
     private RetryAfterHeader() {}
 
-    /** Nanoseconds to wait; 0 if the header is absent (null), malformed, or names a time that has passed. */
+    /** Returns the nanoseconds to wait; 0 if the header is absent (null), malformed, or names a past time. */
     static long parseNanos(String headerValue, Instant now) {
         if (headerValue == null) {
             return 0;
--- a/client/src/main/java/weldhitch/client/WeldhitchClient.java
+++ b/client/src/main/java/weldhitch/client/WeldhitchClient.java
@@ -33,9 +33,9 @@
 import weldhitch.client.policy.Idempotency;
 
 /**
- * A client of balancer nodes that enforces deadlines, retries only what may be executed again, honours
- * Retry-After, and reconnects to a lost node after a random delay of its own. Thread-safe; one event loop does
- * all the work.
+ * Sends requests to load-balancing nodes: enforces deadlines, retries only requests that may be executed again,
+ * honours Retry-After, and reconnects to a lost node after a random delay that differs between clients.
+ * Thread-safe; one event loop does all the work.
  *
  * <pre>{@code
  * try (WeldhitchClient client = WeldhitchClient.builder().nodes("127.0.0.1:8080").build()) {
@@ -85,14 +85,14 @@
         stateMachine = new CallStateMachine(builder.policy, builder.nodes, builder.seed);
     }
 
-    /** A builder with the default settings. */
+    /** Returns a builder with the default settings. */
     public static Builder builder() {
         return new Builder();
     }
 
     /**
-     * Sends a request without blocking. The future completes once and no later than the deadline: with the
-     * response, with a {@link CallException}, or cancelled if the caller cancels it or the client is closed.
+     * Sends a request without blocking. The future completes once and no later than the deadline: with the response,
+     * with a {@link CallException}, or cancelled if the caller cancels it or the client is closed.
      */
     public CompletableFuture<Response> sendAsync(Request request) {
         CompletableFuture<Response> response = new CompletableFuture<>();
@@ -109,9 +109,9 @@
     }
 
     /**
-     * Sends a request and blocks until it completes; not for use on the event loop.
+     * Sends a request and blocks until it completes; must not be called on the event loop.
      *
-     * @throws CallException if there is no response
+     * @throws CallException if there is no successful response
      * @throws CancellationException if the client is closed meanwhile
      */
     public Response send(Request request) {
@@ -126,7 +126,7 @@
     }
 
     /**
-     * Replaces the list of nodes; attempts in flight stay where they are.
+     * Replaces the list of nodes; attempts in flight continue at their nodes.
      *
      * @throws IllegalArgumentException if an address is not host:port
      */
@@ -155,8 +155,10 @@
         submit(new CallStateMachine.CallStarted(callId, request.requestClass(), request.idempotency(), deadline));
     }
 
-    // ---- on the loop ----
-
+    /**
+     * Passes an event to the state machine and executes the resulting actions; an event submitted meanwhile is queued.
+     * Called only on the event loop.
+     */
     private void submit(Event event) {
         eventQueue.add(event);
         if (delivering) {
@@ -183,7 +185,7 @@
                         call.responseBody = body;
                         if (outcome != AttemptOutcome.OK) {
                             LOG.debug(
-                                    "try {} of {} at {}: {}",
+                                    "attempt {} of request class {} at node {} ended: {}",
                                     attempt.attempt(),
                                     call.request.requestClass(),
                                     attempt.node(),
@@ -223,7 +225,10 @@
         }
     }
 
-    /** Creates the request that is written now; the time that is left does not include what a connect took. */
+    /**
+     * Creates the request immediately before it is written, so that the remaining time that it states does not include
+     * the time spent connecting.
+     */
     private static FullHttpRequest toHttpRequest(Request request, CallStateMachine.SendAttempt attempt, long deadline) {
         long remainingTime = deadline - System.nanoTime();
         byte[] body = request.body();
@@ -278,7 +283,7 @@
         }
     }
 
-    /** Builds a client; {@link #build} reports all invalid settings at once. Not thread-safe. */
+    /** Builds a client; {@link #build} reports all invalid settings together. Not thread-safe. */
     public static final class Builder {
         private List<String> nodes = List.of();
         private ClientPolicy policy = ClientPolicy.DEFAULTS;
@@ -290,45 +295,45 @@
 
         private Builder() {}
 
-        /** Host and port of each node. */
+        /** Sets the host and port of each node. */
         public Builder nodes(String... addresses) {
             nodes = List.of(addresses);
             return this;
         }
 
-        /** The retry, throttling and ejection settings; {@link ClientPolicy#DEFAULTS} by default. */
+        /** Sets the retry, throttling and ejection settings; {@link ClientPolicy#DEFAULTS} by default. */
         public Builder policy(ClientPolicy value) {
             policy = value;
             return this;
         }
 
-        /** Timeout of requests that set none; 3 s by default. */
+        /** Sets the timeout of requests that have none; 3 s by default. */
         public Builder defaultTimeout(Duration value) {
             defaultTimeout = value;
             return this;
         }
 
-        /** How long establishing a connection may take; 1 s by default. */
+        /** Sets how long establishing a connection may take; 1 s by default. */
         public Builder connectTimeout(Duration value) {
             connectTimeout = value;
             return this;
         }
 
-        /** How many connections may be established concurrently; 4 by default. */
+        /** Sets how many connections may be established concurrently; 4 by default. */
         public Builder maxConcurrentConnects(int value) {
             maxConcurrentConnects = value;
             return this;
         }
 
-        /** Seed of all random choices, for tests; drawn anew for each client by default. */
+        /** Sets the seed of all random choices, for tests; by default each client draws its own. */
         public Builder seed(long value) {
             seed = value;
             return this;
         }
 
         /**
-         * An event loop group that the caller owns and shuts down; by default the client has one thread of its
-         * own.
+         * Sets the event loop group, which the caller owns and shuts down; by default the client owns a group with one
+         * thread.
          */
         public Builder eventLoopGroup(EventLoopGroup value) {
             eventLoopGroup = value;
@@ -351,9 +356,9 @@
         }
 
         /**
-         * Creates the client; connections are made when requests need them.
+         * Creates the client; connections are opened when requests need them.
          *
-         * @throws IllegalArgumentException naming all invalid settings
+         * @throws IllegalArgumentException if settings are invalid; the message names all of them
          */
         public WeldhitchClient build() {
             List<String> errors = new ArrayList<>();
@@ -367,13 +372,13 @@
                 }
             });
             if (defaultTimeout.isNegative() || defaultTimeout.isZero()) {
-                errors.add("deadline: " + defaultTimeout + ", expected more than nothing");
+                errors.add("defaultTimeout: " + defaultTimeout + ", expected more than zero");
             }
             if (connectTimeout.toMillis() < 1 || connectTimeout.toMillis() > 60_000) {
                 errors.add("connectTimeout: " + connectTimeout + ", expected 1 ms to 1 minute");
             }
             if (maxConcurrentConnects < 1) {
-                errors.add("dials: " + maxConcurrentConnects + ", expected 1 or more");
+                errors.add("maxConcurrentConnects: " + maxConcurrentConnects + ", expected 1 or more");
             }
             if (!errors.isEmpty()) {
                 throw new IllegalArgumentException(String.join("; ", errors));
--- a/client/src/main/java/weldhitch/client/policy/AdaptiveThrottle.java
+++ b/client/src/main/java/weldhitch/client/policy/AdaptiveThrottle.java
@@ -1,11 +1,11 @@
 package weldhitch.client.policy;
 
 /**
- * Client-side adaptive throttling, for one node and request class: rejects locally with probability max(0,
- * (requests - K accepts - 5) / (requests + 1)), over counts that decay exponentially (Beyer et al., Site
- * Reliability Engineering, chapter 21, "Client-Side Throttling"; the 5 is this project's, as one rejection of
- * one request would otherwise throttle half of what comes next). A request counts when it is rejected, accepted
- * or throttled: while its response is outstanding nothing is known. Single-threaded.
+ * Client-side adaptive throttling for one node and request class. Rejects locally with probability max(0, (requests -
+ * K accepts - 5) / (requests + 1)), over counts that decay exponentially (Beyer et al., Site Reliability Engineering,
+ * chapter 21, "Client-Side Throttling"). The constant 5 is not in the book: without it, one rejection of one request
+ * would throttle half of the following requests. A request is counted when it is rejected, accepted or throttled,
+ * because nothing is known while its response is outstanding. Single-threaded.
  */
 final class AdaptiveThrottle {
     /** Time constant of the decay in nanoseconds. */
@@ -22,19 +22,19 @@
         this.multiplier = multiplier;
     }
 
-    /** The probability with which to reject locally now. */
+    /** Returns the probability with which to reject a request locally now. */
     double rejectionProbability(long now) {
         decay(now);
         return Math.max(0, (requests - multiplier * accepts - REJECTION_ALLOWANCE) / (requests + 1));
     }
 
-    /** The node rejected a request, or it was throttled here. */
+    /** Records that the node rejected a request, or that a request was throttled locally. */
     void recordRejection(long now) {
         decay(now);
         requests++;
     }
 
-    /** The node accepted a request, whatever its result. */
+    /** Records that the node accepted a request, whatever its result. */
     void recordAccept(long now) {
         decay(now);
         requests++;
--- a/client/src/main/java/weldhitch/client/policy/AttemptOutcome.java
+++ b/client/src/main/java/weldhitch/client/policy/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package weldhitch.client.policy;
 
-/** How one attempt ended. */
+/** The outcome of one attempt. */
 public enum AttemptOutcome {
     /** A complete response with status 200. */
     OK(false),
--- a/client/src/main/java/weldhitch/client/policy/CallResult.java
+++ b/client/src/main/java/weldhitch/client/policy/CallResult.java
@@ -1,21 +1,21 @@
 package weldhitch.client.policy;
 
-/** How a call ended. */
+/** The result of a call. */
 public enum CallResult {
     /** A node answered with success. */
     SUCCEEDED,
-    /** Rejected by nodes: it was not executed, and a later call does no harm. */
+    /** Rejected by nodes: it was not executed, so that repeating the call is safe. */
     REJECTED,
-    /** Rejected by the client itself, as its nodes reject most of its requests: it was not executed. */
+    /** Rejected by the client itself, because its nodes reject most of its requests: it was not executed. */
     THROTTLED,
     /** No node could be reached: it was not executed. */
     UNREACHABLE,
-    /** Its deadline is too close or has passed, and it was not executed. */
+    /** The deadline is too close or has passed, and the request was not executed. */
     DEADLINE_EXCEEDED,
-    /** An idempotent call without a response. */
+    /** An idempotent call without a successful response. */
     FAILED,
-    /** It may have been executed, or may be yet: neither a failure nor a success. */
+    /** May have been executed, or may still be executed: neither a failure nor a success. */
     OUTCOME_UNKNOWN,
-    /** Its caller has cancelled it. */
+    /** Cancelled by its caller. */
     CANCELLED
 }
--- a/client/src/main/java/weldhitch/client/policy/CallStateMachine.java
+++ b/client/src/main/java/weldhitch/client/policy/CallStateMachine.java
@@ -8,14 +8,15 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 
 /**
- * All decisions of a client: which node an attempt goes to and when, whether there is another, and how the call
- * ends. Driven by {@code WeldhitchClient}, which executes the returned actions.
+ * Makes all decisions of a client: which node an attempt goes to and when, whether a call is retried, and how the
+ * call ends. Driven by {@code WeldhitchClient}, which executes the returned actions.
  *
- * <p>Invariants: a non-idempotent call is retried only if every attempt before is known not to have been
- * executed; one with an idempotency key only within the deduplication window; no attempt starts that cannot end
- * before the deadline; a call that cannot succeed any more ends at once; a node that sent Retry-After gets no
- * attempt of any call until then; reconnects to lost nodes are spread differently by each client.
- * Single-threaded; the caller passes the time (nanoseconds, any origin), and all randomness comes from the
+ * <p>Invariants: A non-idempotent call is retried only if all its earlier attempts are known not to have been
+ * executed. A call with an idempotency key is retried only within the deduplication window. No attempt starts that
+ * cannot end before the deadline. A call that can no longer succeed ends at once. A node that sent Retry-After gets
+ * no attempt of any call until that time has passed. Each client spreads its reconnects to lost nodes differently.
+ *
+ * <p>Single-threaded. The caller passes the time in nanoseconds from any origin, and all randomness comes from the
  * seed.
  */
 public final class CallStateMachine {
@@ -24,27 +25,27 @@
             permits CallStarted, AttemptEnded, CallCancelled, TimerFired, ConnectionLost, NodesChanged {}
 
     /**
-     * A call begins.
+     * Starts a call.
      *
-     * @param deadline a time in nanoseconds, not a duration
+     * @param deadline the time of the deadline in nanoseconds, not a duration
      */
     public record CallStarted(long callId, String requestClass, Idempotency idempotency, long deadline)
             implements Event {}
 
     /**
-     * An attempt has ended; not reported for an attempt that was cancelled.
+     * Reports that an attempt has ended; not sent for a cancelled attempt.
      *
-     * @param retryAfter nanoseconds that a rejection asks to wait; 0 for none
+     * @param retryAfter the nanoseconds that a rejection asks to wait; 0 for none
      */
     public record AttemptEnded(long callId, int attempt, AttemptOutcome outcome, long retryAfter) implements Event {}
 
-    /** The caller has cancelled its call. */
+    /** Reports that the caller has cancelled its call. */
     public record CallCancelled(long callId) implements Event {}
 
-    /** The time requested by {@link ScheduleTimer} has come. */
+    /** Reports that the time requested by {@link ScheduleTimer} has come. */
     public record TimerFired() implements Event {}
 
-    /** The last connection to a node was closed without notice, with no attempt on it. */
+    /** Reports that the last connection to a node was closed unannounced, with no attempt on it. */
     public record ConnectionLost(String node) implements Event {}
 
     /** Replaces the list of nodes. */
@@ -54,33 +55,34 @@
     public sealed interface Action permits SendAttempt, CancelAttempt, CompleteCall, ScheduleTimer {}
 
     /**
-     * Send an attempt to a node.
+     * Sends an attempt to a node.
      *
-     * @param attempt counts the attempts of the call from 0
+     * @param attempt the number of the attempt within its call, counted from 0
      * @param remainingTime nanoseconds until the deadline of the call
      */
     public record SendAttempt(long callId, int attempt, String node, long remainingTime) implements Action {}
 
-    /** Abandon an attempt: its outcome is not needed any more. */
+    /** Abandons an attempt whose outcome is no longer needed. */
     public record CancelAttempt(long callId, int attempt) implements Action {}
 
     /**
-     * Complete the call; sent once for each.
+     * Completes a call; returned once for each call.
      *
-     * @param attempts attempts sent
+     * @param attempts the number of attempts sent
      * @param retryAfter nanoseconds after which a new call may succeed; 0 for no advice
      */
     public record CompleteCall(long callId, CallResult result, int attempts, long retryAfter) implements Action {}
 
-    /** Deliver {@link TimerFired} at this time (nanoseconds); replaces the timer scheduled before, which was later. */
+    /**
+     * Requests a {@link TimerFired} at this time in nanoseconds; replaces the timer scheduled before, which was later.
+     */
     public record ScheduleTimer(long at) implements Action {}
 
-    /** Upper bound on an honoured Retry-After: an hour. A longer one is cut to this. */
+    /** Upper bound on Retry-After, one hour in nanoseconds; longer values are reduced to it. */
     private static final long MAX_RETRY_AFTER = 3600 * ClientPolicy.SECOND;
 
     /**
-     * How long a probe may go unanswered before that counts as a failure, while no latency of its class is
-     * known.
+     * Time in nanoseconds after which an unanswered probe counts as a failure, while no latency of its class is known.
      */
     private static final long DEFAULT_RESPONSE_TIMEOUT = ClientPolicy.SECOND;
 
@@ -97,9 +99,9 @@
     private List<Action> actions;
 
     /**
-     * A state machine without calls.
+     * Creates a state machine without calls.
      *
-     * @param seed unique to this client: two clients with one seed would reconnect at the same times
+     * @param seed unique to this client, because two clients with the same seed would reconnect at the same times
      */
     public CallStateMachine(ClientPolicy policy, List<String> addresses, long seed) {
         this.policy = policy;
@@ -113,7 +115,7 @@
     /**
      * Handles one event and returns the actions, in order.
      *
-     * @param eventTime the time of the event; one before the last event counts as the time of the last
+     * @param eventTime the time of the event in nanoseconds; a time before the last event counts as that event's time
      */
     public List<Action> handle(long eventTime, Event event) {
         now = Math.max(now == 0 ? eventTime : now, eventTime);
@@ -147,8 +149,6 @@
         subset.forEach(address -> nodes.computeIfAbsent(address, NodeState::new));
     }
 
-    // ---- calls ----
-
     private void startCall(CallStarted started) {
         if (calls.containsKey(started.callId())) {
             return;
@@ -161,7 +161,10 @@
         sendAttempt(call);
     }
 
-    /** Checks all calls that wait for a time, for a node with capacity, or for their deadline. */
+    /**
+     * Resumes the calls that wait for a time or for a node with capacity, ends those whose deadline has passed, and
+     * schedules the next timer.
+     */
     private void processWaitingCalls() {
         long nextTimer = Long.MAX_VALUE;
         for (OutgoingCall call : List.copyOf(calls.values())) {
@@ -186,9 +189,9 @@
 
     private void onDeadlineExceeded(OutgoingCall call) {
         if (call.currentNode != null) {
-            // A node that does not answer in time has failed. But a probe cut short by the deadline of its own
-            // call proves nothing, and another ejection period would keep the client away from a node that may
-            // be up.
+            // A node that does not answer in time counts as failed. But a probe that is cut short by the deadline of
+            // its own call proves nothing, and ejecting the node again would keep the client away from a node that
+            // may be up.
             LatencyEstimate latency = latencyByClass.get(call.requestClass);
             if (call.currentNode.availability != NodeState.Availability.PROBING
                     || now - call.sentAt >= (latency == null ? DEFAULT_RESPONSE_TIMEOUT : latency.responseTimeout())) {
@@ -217,7 +220,7 @@
         }
     }
 
-    /** Sends the call to a node, or lets it wait if that can help, or ends it. */
+    /** Sends the call to a node, lets it wait if that can help, or ends it. */
     private void sendAttempt(OutgoingCall call) {
         if (nodes.isEmpty()) {
             complete(call, call.possiblyExecuted ? unansweredResult(call) : CallResult.UNREACHABLE, 0);
@@ -235,8 +238,8 @@
                 failWithoutAttempt(call, earliestAvailable - now);
                 return;
             }
-            // Waits for the time at which a node becomes available. If a probe is in flight or a node has no
-            // capacity, 0: the outcome of that attempt decides.
+            // Waits for the time at which a node becomes available. That time is 0 if a probe is in flight or a node
+            // has no capacity: the call then resumes when the outcome of that attempt is known.
             call.resumeAt = earliestAvailable < Long.MAX_VALUE && earliestAvailable > now ? earliestAvailable : 0;
             return;
         }
@@ -281,7 +284,7 @@
     }
 
     /**
-     * Picks the less loaded of two random available nodes (power of two choices), leaving out the node of the
+     * Picks the less loaded of two random available nodes (power of two choices), excluding the node of the
      * last attempt if there are others; null if none is available.
      */
     private NodeState pickNode(OutgoingCall call) {
@@ -302,8 +305,6 @@
         return second.inFlight < first.inFlight ? second : first;
     }
 
-    // ---- ends of tries ----
-
     private void onAttemptEnded(AttemptEnded ended) {
         OutgoingCall call = calls.get(ended.callId());
         if (call == null || call.currentNode == null || ended.attempt() != call.attempts - 1) {
@@ -337,8 +338,8 @@
                 recordAccept(node, call);
             }
             case STALE_CONNECTION -> {
-                // An idle connection may be closed by a healthy node, so this is no failure, unless it was the
-                // probe.
+                // A healthy node may close an idle connection, so this does not count as a failure unless the
+                // attempt was the probe.
                 if (node.availability == NodeState.Availability.PROBING) {
                     recordFailure(node);
                 }
@@ -371,7 +372,7 @@
             endUnanswered(call, retryAfter);
             return;
         }
-        // A connection that was closed while idle is no sign of overload: the first such retry of a call waits
+        // A connection that was closed while idle is no sign of overload, so the first such retry of a call waits
         // for no backoff and takes no retry token.
         boolean unbudgeted =
                 (call.lastOutcome == AttemptOutcome.STALE_CONNECTION || call.lastOutcome == AttemptOutcome.NOT_SENT)
@@ -389,7 +390,7 @@
                                 + random.nextDouble()
                                         * (Math.max(policy.initialBackoff(), 3 * call.backoff)
                                                 - policy.initialBackoff()));
-        // Retry-After is the minimum; the backoff comes on top, so that clients do not return together.
+        // The retry waits for Retry-After plus the backoff, so that clients do not return at the same time.
         long retryAt = now + Math.min(MAX_RETRY_AFTER, Math.max(0, retryAfter)) + call.backoff;
         if (nodes.size() > 1 && retryAfter > 0) {
             // The retry goes to another node, which has not sent Retry-After.
@@ -421,7 +422,7 @@
         if (call.currentNode != null) {
             call.currentNode.inFlight--;
             if (call.currentNode.availability == NodeState.Availability.PROBING) {
-                // The outcome of the abandoned probe is lost: allow another one at once.
+                // The outcome of the abandoned probe is lost, so another probe is allowed at once.
                 call.currentNode.eject(now, now);
             }
             actions.add(new CancelAttempt(call.id, call.attempts - 1));
@@ -430,12 +431,12 @@
         actions.add(new CompleteCall(call.id, result, call.attempts, retryAfter));
     }
 
-    /** The number of calls that have not ended. */
+    /** Returns the number of calls that have not ended. */
     public int pendingCallCount() {
         return calls.size();
     }
 
-    /** The nodes of the subset that this client uses, best ranked first unless the list has changed. */
+    /** Returns the nodes of this client's subset, highest-ranked first unless the list of nodes has changed. */
     public List<String> nodes() {
         return List.copyOf(nodes.keySet());
     }
--- a/client/src/main/java/weldhitch/client/policy/ClientPolicy.java
+++ b/client/src/main/java/weldhitch/client/policy/ClientPolicy.java
@@ -6,18 +6,17 @@
 /**
  * The retry, throttling and ejection settings of a client; durations are nanoseconds. Immutable.
  *
- * @param maxAttempts attempts of one call at most, the first included; 1 to 10
+ * @param maxAttempts maximum number of attempts of one call, including the first; 1 to 10
  * @param initialBackoff minimum backoff, from which backoffs grow (decorrelated jitter); 1 ms to 1 minute
- * @param maxBackoff maximum backoff of the client's own, before Retry-After is added; from {@code firstWait}
- *     to 10 minutes
+ * @param maxBackoff maximum backoff, to which Retry-After is added; from {@code initialBackoff} to 10 minutes
  * @param retryRatio retry tokens earned by each call; 0 to 1
  * @param minRetriesPerSecond retry tokens earned each second, whatever the number of calls; 0 to 1000
- * @param throttleMultiplier the throttle lets through this many times the accepted requests (Site Reliability
- *      Engineering,
- *     chapter 21); 1.1 to 100
+ * @param throttleMultiplier how many times the number of accepted requests the throttle lets through (Site Reliability
+ *     Engineering, chapter 21); 1.1 to 100
  * @param ejectionThreshold consecutive failures after which a node is ejected; 1 to 1000
  * @param minReconnectWindow initial window over which reconnects to a lost node are spread; 10 ms to 10 minutes
- * @param maxReconnectWindow maximum of that window, which grows with the outage; from {@code spread} to 1 hour
+ * @param maxReconnectWindow maximum of that window, which grows with the outage; from {@code minReconnectWindow} to 1
+ *     hour
  * @param subsetSize how many of the nodes this client uses; 1 or more
  * @param deduplicationWindow deduplication window of the servers; 0 if they do not deduplicate
  */
@@ -39,53 +38,58 @@
             new ClientPolicy(3, 100 * MS, 10 * SECOND, 0.1, 0.2, 2, 3, SECOND, 60 * SECOND, 3, 0);
 
     /**
-     * Checks all ranges.
+     * Validates all components.
      *
-     * @throws IllegalArgumentException naming all settings that are out of range
+     * @throws IllegalArgumentException if components are out of range; the message names all of them
      */
     public ClientPolicy {
         List<String> errors = new ArrayList<>();
-        check(errors, maxAttempts >= 1 && maxAttempts <= 10, "tries", maxAttempts, "1 to 10");
+        check(errors, maxAttempts >= 1 && maxAttempts <= 10, "maxAttempts", maxAttempts, "1 to 10");
         check(
                 errors,
                 initialBackoff >= MS && initialBackoff <= 60 * SECOND,
-                "firstWait",
+                "initialBackoff",
                 initialBackoff,
                 "1 ms to 1 minute");
         check(
                 errors,
                 maxBackoff >= initialBackoff && maxBackoff <= 600 * SECOND,
-                "longestWait",
+                "maxBackoff",
                 maxBackoff,
-                "firstWait to 10 minutes");
-        check(errors, retryRatio >= 0 && retryRatio <= 1, "budgetShare", retryRatio, "0 to 1");
+                "initialBackoff to 10 minutes");
+        check(errors, retryRatio >= 0 && retryRatio <= 1, "retryRatio", retryRatio, "0 to 1");
         check(
                 errors,
                 minRetriesPerSecond >= 0 && minRetriesPerSecond <= 1000,
-                "budgetFloor",
+                "minRetriesPerSecond",
                 minRetriesPerSecond,
                 "0 to 1000");
         check(
                 errors,
                 throttleMultiplier >= 1.1 && throttleMultiplier <= 100,
-                "accepts",
+                "throttleMultiplier",
                 throttleMultiplier,
                 "1.1 to 100");
-        check(errors, ejectionThreshold >= 1 && ejectionThreshold <= 1000, "openAfter", ejectionThreshold, "1 to 1000");
+        check(
+                errors,
+                ejectionThreshold >= 1 && ejectionThreshold <= 1000,
+                "ejectionThreshold",
+                ejectionThreshold,
+                "1 to 1000");
         check(
                 errors,
                 minReconnectWindow >= 10 * MS && minReconnectWindow <= 600 * SECOND,
-                "spread",
+                "minReconnectWindow",
                 minReconnectWindow,
                 "10 ms to 10 minutes");
         check(
                 errors,
                 maxReconnectWindow >= minReconnectWindow && maxReconnectWindow <= 3600 * SECOND,
-                "longestSpread",
+                "maxReconnectWindow",
                 maxReconnectWindow,
-                "spread to 1 hour");
-        check(errors, subsetSize >= 1, "subset", subsetSize, "1 or more");
-        check(errors, deduplicationWindow >= 0, "keyMemory", deduplicationWindow, "0 or more");
+                "minReconnectWindow to 1 hour");
+        check(errors, subsetSize >= 1, "subsetSize", subsetSize, "1 or more");
+        check(errors, deduplicationWindow >= 0, "deduplicationWindow", deduplicationWindow, "0 or more");
         if (!errors.isEmpty()) {
             throw new IllegalArgumentException(String.join("; ", errors));
         }
--- a/client/src/main/java/weldhitch/client/policy/LatencyEstimate.java
+++ b/client/src/main/java/weldhitch/client/policy/LatencyEstimate.java
@@ -1,12 +1,12 @@
 package weldhitch.client.policy;
 
 /**
- * Latency estimate of one request class: an exponentially weighted mean, and a recent minimum. Nanoseconds.
+ * Estimates the latency of one request class, in nanoseconds: an exponentially weighted mean and a recent minimum.
  * Belongs to {@link CallStateMachine}, single-threaded.
  */
 final class LatencyEstimate {
     private static final double SMOOTHING_FACTOR = 0.1;
-    /** Fraction of the distance to the mean by which the minimum rises at each answer. */
+    /** Fraction of the distance to the mean by which the minimum rises with each response. */
     private static final double MINIMUM_DECAY = 0.02;
 
     private double mean;
@@ -18,12 +18,12 @@
         minimum = minimum == 0 ? latency : Math.min(latency, minimum + MINIMUM_DECAY * Math.max(0, mean - minimum));
     }
 
-    /** A response that takes longer than this is overdue. */
+    /** Returns the latency in nanoseconds beyond which a response is overdue. */
     long responseTimeout() {
         return (long) (4 * mean);
     }
 
-    /** An attempt with less time left than this cannot succeed; 0 while nothing is known. */
+    /** Returns the remaining time in nanoseconds below which an attempt cannot succeed; 0 while nothing is known. */
     long minimum() {
         return (long) minimum;
     }
--- a/client/src/main/java/weldhitch/client/policy/NodeState.java
+++ b/client/src/main/java/weldhitch/client/policy/NodeState.java
@@ -4,32 +4,32 @@
 import java.util.Map;
 
 /**
- * What the client knows of one node: attempts in flight, its Retry-After, whether it is ejected and since when,
- * and how many concurrent calls it gets after an outage. Times are nanoseconds. Belongs to {@link CallStateMachine},
+ * The client's state of one node: attempts in flight, its Retry-After, whether it is ejected and since when, and how
+ * many concurrent attempts it gets after an outage. Times are nanoseconds. Belongs to {@link CallStateMachine},
  * single-threaded.
  */
 final class NodeState {
-    /** Available; ejected until the time of the next probe; or ejected with that probe in flight. */
+    /** Whether a node is available, ejected until the time of the next probe, or ejected with that probe in flight. */
     enum Availability {
         UP,
         EJECTED,
         PROBING
     }
 
-    /** From this concurrency on, a recovering node counts as recovered and is not limited any more. */
+    /** Concurrency window from which on a recovering node counts as recovered and is no longer limited. */
     private static final int FULLY_RECOVERED_WINDOW = 64;
 
     final String address;
     final Map<String, AdaptiveThrottle> throttles = new LinkedHashMap<>();
     int inFlight;
-    /** End of the Retry-After that the node sent; it gets no attempts before. */
+    /** End of the Retry-After that the node sent; it gets no attempts before that time. */
     long retryAfterUntil = Long.MIN_VALUE;
 
     Availability availability = Availability.UP;
     long ejectedSince;
     long probeAt;
     private int consecutiveFailures;
-    /** Concurrent attempts allowed; unlimited unless the node is recovering. */
+    /** Number of concurrent attempts allowed; unlimited unless the node is recovering. */
     private int concurrencyWindow = Integer.MAX_VALUE;
 
     NodeState(String address) {
@@ -37,8 +37,8 @@
     }
 
     /**
-     * The time in nanoseconds from which the node may get an attempt; {@code Long.MAX_VALUE} while a probe is
-     * in flight.
+     * Returns the time in nanoseconds from which the node may get an attempt; {@code Long.MAX_VALUE} while a
+     * probe is in flight.
      */
     long availableAt() {
         return availability == Availability.EJECTED
@@ -46,7 +46,7 @@
                 : availability == Availability.PROBING ? Long.MAX_VALUE : retryAfterUntil;
     }
 
-    /** Whether its concurrency window allows another attempt. */
+    /** Returns whether the concurrency window allows another attempt. */
     boolean hasCapacity() {
         return inFlight < concurrencyWindow;
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    /** The node has answered, even if with a rejection: it is reachable. */
+    /** Records a response, even a rejection, which proves that the node is reachable. */
     void onResponse() {
         consecutiveFailures = 0;
         if (availability != Availability.UP) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** A request succeeded; the window of a recovering node grows by one, which doubles it each round trip. */
+    /** Widens the window of a recovering node by one after a success, which doubles it each round trip. */
     void widenWindow() {
         concurrencyWindow = concurrencyWindow >= FULLY_RECOVERED_WINDOW ? Integer.MAX_VALUE : concurrencyWindow + 1;
     }
@@ -75,7 +75,7 @@
     /**
      * Counts a failure.
      *
-     * @return whether the node is to be ejected now
+     * @return whether the node must be ejected now
      */
     boolean recordFailure(int ejectionThreshold) {
         consecutiveFailures++;
@@ -92,7 +92,7 @@
         probeAt = nextProbeAt;
     }
 
-    /** Records a Retry-After; the latest end counts. */
+    /** Records a Retry-After; of several, the latest end applies. */
     void honorRetryAfter(long until) {
         retryAfterUntil = Math.max(retryAfterUntil, until);
     }
--- a/client/src/main/java/weldhitch/client/policy/NodeSubset.java
+++ b/client/src/main/java/weldhitch/client/policy/NodeSubset.java
@@ -6,9 +6,9 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Picks the subset of nodes that one client uses: those with the highest hash together with the client's own
- * number (rendezvous hashing, Thaler and Ravishankar 1998), so that clients spread evenly and a removed node
- * moves only its own clients. Stateless.
+ * Selects the subset of nodes that one client uses: those with the highest hash of address and client id (rendezvous
+ * hashing, Thaler and Ravishankar 1998). Clients thus spread evenly, and removing a node moves only the clients that
+ * used it. Stateless.
  */
 final class NodeSubset {
     /** A node and its rendezvous hash. */
@@ -16,7 +16,7 @@
 
     private NodeSubset() {}
 
-    /** The nodes of this client, highest hash first. */
+    /** Returns the nodes of this client, highest hash first. */
     static List<String> select(List<String> addresses, int size, long clientId) {
         return addresses.stream()
                 .distinct()
--- a/client/src/main/java/weldhitch/client/policy/OutgoingCall.java
+++ b/client/src/main/java/weldhitch/client/policy/OutgoingCall.java
@@ -14,8 +14,8 @@
 
     long sentAt;
     /**
-     * When the first attempt that may have been executed was sent; meaningless while {@code mayHaveRun} is
-     * false.
+     * Time at which the first attempt that may have been executed was sent; meaningless while
+     * {@code possiblyExecuted} is false.
      */
     long possiblyExecutedSince;
 
@@ -26,7 +26,7 @@
     long resumeAt;
 
     long backoff;
-    /** Whether a retry token (or the first attempt) covers the attempt at hand. */
+    /** Whether the current attempt is covered, by a retry token or as the first attempt. */
     boolean paid;
 
     boolean unbudgetedRetryUsed;
--- a/client/src/main/java/weldhitch/client/policy/ReconnectJitter.java
+++ b/client/src/main/java/weldhitch/client/policy/ReconnectJitter.java
@@ -3,8 +3,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Jitter of reconnects to a lost node: uniform over a window as long as the outage has been (within bounds), so
- * that all clients that lost it together come back spread over as long as it was away. Immutable.
+ * Spreads reconnects to a lost node: draws each delay uniformly from a window as long as the outage so far (within
+ * bounds), so that the clients that lost the node together do not return together. Immutable.
  */
 final class ReconnectJitter {
     private final long minWindow;
@@ -22,8 +22,8 @@
      */
     long nextDelay(long outage, UniformRandomProvider random) {
         long window = Math.max(minWindow, Math.min(maxWindow, outage));
-        // At least a tenth of the window: draws near 0 in a row would make the client reconnect in a tight
-        // loop.
+        // At least a tenth of the window, because several draws near 0 in a row would make the client reconnect in a
+        // tight loop.
         return (long) (window * (0.1 + 0.9 * random.nextDouble()));
     }
 }
--- a/client/src/main/java/weldhitch/client/policy/RetryBudget.java
+++ b/client/src/main/java/weldhitch/client/policy/RetryBudget.java
@@ -1,9 +1,9 @@
 package weldhitch.client.policy;
 
 /**
- * A token bucket of retries, as in Finagle: every call adds its share of a token, time adds a minimum rate,
- * every retry takes one token. Holds at most ten times the larger of ten calls' share and one second of the
- * minimum rate, and at least one token. Single-threaded.
+ * A token bucket of retries, as in Finagle. Every call adds a fraction of a token, time adds tokens at a minimum rate,
+ * and every retry takes one token. The bucket holds at most ten times the larger of the tokens of ten calls and the
+ * tokens of one second at the minimum rate, and at least one token. Single-threaded.
  */
 final class RetryBudget {
     private static final double BURST_FACTOR = 10;
@@ -22,14 +22,14 @@
         tokens = Math.min(maxTokens, 1);
     }
 
-    /** Earns the share of one call. */
+    /** Adds the tokens that one call earns. */
     void recordCall(long now) {
         refill(now);
         tokens = Math.min(maxTokens, tokens + retryRatio);
     }
 
     /**
-     * Takes one token.
+     * Takes one token for a retry.
      *
      * @return false if there is none
      */
--- a/client/src/main/java/weldhitch/client/policy/package-info.java
+++ b/client/src/main/java/weldhitch/client/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * All decisions of the client as a state machine: events in, actions out, with a seeded random generator; free
- * of I/O, clocks and threads.
+ * All decisions of the client, as a state machine with events as input, actions as output and a seeded random
+ * generator; without I/O, clocks or threads.
  */
 package weldhitch.client.policy;
--- a/client/src/test/java/weldhitch/client/WeldhitchClientTest.java
+++ b/client/src/test/java/weldhitch/client/WeldhitchClientTest.java
@@ -33,7 +33,7 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** The client against scripted nodes on loopback. */
+/** Tests the client against scripted nodes on loopback. */
 class WeldhitchClientTest {
     private static final byte[] BODY = "visit=7".getBytes(StandardCharsets.UTF_8);
     private static final ClientPolicy POLICY = new ClientPolicy(
@@ -93,8 +93,8 @@
                     && !first.header("x-trace-id").equals(second.header("x-trace-id")));
             double elapsedSeconds = Double.parseDouble(first.header("x-expires-in"))
                     - Double.parseDouble(second.header("x-expires-in"));
-            assertTrue(elapsedSeconds >= 0.05 && elapsedSeconds < 9, "counted down by " + elapsedSeconds);
-            assertEquals(1, node.connections.size(), "one connection for both");
+            assertTrue(elapsedSeconds >= 0.05 && elapsedSeconds < 9, "remaining time decreased by " + elapsedSeconds);
+            assertEquals(1, node.connections.size(), "one connection for both requests");
             client.send(Request.idempotent("view-slots"));
             RawHttpMessage get = node.nextRequest();
             assertEquals("GET /view-slots HTTP/1.1", get.firstLine());
@@ -102,7 +102,7 @@
         }
     }
 
-    /** A connect may take long, and the call's time passes meanwhile: the node is told what is left of it. */
+    /** The remaining time that a request states is reduced by the time spent connecting. */
     @Test
     void remainingTimeDoesNotIncludeTheConnect() throws Exception {
         double timeoutSeconds = 8;
@@ -123,15 +123,15 @@
             double statedSeconds = Double.parseDouble(request.header("x-expires-in"));
             assertTrue(
                     statedSeconds <= timeoutSeconds - elapsed + 0.15,
-                    "told " + statedSeconds + " s, " + elapsed + " s after the call");
+                    "stated " + statedSeconds + " s, " + elapsed + " s after the call");
             node.write(ok("booked"));
             assertEquals(1, response.join().attempts());
         }
     }
 
     /**
-     * A node closed an idle connection, or wrote to it, while the client's event loop was held up: the call that
-     * follows goes out on another connection, and gets its own response.
+     * A node closes an idle connection, or writes to it, while the client's event loop is blocked. The next call uses
+     * another connection and gets its own response.
      */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset", "stray response"})
@@ -303,8 +303,7 @@
     }
 
     /**
-     * Without any response a call still ends shortly after its deadline, and the client recovers with the
-     * network.
+     * Without any response a call still ends shortly after its deadline, and the client recovers once the network does.
      */
     @Test
     void noCallOutlivesItsDeadline() throws Exception {
@@ -374,7 +373,7 @@
                                 .maxConcurrentConnects(0)
                                 .build())
                 .getMessage();
-        for (String name : List.of("nowhere", "a:99999", "deadline", "connectTimeout", "dials")) {
+        for (String name : List.of("nowhere", "a:99999", "defaultTimeout", "connectTimeout", "maxConcurrentConnects")) {
             assertTrue(message.contains(name), name + " in " + message);
         }
         assertThrows(IllegalArgumentException.class, () -> Request.idempotent("view slots"));
--- a/client/src/test/java/weldhitch/client/policy/CallStateMachineTest.java
+++ b/client/src/test/java/weldhitch/client/policy/CallStateMachineTest.java
@@ -33,8 +33,7 @@
 import weldhitch.client.policy.CallStateMachine.TimerFired;
 
 /**
- * Checks the client state machine with a manual clock: exhaustively for up to three attempts, and with random
- * events.
+ * Tests the client state machine with a manual clock: exhaustively for up to three attempts, and with random events.
  */
 class CallStateMachineTest {
     private static final long MS = ClientPolicy.MS;
@@ -62,25 +61,25 @@
         void handle(Event event) {
             for (Action action : stateMachine.handle(now, event)) {
                 if (action instanceof SendAttempt attempt) {
-                    assertFalse(completions.containsKey(attempt.callId()), "a try after the end: " + attempt);
-                    assertFalse(outstanding.containsKey(attempt.callId()), "two tries at once: " + attempt);
+                    assertFalse(completions.containsKey(attempt.callId()), "attempt after the end: " + attempt);
+                    assertFalse(outstanding.containsKey(attempt.callId()), "two concurrent attempts: " + attempt);
                     assertEquals(deadlineByCall.get(attempt.callId()) - now, attempt.remainingTime());
-                    assertTrue(attempt.remainingTime() > 0, "a try past the deadline");
+                    assertTrue(attempt.remainingTime() > 0, "attempt after the deadline");
                     assertTrue(
                             idempotencyByCall.get(attempt.callId()) != Idempotency.NON_IDEMPOTENT
                                     || possibleExecutions.getOrDefault(attempt.callId(), 0) == 0,
-                            "may run twice: " + attempt);
+                            "possibly executed twice: " + attempt);
                     outstanding.put(attempt.callId(), attempt);
                     attempts.add(attempt);
                 } else if (action instanceof CompleteCall completion) {
-                    assertEquals(null, completions.put(completion.callId(), completion), "two ends");
+                    assertEquals(null, completions.put(completion.callId(), completion), "call completed twice");
                     outstanding.remove(completion.callId());
                     boolean notExecuted = possibleExecutions.getOrDefault(completion.callId(), 0) == 0;
                     switch (completion.result()) {
                         case REJECTED, THROTTLED, UNREACHABLE, DEADLINE_EXCEEDED ->
                             assertTrue(
                                     notExecuted || idempotencyByCall.get(completion.callId()) == Idempotency.IDEMPOTENT,
-                                    "said never to have run: " + completion);
+                                    "reported as not executed, but possibly executed: " + completion);
                         case FAILED -> assertEquals(Idempotency.IDEMPOTENT, idempotencyByCall.get(completion.callId()));
                         case OUTCOME_UNKNOWN ->
                             assertTrue(idempotencyByCall.get(completion.callId()) != Idempotency.IDEMPOTENT);
@@ -119,7 +118,7 @@
             now = time;
         }
 
-        /** Drops the records of ended calls: those of thousands of clients would not fit into memory. */
+        /** Drops the records of ended calls, because those of thousands of clients would not fit into memory. */
         void clearHistory() {
             idempotencyByCall.clear();
             deadlineByCall.clear();
@@ -134,7 +133,7 @@
     }
 
     /**
-     * Every combination of outcomes of up to three attempts, no response included; the harness asserts the
+     * Tries every combination of outcomes of up to three attempts, including no response; the harness asserts the
      * invariants.
      */
     @Test
@@ -166,14 +165,14 @@
                             harness.advanceTo(Math.min(harness.now + 1500 * MS, 1000 * S + 2 * S - 1));
                         }
                         harness.advanceTo(1000 * S + 2 * S);
-                        assertTrue(harness.result(1) != null, "no end");
+                        assertTrue(harness.result(1) != null, "call did not end");
                         assertEquals(0, harness.stateMachine.pendingCallCount());
                         assertTrue(harness.attempts.size() <= 3);
                     }
                 }
             }
         }
-        assertTrue(steps > 9000, "states: " + steps);
+        assertTrue(steps > 9000, "steps: " + steps);
     }
 
     @Property(tries = 300, seed = "20261201")
@@ -223,16 +222,16 @@
             }
         }
         harness.advanceTo(harness.now + 4 * S);
-        assertEquals(callCount, harness.completions.size(), "a call without an end");
+        assertEquals(callCount, harness.completions.size(), "number of calls that ended");
         assertEquals(0, harness.stateMachine.pendingCallCount());
-        // First attempts take no retry token, nor does one retry of each call for a closed connection.
+        // First attempts take no retry token, nor does one retry of each call after a stale connection.
         long retries = harness.attempts.stream().filter(t -> t.attempt() > 0).count();
         double allowedRetries = 10 * Math.max(policy.retryRatio() * 10, policy.minRetriesPerSecond())
                 + 1
                 + policy.retryRatio() * callCount
                 + policy.minRetriesPerSecond() * (harness.now - 1000 * S) / S
                 + callCount;
-        assertTrue(retries <= allowedRetries, retries + " repeats, " + allowedRetries + " allowed");
+        assertTrue(retries <= allowedRetries, retries + " retries, " + allowedRetries + " allowed");
     }
 
     @Test
@@ -307,7 +306,7 @@
             throttled += harness.result(i) == CallResult.THROTTLED ? 1 : 0;
             harness.advanceTo(harness.now + 5 * MS);
         }
-        assertTrue(throttled > 600 && throttled < 900, throttled + " of 1000 kept back");
+        assertTrue(throttled > 600 && throttled < 900, throttled + " of 1000 throttled");
         ClientHarness healthyHarness = new ClientHarness(policy, 7, "a:1");
         for (long i = 1; i <= 1000; i++) {
             healthyHarness.startCall(i, Idempotency.IDEMPOTENT, S);
@@ -344,7 +343,7 @@
         List<SendAttempt> probes = harness.outstanding.values().stream()
                 .filter(t -> t.node().equals("a:1"))
                 .toList();
-        assertEquals(1, probes.size(), "one call probes it: " + probes);
+        assertEquals(1, probes.size(), "calls that probe the ejected node: " + probes);
         harness.endAttempt(probes.get(0).callId(), AttemptOutcome.OK, 0);
         for (int i = 0; i < 40; i++) {
             harness.startCall(++callId, Idempotency.IDEMPOTENT, 5 * S);
@@ -354,10 +353,10 @@
                 harness.outstanding.values().stream()
                         .filter(t -> t.node().equals("a:1"))
                         .count(),
-                "a node that came back is flooded");
+                "concurrent attempts at the recovering node");
     }
 
-    /** Whatever the outcome of a probe, the node gets attempts again later. */
+    /** After every outcome of a probe, the node gets attempts again later. */
     @Test
     void nodeIsRetriedAfterEveryProbeOutcome() {
         for (AttemptOutcome outcome : AttemptOutcome.values()) {
@@ -368,17 +367,16 @@
             harness.endAttempt(1, outcome, 0);
             harness.advanceTo(harness.now + 50 * S);
             if (harness.outstanding.containsKey(1L)) {
-                // The call was retried; a recovering node gets one attempt at a time, so this one must end
-                // first.
+                // The call was retried. A recovering node gets one attempt at a time, so this one must end first.
                 harness.endAttempt(1, AttemptOutcome.OK, 0);
             }
             harness.startCall(2, Idempotency.IDEMPOTENT, 50 * S);
             harness.advanceTo(harness.now + 40 * S);
-            assertTrue(harness.attempts.stream().anyMatch(t -> t.callId() == 2), outcome + ": never tried again");
+            assertTrue(harness.attempts.stream().anyMatch(t -> t.callId() == 2), outcome + ": no further attempt");
         }
     }
 
-    /** 2,000 clients lose their only node for 10 s; their reconnects must be spread over time. */
+    /** 2,000 clients lose their only node for 10 s, and their reconnects must be spread over time. */
     @Test
     void reconnectsOfManyClientsSpreadOverTheOutageLength() {
         record Wakeup(long at, int client) {}
@@ -415,7 +413,7 @@
             }
             if (!reconnected[wakeup.client]) {
                 wakeups.add(new Wakeup(wakeup.at + 100 * MS, wakeup.client));
-                assertTrue(wakeup.at < outageEnd + 60 * S, "a client stays away: " + wakeup.client);
+                assertTrue(wakeup.at < outageEnd + 60 * S, "client did not reconnect: " + wakeup.client);
             }
         }
         assertEquals(
@@ -425,8 +423,10 @@
                 returnsByHalfSecond.values().stream().mapToInt(n -> n).max().orElseThrow();
         assertTrue(
                 returnsByHalfSecond.lastKey() >= 10,
-                "back within " + (returnsByHalfSecond.lastKey() + 1) / 2.0 + " s: " + returnsByHalfSecond);
-        assertTrue(maxReturns < clientCount / 5, "in half a second " + maxReturns + ": " + returnsByHalfSecond);
+                "all reconnected within " + (returnsByHalfSecond.lastKey() + 1) / 2.0 + " s: " + returnsByHalfSecond);
+        assertTrue(
+                maxReturns < clientCount / 5,
+                "reconnects in half a second: " + maxReturns + ": " + returnsByHalfSecond);
     }
 
     @Test
@@ -455,16 +455,16 @@
                         IllegalArgumentException.class, () -> new ClientPolicy(0, 0, 1, 2, -1, 1, 0, 1, 0, 0, -1))
                 .getMessage();
         for (String name : List.of(
-                "tries",
-                "firstWait",
-                "budgetShare",
-                "budgetFloor",
-                "accepts",
-                "openAfter",
-                "spread",
-                "longestSpread",
-                "subset",
-                "keyMemory")) {
+                "maxAttempts",
+                "initialBackoff",
+                "retryRatio",
+                "minRetriesPerSecond",
+                "throttleMultiplier",
+                "ejectionThreshold",
+                "minReconnectWindow",
+                "maxReconnectWindow",
+                "subsetSize",
+                "deduplicationWindow")) {
             assertTrue(message.contains(name + ": "), name + " in " + message);
         }
     }
