--- a/cli/src/main/java/weldhitch/cli/CaptureCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureCommands.java
@@ -26,11 +26,11 @@
 import weldhitch.replay.Replayer;
 import weldhitch.replay.policy.InvariantChecker.Violation;
 
-/** Commands over a capture that don't compare it with a replay: verify, cut and summary. */
+/** Commands on a capture that don't compare it with a replay: verify, cut and summary. */
 @Command(
         name = "capture",
         mixinStandardHelpOptions = true,
-        description = "Counts a capture, holds it against the rules, or cuts an excerpt.",
+        description = "Summarises a capture, checks it against the invariants, or cuts a slice from it.",
         subcommands = {
             CaptureCommands.SummaryCommand.class,
             CaptureCommands.VerifyCommand.class,
@@ -42,15 +42,14 @@
     private CaptureCommands() {}
 
     /**
-     * Checks a capture against the four invariants. Exit status 1 where one is violated, 3 where it can't
-     * be read.
+     * Checks a capture against the four invariants. Exit status 1 if one is violated, 3 if the capture can't be read.
      */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
             description =
-                    "Holds a capture against the four rules: exit status 0 where all are kept, 1 where one is broken, "
-                            + "3 where it can't be read.")
+                    "Checks a capture against the four invariants. Exits with status 0 if all hold, 1 if one is "
+                            + "violated, 3 if the capture can't be read.")
     static final class VerifyCommand implements Callable<Integer> {
         @Mixin
         private CaptureOption capture;
@@ -79,7 +78,7 @@
                             verification.checker.answered(),
                             verification.checker.openRequests(),
                             verification.corruptions(),
-                            violations.isEmpty() ? "all rules kept" : violations.size() + " breaches");
+                            violations.isEmpty() ? "all invariants hold" : violations.size() + " violations");
                 }
                 return violations.isEmpty() ? 0 : 1;
             });
@@ -102,14 +101,14 @@
         }
     }
 
-    /** Cuts a capture slice with names replaced. Exit status 1 where that fails, 3 where it can't be read. */
+    /** Cuts a slice of a capture with names replaced. Exit status 1 if that fails, 3 if the capture can't be read. */
     @Command(
             name = "cut",
             mixinStandardHelpOptions = true,
-            description = "Cuts a small excerpt with what was known before it, in which requests, servers, "
+            description = "Cuts a small slice from a capture, with the state at its start. Requests, servers, "
                     + "tenants and paths are "
-                    + "renamed; it plays as the original does. Exit status 1 where it can't be cut, "
-                    + "3 where it can't be read.")
+                    + "renamed, and the slice replays like the original. Exits with status 1 if it can't be cut, "
+                    + "3 if the capture can't be read.")
     static final class CutCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -117,24 +116,24 @@
         @Parameters(
                 arity = "1..*",
                 paramLabel = "PATH",
-                description = "Segments of a capture in their order, or its directory.")
+                description = "Segments of a capture in order, or the directory that holds them.")
         private List<Path> paths;
 
         @Option(
                 names = "--from",
                 paramLabel = "EVENT",
                 required = true,
-                description = "The first event, counted from 1.")
+                description = "First event of the slice, counted from 1.")
         private long firstEvent;
 
-        @Option(names = "--count", defaultValue = "2000", description = "How many events; 2000.")
+        @Option(names = "--count", defaultValue = "2000", description = "Number of events; default: 2000.")
         private long count;
 
         @Option(
                 names = "--out",
                 paramLabel = "FILE",
                 required = true,
-                description = "Where to write; must not be there.")
+                description = "File to write; must not exist yet.")
         private Path outputFile;
 
         @Override
@@ -145,7 +144,7 @@
             try {
                 CaptureSlicer slicer = new CaptureSlicer(firstEvent, count).read(paths);
                 slicer.write(outputFile);
-                spec.commandLine().getOut().println(slicer.eventCount() + " events in " + outputFile);
+                spec.commandLine().getOut().println(slicer.eventCount() + " events written to " + outputFile);
                 spec.commandLine().getOut().flush();
                 return 0;
             } catch (IOException | IllegalStateException e) {
@@ -157,14 +156,13 @@
     }
 
     /**
-     * Counts a capture's requests and attempts. Exit status 1 where it has no events, 3 where it can't be
-     * read.
+     * Counts the requests and attempts of a capture. Exit status 1 if it has no events, 3 if it can't be read.
      */
     @Command(
             name = "summary",
             mixinStandardHelpOptions = true,
             description =
-                    "Counts a capture: how requests ended by class and over time, refusals by cause, servers' shares.")
+                    "Summarises a capture: request outcomes by class and over time, their causes, attempts by server.")
     static final class SummaryCommand implements Callable<Integer> {
         @Mixin
         private CaptureOption capture;
@@ -173,7 +171,7 @@
                 names = "--every",
                 paramLabel = "SECONDS",
                 defaultValue = "60",
-                description = "The spans counted by; 60.")
+                description = "Length of an interval in seconds; default: 60.")
         private long intervalSeconds;
 
         @Override
--- a/cli/src/main/java/weldhitch/cli/CaptureOption.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureOption.java
@@ -16,7 +16,7 @@
 
 /** Parameters shared by all commands that read a capture, and the reading itself. */
 final class CaptureOption {
-    /** Exit status where the files can't be read or are no capture. */
+    /** Exit status if the files can't be read or are not a capture. */
     static final int EXIT_UNREADABLE = 3;
 
     @Spec(Spec.Target.MIXEE)
@@ -25,7 +25,7 @@
     @Parameters(
             arity = "1..*",
             paramLabel = "PATH",
-            description = "Segments of a capture in their order, or its directory.")
+            description = "Segments of a capture in order, or the directory that holds them.")
     private List<Path> paths;
 
     @Option(names = "--json", description = "Prints JSON.")
@@ -40,16 +40,15 @@
     }
 
     /**
-     * Reads all entries, then calls {@code then}; prints one line on standard error where the capture can't
-     * be read.
+     * Reads all entries, then calls {@code onSuccess}; prints one line on standard error if the capture can't be read.
      *
-     * @return the exit status: that of {@code then}, or {@link #EXIT_UNREADABLE}
+     * @return the exit status: that of {@code onSuccess}, or {@link #EXIT_UNREADABLE}
      */
     Integer read(Consumer<CaptureEntry> consumer, Callable<Integer> onSuccess) throws Exception {
         try {
             CaptureFiles.read(paths, consumer);
         } catch (NoSuchFileException e) {
-            return reportUnreadable(e.getFile() + ": " + (e.getReason() == null ? "is not there" : e.getReason()));
+            return reportUnreadable(e.getFile() + ": " + (e.getReason() == null ? "no such file" : e.getReason()));
         } catch (IOException e) {
             return reportUnreadable(String.valueOf(e.getMessage()));
         }
--- a/cli/src/main/java/weldhitch/cli/CertificateCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CertificateCommands.java
@@ -25,19 +25,27 @@
         name = "certs",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
-        description = "Makes the certificates of a fleet: its authority, agents and operators.")
+        description = "Issues the certificates of a fleet: its certificate authority, agents and operators.")
 final class CertificateCommands {
-    /** How far validity starts in the past, because clocks of a fleet may differ by some minutes. */
+    /** How far before the present a certificate becomes valid, because clocks of a fleet may differ by minutes. */
     private static final Duration CLOCK_SKEW = Duration.ofMinutes(10);
 
     @Spec
     private CommandSpec spec;
 
-    @Command(name = "ca", mixinStandardHelpOptions = true, description = "Makes the fleet's authority: ca.pem, ca.key.")
+    @Command(
+            name = "ca",
+            mixinStandardHelpOptions = true,
+            description = "Creates the certificate authority of a fleet: ca.pem, ca.key.")
     int createAuthority(
             @Option(names = "--out", required = true, paramLabel = "DIR") Path outputDirectory,
-            @Option(names = "--fleet", defaultValue = "weldhitch", description = "The fleet's name.") String fleetName,
-            @Option(names = "--days", defaultValue = "3650", description = "How long it holds.") int validDays) {
+            @Option(
+                            names = "--fleet",
+                            defaultValue = "weldhitch",
+                            description = "Name of the fleet; default: weldhitch.")
+                    String fleetName,
+            @Option(names = "--days", defaultValue = "3650", description = "Validity in days; default: 3650.")
+                    int validDays) {
         return issue(validDays, (notBefore, notAfter) -> {
             CertificateAuthority.create(fleetName, notBefore, notAfter).write(outputDirectory);
             return outputDirectory.resolve("ca.pem");
@@ -47,11 +55,11 @@
     @Command(
             name = "agent",
             mixinStandardHelpOptions = true,
-            description = "Makes an agent's certificate: NAME.pem, NAME.key.")
+            description = "Issues the certificate of an agent: NAME.pem, NAME.key.")
     int issueAgentCertificate(
             @Option(names = "--ca", required = true, paramLabel = "DIR") Path caDirectory,
             @Option(names = "--name", required = true) String subjectName,
-            @Option(names = "--host", required = true, description = "A name or address that it is reached by.")
+            @Option(names = "--host", required = true, description = "Host name or address of the agent.")
                     List<String> hosts,
             @Option(names = "--out", required = true, paramLabel = "DIR") Path outputDirectory,
             @Option(names = "--days", defaultValue = "90") int validDays) {
@@ -66,11 +74,12 @@
     @Command(
             name = "operator",
             mixinStandardHelpOptions = true,
-            description = "Makes an operator's certificate: NAME.pem, NAME.key.")
+            description = "Issues the certificate of an operator: NAME.pem, NAME.key.")
     int issueOperatorCertificate(
             @Option(names = "--ca", required = true, paramLabel = "DIR") Path caDirectory,
             @Option(names = "--name", required = true) String subjectName,
-            @Option(names = "--role", required = true, description = "viewer, operator or admin.") String role,
+            @Option(names = "--role", required = true, description = "Role of the operator: viewer, operator or admin.")
+                    String role,
             @Option(names = "--out", required = true, paramLabel = "DIR") Path outputDirectory,
             @Option(names = "--days", defaultValue = "30") int validDays) {
         return issue(validDays, (notBefore, notAfter) -> {
@@ -87,7 +96,7 @@
                 return role;
             }
         }
-        throw new IllegalArgumentException("--role: \"" + roleName + "\" is not viewer, operator or admin");
+        throw new IllegalArgumentException("--role: \"" + roleName + "\", expected viewer, operator or admin");
     }
 
     /** Issues and writes one certificate for a validity period; returns its file. */
@@ -97,12 +106,14 @@
 
     private int issue(int validDays, CertificateIssuer issuer) {
         if (validDays < 1 || validDays > 36_500) {
-            throw new ParameterException(spec.commandLine(), "--days: " + validDays + " is not from 1 to 36500");
+            throw new ParameterException(spec.commandLine(), "--days: " + validDays + ", expected 1 to 36500");
         }
         Instant now = Instant.now();
         try {
             Path certificateFile = issuer.issue(now.minus(CLOCK_SKEW), now.plus(Duration.ofDays(validDays)));
-            spec.commandLine().getOut().println("made " + certificateFile + " and its key, for " + validDays + " days");
+            spec.commandLine()
+                    .getOut()
+                    .println("wrote " + certificateFile + " and its key, valid for " + validDays + " days");
             spec.commandLine().getOut().flush();
             return 0;
         } catch (IllegalArgumentException e) {
@@ -110,7 +121,7 @@
         } catch (FileAlreadyExistsException e) {
             spec.commandLine()
                     .getErr()
-                    .println("weldhitch: " + e.getMessage() + " is there already and stays as it is");
+                    .println("weldhitch: " + e.getMessage() + " already exists and is not overwritten");
             spec.commandLine().getErr().flush();
             return 1;
         } catch (IOException | GeneralSecurityException e) {
--- a/cli/src/main/java/weldhitch/cli/CheckCommand.java
+++ b/cli/src/main/java/weldhitch/cli/CheckCommand.java
@@ -10,11 +10,11 @@
 import weldhitch.routeconfig.ConfigProblem;
 import weldhitch.routeconfig.RouteConfig;
 
-/** Prints all problems of a route configuration. Exit status 0 where a node would load it, 1 where not. */
+/** Prints all problems of a route configuration. Exit status 0 if a node would load it, 1 otherwise. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Checks an operator file: exit status 0 where a node would take it, 1 where not.")
+        description = "Checks a route configuration file. Exits with status 0 if a node would load it, 1 otherwise.")
 final class CheckCommand implements Callable<Integer> {
     @Mixin
     private RouteConfigOption input;
@@ -29,10 +29,10 @@
             routeConfig.problems().forEach(out::println);
             out.println(input.fileName() + ": "
                     + (routeConfig.isUsable()
-                            ? "sound, " + routeConfig.routeTable().routes().size() + " routes"
+                            ? "valid, " + routeConfig.routeTable().routes().size() + " routes"
                             : routeConfig.errors().size()
                                     + (routeConfig.errors().size() == 1 ? " error" : " errors"))
-                    + (input.hasPlatform() ? "" : " (not held against a platform: give --config for that)"));
+                    + (input.hasPlatform() ? "" : " (not checked against platform settings; use --config for that)"));
         }
         out.flush();
         return routeConfig.isUsable() ? 0 : 1;
--- a/cli/src/main/java/weldhitch/cli/CoordinatorCommand.java
+++ b/cli/src/main/java/weldhitch/cli/CoordinatorCommand.java
@@ -10,8 +10,8 @@
 import weldhitch.fleet.error.FleetException;
 
 /**
- * Runs a coordinator, one of the 1, 3 or 5 processes that replicate the fleet's shared state, until a
- * signal ends the process.
+ * Runs a coordinator, one of the 1, 3 or 5 processes that replicate the fleet's shared state, until a signal ends the
+ * process.
  */
 @Command(
         name = "coordinator",
@@ -24,7 +24,7 @@
             names = "--config",
             required = true,
             paramLabel = "FILE",
-            description = "The coordinator's configuration, TOML.")
+            description = "Configuration file of the coordinator (TOML).")
     private Path configFile;
 
     @Override
@@ -41,7 +41,7 @@
             System.err.println("weldhitch: " + e.error().message());
             return EXIT_INVALID_CONFIG;
         }
-        // The coordinator has threads of its own; a signal ends the process.
+        // The coordinator runs in its own threads until a signal ends the process.
         new CountDownLatch(1).await();
         return 0;
     }
--- a/cli/src/main/java/weldhitch/cli/DemoCommand.java
+++ b/cli/src/main/java/weldhitch/cli/DemoCommand.java
@@ -17,21 +17,24 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Starts a node with a few demo servers, each a process of its own, so that a user can kill one and watch the
- * requests. All of them listen on loopback and end with this process.
+ * Starts a node with a few demo servers, each in its own process, so that a user can kill one and watch the requests.
+ * All of them listen on loopback and end with this process.
  */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
-        description = "Starts a node before stand-in servers on loopback, to be asked with curl.")
+        description = "Starts a node and demo servers on loopback, to send requests to with curl.")
 final class DemoCommand implements Callable<Integer> {
-    @Option(names = "--port", defaultValue = "8080", description = "Where the node listens; 0 for any free port.")
+    @Option(
+            names = "--port",
+            defaultValue = "8080",
+            description = "Port on which the node listens, 0 for any free port; default: 8080.")
     private int port;
 
-    @Option(names = "--servers", defaultValue = "3", description = "How many servers stand behind it, 1 to 20.")
+    @Option(names = "--servers", defaultValue = "3", description = "Number of servers, 1 to 20; default: 3.")
     private int count;
 
-    @Option(names = "--operator", paramLabel = "FILE", description = "The node's operator file.")
+    @Option(names = "--operator", paramLabel = "FILE", description = "Route configuration file of the node (TOML).")
     private Path routeConfigFile;
 
     @Spec
@@ -42,10 +45,10 @@
     @Override
     public Integer call() throws Exception {
         if (port < 0 || port > 65535) {
-            throw new ParameterException(spec.commandLine(), "--port: " + port + " is not from 0 to 65535");
+            throw new ParameterException(spec.commandLine(), "--port: " + port + ", expected 0 to 65535");
         }
         if (count < 1 || count > 20) {
-            throw new ParameterException(spec.commandLine(), "--servers: " + count + " is not from 1 to 20");
+            throw new ParameterException(spec.commandLine(), "--servers: " + count + ", expected 1 to 20");
         }
         Path configFile = Files.createTempFile("weldhitch-demo", ".json");
         Runtime.getRuntime().addShutdownHook(new Thread(() -> cleanUp(configFile), "end"));
@@ -61,20 +64,20 @@
             Process nodeProcess = startJvm(arguments, configFile);
             try (BufferedReader log = nodeProcess.errorReader(StandardCharsets.UTF_8)) {
                 String line = log.readLine();
-                // With port 0 the node logs the port that it got: one looked up here could be taken by then.
+                // With port 0 the node logs the port that it got; a free port found here could be taken by then.
                 Matcher matcher = Pattern.compile("listens on .*:(\\d+)$").matcher(String.valueOf(line));
                 if (!matcher.find()) {
-                    System.err.println("weldhitch: the node did not start: " + line);
+                    System.err.println("weldhitch: node did not start: " + line);
                     return 1;
                 }
                 String nodePort = matcher.group(1);
-                System.out.println("The node listens. A safe request, which may be tried again:");
+                System.out.println("The node is listening. To send an idempotent request, which may be retried:");
                 System.out.println(
                         "    curl -H 'X-Trace-Id: '$RANDOM$RANDOM http://127.0.0.1:" + nodePort + "/look-up");
-                System.out.println("An unsafe one, which never runs twice:");
+                System.out.println("To send a non-idempotent request, which is never executed twice:");
                 System.out.println(
                         "    curl -H 'X-Trace-Id: '$RANDOM$RANDOM -d cow http://127.0.0.1:" + nodePort + "/enrol");
-                System.out.println("Kill a server (kill -9 with its number above) and ask on. Ctrl-C ends it all.");
+                System.out.println("Kill a server (kill -9 with its number above) and send more. Ctrl-C stops all.");
                 for (line = log.readLine(); line != null; line = log.readLine()) {
                     System.out.println("node: " + line);
                 }
@@ -98,7 +101,7 @@
             throw new IOException("server " + name + " did not start");
         }
         discovery.add(name, address);
-        // Like a real discovery service, this one notices a failure some time after it.
+        // Like a real discovery service, this one notices a failure only after some time.
         server.onExit().thenRun(() -> discovery.scheduleRemoval(name));
         System.out.println("server " + name + " is process " + server.pid() + " on " + address);
     }
@@ -125,7 +128,7 @@
         try {
             Files.deleteIfExists(configFile);
         } catch (IOException e) {
-            System.err.println("weldhitch: left behind: " + configFile);
+            System.err.println("weldhitch: could not delete temporary file " + configFile);
         }
     }
 
--- a/cli/src/main/java/weldhitch/cli/DemoDiscovery.java
+++ b/cli/src/main/java/weldhitch/cli/DemoDiscovery.java
@@ -17,7 +17,7 @@
 import java.util.regex.Pattern;
 
 /**
- * The discovery service of {@code demo}: serves the list of its servers by poll and long poll over HTTP.
+ * The discovery service of {@code demo}: serves the list of its servers over HTTP by poll and long poll.
  * Thread-safe: the list is guarded by the object's monitor.
  */
 final class DemoDiscovery implements Closeable {
@@ -53,7 +53,7 @@
         notifyAll();
     }
 
-    /** Removes the server from the list after a delay, as a real discovery service notices a failure late. */
+    /** Removes the server from the list after a delay, because a real discovery service notices a failure late. */
     void scheduleRemoval(String name) {
         scheduler.schedule(() -> remove(name), REMOVAL_DELAY_SECONDS, TimeUnit.SECONDS);
     }
--- a/cli/src/main/java/weldhitch/cli/DemoServer.java
+++ b/cli/src/main/java/weldhitch/cli/DemoServer.java
@@ -9,13 +9,13 @@
 import java.util.concurrent.Executors;
 
 /**
- * Main class of one server process of {@code demo}: responds with its name. It exits at the end of its standard
+ * Main class of one server process of {@code demo}, which responds with its name. It exits at the end of its standard
  * input, and so together with the process that started it.
  */
 final class DemoServer {
     private DemoServer() {}
 
-    /** Prints the server's host and port, then serves; {@code args[0]} is its name. */
+    /** Prints the server's host and port, then serves requests; {@code args[0]} is its name. */
     public static void main(String[] args) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.setExecutor(Executors.newFixedThreadPool(8));
--- a/cli/src/main/java/weldhitch/cli/ExplainCommand.java
+++ b/cli/src/main/java/weldhitch/cli/ExplainCommand.java
@@ -11,24 +11,24 @@
 import weldhitch.routeconfig.RouteConfig.Explanation;
 
 /**
- * Prints which route of a route configuration a request matches and the source of each of its rules. Exit
- * status 1 where the file has errors.
+ * Prints which route of a route configuration a request matches and the source of each of its rules. Exit status 1
+ * if the file has errors.
  */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
-        description = "Says by which route of an operator file a request goes, and who set each of its rules.")
+        description = "Prints the route that a request matches, and the source of each of its rules.")
 final class ExplainCommand implements Callable<Integer> {
     @Mixin
     private RouteConfigOption input;
 
-    @Option(names = "--method", defaultValue = "GET", description = "GET or POST.")
+    @Option(names = "--method", defaultValue = "GET", description = "Method of the request, GET or POST; default: GET.")
     private String method;
 
-    @Option(names = "--path", required = true, description = "The path, such as /book/7/cancel.")
+    @Option(names = "--path", required = true, description = "Path of the request, for example /book/7/cancel.")
     private String path;
 
-    @Option(names = "--class", description = "The class; usually the path's first part.")
+    @Option(names = "--class", description = "Class of the request; default: the first segment of the path.")
     private String requestClass;
 
     @Override
--- a/cli/src/main/java/weldhitch/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldhitch/cli/ReplayCommand.java
@@ -40,15 +40,15 @@
 import weldhitch.simulator.whatif.WhatIfAnalysis;
 
 /**
- * Replays a capture with this build's balancer and compares each decision with the captured one, or
- * evaluates an alternative. Exit status 0 where every decision is the same, 1 where not.
+ * Replays a capture with this build's balancer and compares each decision with the captured one, or evaluates an
+ * alternative. Exit status 0 if all decisions are the same, 1 otherwise.
  */
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a capture again by this build and holds each decision against the captured one: exit status 0 "
-                        + "where all are the same, 1 where not, 3 where it can't be read.")
+                "Replays a capture with this build and reports decisions that differ. Exits with status 0 "
+                        + "if all are the same, 1 if not, 3 if the capture can't be read.")
 final class ReplayCommand implements Callable<Integer> {
     private static final int MAX_SHOWN_DIFFERENCES = 10;
     private static final int MAX_SEEDS = 1000;
@@ -59,30 +59,30 @@
     @Mixin
     private CaptureOption capture;
 
-    @Option(names = "--until", paramLabel = "EVENT", description = "The last event to play, counted from 1.")
+    @Option(names = "--until", paramLabel = "EVENT", description = "Last event to replay, counted from 1.")
     private long lastEvent = Long.MAX_VALUE;
 
     @Option(
             names = "--request",
             paramLabel = "ID",
-            description = "Prints each event of this request with what was decided on it and what is decided here.")
+            description = "Prints each event of this request with the captured decisions and those of this build.")
     private String requestId;
 
-    @Option(names = "--from", paramLabel = "SNAPSHOT", description = "The snapshot to begin at, counted from 1.")
+    @Option(names = "--from", paramLabel = "SNAPSHOT", description = "Snapshot to start at, counted from 1.")
     private long firstSnapshot = 1;
 
     @ArgGroup
     private Alternative alternative;
 
-    @Option(names = "--seeds", defaultValue = "5", description = "How often the model is played, 2 to 1000; 5.")
+    @Option(names = "--seeds", defaultValue = "5", description = "Number of runs of the model, 2 to 1000; default: 5.")
     private int seeds;
 
     @Option(
             names = "--from-each",
-            description = "Takes up every snapshot instead of holding it against what is known by then.")
+            description = "Restores the state from every snapshot, instead of comparing the state with it.")
     private boolean restoreEachSnapshot;
 
-    @Option(names = "--state", description = "Prints all that the module knows after the last event played.")
+    @Option(names = "--state", description = "Prints the complete balancer state after the last replayed event.")
     private boolean printState;
 
     /** The options that replace the captured route configuration or build by an alternative. */
@@ -90,15 +90,15 @@
         @Option(
                 names = "--what-if",
                 paramLabel = "FILE",
-                description = "Tries another operator file: where decisions part, and by a model "
-                        + "of the servers fitted to the capture what would have come of it. Exit "
-                        + "status 1 where the file has errors.")
+                description = "Evaluates another route configuration file: prints where decisions differ, and "
+                        + "the results that a model of the servers, fitted to the capture, predicts. Exits "
+                        + "with status 1 if the file has errors.")
         private Path routeConfigFile;
 
         @Option(
                 names = "--model",
-                description = "The same for this build with the captured routes, to be held against what another "
-                        + "build prints.")
+                description = "Does the same for this build with the captured routes, for comparison with the output "
+                        + "of another build.")
         private boolean modelOnly;
     }
 
@@ -131,7 +131,10 @@
         });
     }
 
-    /** Reads the first snapshot in advance: the file is checked against the capture's own platform settings. */
+    /**
+     * Evaluates the alternative. Reads the first snapshot in advance, because the route configuration is checked
+     * against the platform settings of the capture.
+     */
     private int runAlternative() throws Exception {
         if (seeds < 2 || seeds > MAX_SEEDS) {
             throw new ParameterException(spec.commandLine(), "--seeds: " + seeds + ", expected 2 to " + MAX_SEEDS);
@@ -164,7 +167,7 @@
         EventWindow window = new EventWindow(analysis, firstSnapshot, lastEvent);
         return capture.read(window, () -> {
             if (analysis.restores() == 0) {
-                capture.out().println("nothing to play: no snapshot in it");
+                capture.out().println("nothing to replay: the capture contains no snapshot");
                 return 1;
             }
             WhatIfReport report = new WhatIfReport(
@@ -248,7 +251,7 @@
         }
     }
 
-    /** This build's state just before the first difference; null where the capture can't be read again. */
+    /** Returns this build's state just before the first difference; null if the capture can't be read again. */
     private BalancerSnapshot snapshotBefore(Divergence firstDifference) throws Exception {
         Replayer snapshotReplayer = new Replayer(null, restoreEachSnapshot)
                 .startingAtSnapshot(firstSnapshot)
@@ -266,7 +269,7 @@
         PrintWriter out = capture.out();
         out.printf(
                 Locale.ROOT,
-                "%d events played, %d decisions, %d snapshots, %.1f s of the node's time in %.1f s%n",
+                "%d events replayed, %d decisions, %d snapshots, %.1f s of the node's time in %.1f s%n",
                 replayer.replayedEvents(),
                 replayer.actionCount(),
                 replayer.snapshotCount(),
@@ -274,14 +277,14 @@
                 seconds);
         if (replayer.skippedEvents() + replayer.droppedEvents() + replayer.corruptions() > 0) {
             out.printf(
-                    "%d events not written by the node, %d damaged parts, %d events skipped for want of a snapshot%n",
+                    "%d events dropped by the node, %d damaged parts, %d events skipped for lack of a snapshot%n",
                     replayer.droppedEvents(), replayer.corruptions(), replayer.skippedEvents());
         }
         if (firstDifference == null) {
             out.println(
                     replayer.replayedEvents() == 0
-                            ? "nothing to play: no snapshot in it"
-                            : "every decision is the captured one");
+                            ? "nothing to replay: the capture contains no snapshot"
+                            : "all decisions are the same as captured");
         } else {
             for (Divergence difference :
                     replayer.divergences().stream().limit(MAX_SHOWN_DIFFERENCES).toList()) {
@@ -294,10 +297,10 @@
             }
             if (replayer.divergences().size() > MAX_SHOWN_DIFFERENCES) {
                 out.println("and " + (replayer.divergences().size() - MAX_SHOWN_DIFFERENCES)
-                        + " more, each after a new beginning");
+                        + " more, each after a restart at a snapshot");
             }
             if (snapshotBefore != null) {
-                out.println("known before event " + firstDifference.eventNumber() + ":");
+                out.println("state before event " + firstDifference.eventNumber() + ":");
                 affectedParts(firstDifference, snapshotBefore).forEach(part -> out.println("  " + part));
             }
         }
@@ -306,7 +309,7 @@
         }
     }
 
-    /** The state of the requests and servers that the actions of either side name. */
+    /** Returns the state of the requests and servers that the actions of either side name. */
     private static List<JsonNode> affectedParts(Divergence firstDifference, BalancerSnapshot snapshot) {
         List<BalancerAction> actions = new java.util.ArrayList<>(firstDifference.replayedActions());
         if (firstDifference.captured() != null) {
--- a/cli/src/main/java/weldhitch/cli/RouteConfigOption.java
+++ b/cli/src/main/java/weldhitch/cli/RouteConfigOption.java
@@ -12,21 +12,21 @@
 import weldhitch.routeconfig.RouteConfig;
 
 /**
- * Parameters shared by commands that read a route configuration: the file, and optionally the node
- * configuration against whose platform settings it is checked.
+ * Parameters shared by commands that read a route configuration: the file, and optionally the node configuration
+ * whose platform settings it is checked against.
  */
 final class RouteConfigOption {
-    @Parameters(paramLabel = "FILE", description = "The operator file.")
+    @Parameters(paramLabel = "FILE", description = "Route configuration file (TOML).")
     private Path file;
 
     @Option(
             names = "--config",
             paramLabel = "FILE",
-            description = "A node's configuration (what GW_CONFIG names), "
-                    + "for the platform's classes, limits and tenants. Without it they are not checked.")
+            description = "Node configuration file (the one that GW_CONFIG names). FILE is checked against its "
+                    + "classes, limits and tenants; without this option they are not checked.")
     private Path nodeConfigFile;
 
-    @Option(names = "--json", description = "Write JSON.")
+    @Option(names = "--json", description = "Prints JSON.")
     private boolean json;
 
     @Spec(Spec.Target.MIXEE)
--- a/cli/src/main/java/weldhitch/cli/SimulatorCommands.java
+++ b/cli/src/main/java/weldhitch/cli/SimulatorCommands.java
@@ -27,7 +27,7 @@
 import weldhitch.simulator.scenario.ScenarioFile;
 import weldhitch.simulator.scenario.ScenarioFile.InvalidScenarioException;
 
-/** The simulator: runs scenarios in virtual time and compares their results. */
+/** Runs scenarios in virtual time and compares their results. */
 @Command(
         name = "simulator",
         mixinStandardHelpOptions = true,
@@ -40,15 +40,15 @@
     SimulatorCommands() {}
 
     /**
-     * Runs a scenario for one or several seeds. Exit status 1 where the scenario or the route configuration has
-     * errors, 3 where a file can't be read or written.
+     * Runs a scenario for one or several seeds. Exit status 1 if the scenario or the route configuration has
+     * errors, 3 if a file can't be read or written.
      */
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
             description =
-                    "Runs a scenario and writes figures (JSON, CSV) and a page with plots for each seed: exit status 1 "
-                            + "where the scenario has errors, 3 where something can't be read or written.")
+                    "Runs a scenario and writes metrics (JSON, CSV) and a page with plots for each seed. Exits with "
+                            + "status 1 if the scenario has errors, 3 if a file can't be read or written.")
     static final class RunCommand implements Callable<Integer> {
         private static final Pattern SEED_RANGE = Pattern.compile("(-?\\d{1,18})(?:\\.\\.(-?\\d{1,18}))?");
         private static final int MAX_SEEDS = 10_000;
@@ -56,35 +56,43 @@
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "SCENARIO", description = "A scenario file (TOML).")
+        @Parameters(paramLabel = "SCENARIO", description = "Scenario file (TOML).")
         private Path scenarioFile;
 
         @Option(
                 names = "--seed",
                 defaultValue = "1",
                 paramLabel = "N[..M]",
-                description = "One seed, or several from N to M; 1.")
+                description = "Seed, or range of seeds from N to M; default: 1.")
         private String seedRange;
 
-        @Option(names = "--nodes", description = "So many nodes instead of the scenario's.")
+        @Option(names = "--nodes", description = "Number of nodes, instead of the scenario's.")
         private int nodes;
 
-        @Option(names = "--servers", description = "So many servers instead of the scenario's, kinds in proportion.")
+        @Option(
+                names = "--servers",
+                description = "Number of servers, instead of the scenario's; the kinds keep their proportions.")
         private int servers;
 
-        @Option(names = "--length", paramLabel = "SECONDS", description = "So long instead of the scenario's length.")
+        @Option(
+                names = "--length",
+                paramLabel = "SECONDS",
+                description = "Length in seconds, instead of the scenario's.")
         private int lengthSeconds;
 
         @Option(
                 names = "--operator",
                 paramLabel = "FILE",
-                description = "An operator file whose routes are in force at every node.")
+                description = "Route configuration file (TOML) that is active at every node.")
         private Path routeConfigFile;
 
-        @Option(names = "--out", paramLabel = "DIR", description = "Where to write; nothing is written without.")
+        @Option(names = "--out", paramLabel = "DIR", description = "Output directory; without it no file is written.")
         private Path outputDirectory;
 
-        @Option(names = "--capture", paramLabel = "DIR", description = "Captures the first node there (one seed only).")
+        @Option(
+                names = "--capture",
+                paramLabel = "DIR",
+                description = "Directory for a capture of the first node (one seed only).")
         private Path captureDirectory;
 
         @Override
@@ -142,8 +150,8 @@
                     || captureDirectory != null && last > first) {
                 throw new ParameterException(
                         spec.commandLine(),
-                        "--seed: \"" + seedRange + "\", expected one seed, or N..M" + " with N at most M and "
-                                + MAX_SEEDS + " seeds, one alone with --capture");
+                        "--seed: \"" + seedRange + "\", expected a seed, or N..M" + " with N <= M and at most "
+                                + MAX_SEEDS + " seeds; one seed only with --capture");
             }
             return LongStream.rangeClosed(first, last).boxed().toList();
         }
@@ -185,31 +193,37 @@
         }
     }
 
-    /** Compares two sets of results seed by seed. Exit status 3 where a file can't be read. */
+    /** Compares two sets of results seed by seed. Exit status 3 if a file can't be read. */
     @Command(
             name = "compare",
             mixinStandardHelpOptions = true,
-            description = "Compares what two sets of plays wrote over the same seeds, by two builds or two "
-                    + "settings: the mean "
-                    + "change of each figure, seed by seed, with a confidence interval.")
+            description = "Compares the results of two sets of simulator runs over the same seeds, of two builds or "
+                    + "two settings. Prints "
+                    + "the mean change of each metric, paired by seed, with a confidence interval.")
     static final class CompareCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "BEFORE", description = "What simulator run --out wrote.")
+        @Parameters(index = "0", paramLabel = "BEFORE", description = "Output directory of simulator run --out.")
         private Path beforeDirectory;
 
-        @Parameters(index = "1", paramLabel = "AFTER", description = "The same, by another build or settings.")
+        @Parameters(
+                index = "1",
+                paramLabel = "AFTER",
+                description = "Output directory of the same seeds by another build or settings.")
         private Path afterDirectory;
 
-        @Option(names = "--confidence", defaultValue = "0.95", description = "Of the interval; 0.95.")
+        @Option(
+                names = "--confidence",
+                defaultValue = "0.95",
+                description = "Confidence level of the interval; default: 0.95.")
         private double confidence;
 
         @Override
         public Integer call() {
             if (!(confidence > 0 && confidence < 1)) {
                 throw new ParameterException(
-                        spec.commandLine(), "--confidence: " + confidence + ", expected between 0 and 1");
+                        spec.commandLine(), "--confidence: " + confidence + ", expected a value between 0 and 1");
             }
             PrintWriter output = spec.commandLine().getOut();
             try {
@@ -225,7 +239,7 @@
                             change.change().low(),
                             change.change().high(),
                             change.change().seedCount(),
-                            change.change().isSignificant() ? "differs" : "no difference shown"));
+                            change.change().isSignificant() ? "differs" : "no significant difference"));
                 }
                 lines.forEach(output::println);
                 output.flush();
--- a/cli/src/main/java/weldhitch/cli/Weldhitch.java
+++ b/cli/src/main/java/weldhitch/cli/Weldhitch.java
@@ -23,7 +23,7 @@
 public final class Weldhitch {
     private Weldhitch() {}
 
-    /** Runs a command and exits with its status; 2 for invalid arguments. */
+    /** Runs a command and exits with its status; 2 if the arguments are invalid. */
     public static void main(String[] args) {
         System.exit(commandLine().execute(args));
     }
@@ -35,7 +35,7 @@
         return commandLine;
     }
 
-    /** Keeps a verb of earlier releases working, without listing it in the help. */
+    /** Keeps a verb of earlier releases working without listing it in the help. */
     private static void addFormerName(CommandLine commandLine, String formerName, Object command) {
         CommandLine former = new CommandLine(command);
         former.getCommandSpec().name(formerName).usageMessage().hidden(true);
--- a/cli/src/main/java/weldhitch/cli/WhatIfReport.java
+++ b/cli/src/main/java/weldhitch/cli/WhatIfReport.java
@@ -9,8 +9,8 @@
 import weldhitch.simulator.whatif.WhatIfAnalysis;
 
 /**
- * Formats the result of {@code replay --what-if} and {@code --model} as text or JSON, with measured and
- * modelled figures in separate parts. Immutable; used by {@link ReplayCommand}.
+ * Formats the result of {@code replay --what-if} and {@code --model} as text or JSON, with measured and modelled
+ * metrics in separate sections. Immutable; used by {@link ReplayCommand}.
  */
 final class WhatIfReport {
     private static final int MAX_SHOWN_DIFFERENCES = 3;
@@ -19,7 +19,11 @@
     private final WhatIfAnalysis.Result result;
     private final String alternativeName;
 
-    /** @param alternativeName the name of the alternative in the output */
+    /**
+     * Creates a report.
+     *
+     * @param alternativeName the name of the alternative in the output
+     */
     WhatIfReport(WhatIfAnalysis analysis, WhatIfAnalysis.Result result, String alternativeName) {
         this.analysis = analysis;
         this.result = result;
@@ -28,7 +32,7 @@
 
     void printText(PrintWriter out) {
         out.printf(
-                "Measured, by the captured events: from %d snapshots, decisions part %d times by %s%n",
+                "Measured on the captured events: from %d snapshots, decisions differ %d times with %s%n",
                 analysis.restores(), analysis.divergences().size(), alternativeName);
         for (Divergence difference :
                 analysis.divergences().stream().limit(MAX_SHOWN_DIFFERENCES).toList()) {
@@ -41,8 +45,8 @@
         }
         out.printf(
                 Locale.ROOT,
-                "%nModelled, over %d seeds: servers answer as they did in the capture at the load they get, "
-                        + "callers come as captured%n",
+                "%nModelled over %d seeds: servers respond as in the capture at the load that they get, "
+                        + "requests arrive as captured%n",
                 result.seedCount());
         result.modelDescriptions().forEach(line -> out.println("  " + line));
         out.printf(
@@ -69,11 +73,11 @@
                                     "%+.4f to %+.4f",
                                     line.change().low(),
                                     line.change().high())
-                            : "none shown");
+                            : "not significant");
             previousClass = line.requestClass();
         }
-        out.println("How far \"modelled\" is from \"captured\" is the model's error: a change smaller than that "
-                + "says little.");
+        out.println("The difference between \"modelled\" and \"captured\" is the model's error: a change smaller than "
+                + "that is not meaningful.");
     }
 
     ObjectNode toJson() {
--- a/cli/src/main/java/weldhitch/cli/WhyCommand.java
+++ b/cli/src/main/java/weldhitch/cli/WhyCommand.java
@@ -18,15 +18,15 @@
 import weldhitch.replay.Replayer;
 
 /**
- * Explains, by replaying a capture, why a request went to its endpoints or why requests avoided an
- * endpoint. Exit status 1 where the capture contains nothing about it.
+ * Explains, by replaying a capture, why a request went to its endpoints or why requests avoided an endpoint. Exit
+ * status 1 if the capture contains no decision about it.
  */
 @Command(
         name = "why",
         mixinStandardHelpOptions = true,
         description =
-                "Says why a request went where it went, or why calls were drawn around a server: by playing a capture "
-                        + "again. Exit status 1 where it holds nothing of that, 3 where it can't be read.")
+                "Explains why a request went to its servers, or why requests avoided a server, by replaying a capture. "
+                        + "Exits with status 1 if the capture has no decision about it, 3 if it can't be read.")
 final class WhyCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -40,16 +40,16 @@
     @Option(
             names = "--at",
             paramLabel = "TIME",
-            description = "With --server: the last draw at this time or before, "
-                    + "such as 2026-12-01T09:30:00.250Z; the end of the capture where not given.")
+            description = "With --server: explains the last selection at or before this time, "
+                    + "for example 2026-12-01T09:30:00.250Z; default: the end of the capture.")
     private String time;
 
-    /** The request or the server to explain: exactly one of the two. */
+    /** The request or the server to explain; exactly one of the two is given. */
     private static final class Subject {
-        @Option(names = "--request", paramLabel = "ID", description = "A request's X-Trace-Id.")
+        @Option(names = "--request", paramLabel = "ID", description = "X-Trace-Id of the request to explain.")
         private String requestId;
 
-        @Option(names = "--server", paramLabel = "ID", description = "A server by its name in the list.")
+        @Option(names = "--server", paramLabel = "ID", description = "Name of the server in the endpoint list.")
         private String serverId;
     }
 
@@ -63,14 +63,14 @@
             if (capture.json()) {
                 capture.out().println(toJson(explanation).toPrettyString());
             } else if (explanation.steps().isEmpty()) {
-                capture.out().println("nothing of it in " + replayer.replayedEvents() + " events");
+                capture.out().println("no decision about it in " + replayer.replayedEvents() + " events");
             } else {
                 capture.out().print(explanation.text());
             }
             if (!replayer.divergences().isEmpty()) {
                 capture.out()
-                        .println("This build decides otherwise than the one captured (see weldhitch replay): "
-                                + "what is said above is what this build thinks.");
+                        .println("This build decides differently from the build captured (see weldhitch replay): "
+                                + "the explanation above is that of this build.");
             }
             return explanation.steps().isEmpty() ? 1 : 0;
         });
@@ -86,7 +86,7 @@
         } catch (DateTimeParseException e) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "--at: \"" + time + "\" is no time, expected one such as 2026-12-01T09:30:00.250Z");
+                    "--at: \"" + time + "\", expected a time such as 2026-12-01T09:30:00.250Z");
         }
     }
 
--- a/cli/src/test/java/weldhitch/cli/CertificateCommandsTest.java
+++ b/cli/src/test/java/weldhitch/cli/CertificateCommandsTest.java
@@ -14,8 +14,7 @@
 import weldhitch.certificates.Identity.Role;
 
 /**
- * Tests of the command {@code certs}: issued identities, invalid arguments, and that no file is
- * overwritten.
+ * Tests the command {@code certs}: issued identities, invalid arguments, and that no file is overwritten.
  */
 class CertificateCommandsTest {
     @TempDir
@@ -63,7 +62,9 @@
                         "--out",
                         outputDirectory));
         Path annCertificate = directory.resolve("made/ann.pem");
-        assertTrue(out.toString().endsWith("made " + annCertificate + " and its key, for 30 days\n"), out.toString());
+        assertTrue(
+                out.toString().endsWith("wrote " + annCertificate + " and its key, valid for 30 days\n"),
+                out.toString());
         assertEquals(
                 new Identity(Role.OPERATOR, "ann"),
                 Identity.fromCertificate(CertificateAuthority.readPem(annCertificate, directory.resolve("made/ann.key"))
@@ -87,8 +88,8 @@
                         "admin",
                         "--out",
                         outputDirectory));
-        assertTrue(errors.toString().contains("ann.key is there already"), errors.toString());
-        assertEquals(new String(bytesBefore), Files.readString(annCertificate), "nothing is overwritten");
+        assertTrue(errors.toString().contains("ann.key already exists"), errors.toString());
+        assertEquals(new String(bytesBefore), Files.readString(annCertificate), "existing certificate is unchanged");
     }
 
     @Test
--- a/cli/src/test/java/weldhitch/cli/ReplayCommandTest.java
+++ b/cli/src/test/java/weldhitch/cli/ReplayCommandTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import weldhitch.decision.event.RequestArrived;
 
-/** Tests of {@code replay} on a capture from the simulator, with text and JSON output. */
+/** Tests {@code replay} on a capture from the simulator, with text and JSON output. */
 class ReplayCommandTest {
     @TempDir
     static Path directory;
@@ -75,7 +75,7 @@
             }
         }
         assertEquals(0, run("replay", "--model", "--seeds", "2", capture));
-        assertTrue(out.toString().contains("decisions part 0 times by this build"), out.toString());
+        assertTrue(out.toString().contains("decisions differ 0 times with this build"), out.toString());
         assertTrue(out.toString().contains("the model's error"), out.toString());
     }
 
@@ -108,7 +108,7 @@
                                 < fullReplay.path("events").asInt() / 2,
                 out.toString());
         assertEquals(0, run("replay", "--request", "9e3779b97f4a7c15", capture));
-        assertTrue(out.toString().contains("every decision is the captured one"), out.toString());
+        assertTrue(out.toString().contains("all decisions are the same as captured"), out.toString());
         assertEquals(0, run("capture", "summary", capture));
         String firstRequestId = firstRequest();
         assertEquals(0, run("replay", "--request", firstRequestId, capture));
--- a/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
+++ b/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests of {@code check} and {@code explain}, with text and JSON output. */
+/** Tests {@code check} and {@code explain}, with text and JSON output. */
 class RouteConfigCommandsTest {
     private static final String PLATFORM = """
         {"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"0f","limits":{"sockets":256},
@@ -48,9 +48,9 @@
     void reportsAValidFile() throws Exception {
         Files.writeString(file, "version = 1\n[class.read]\nattempts = 3\n# end\n");
         assertEquals(0, run("check", file.toString(), "--config", config.toString()));
-        assertEquals(file + ": sound, 1 routes\n", out.toString());
+        assertEquals(file + ": valid, 1 routes\n", out.toString());
         assertEquals(0, run("check", file.toString()));
-        assertTrue(out.toString().contains("not held against a platform"), out.toString());
+        assertTrue(out.toString().contains("not checked against platform settings"), out.toString());
     }
 
     @Test
