--- a/cli/src/test/java/weldhitch/ArchitectureTest.java
+++ b/cli/src/test/java/weldhitch/ArchitectureTest.java
@@ -80,7 +80,7 @@
             .orShould()
             .callMethod(Math.class, "random");
 
-    /** Hash order may differ between runs, and snapshots and replays must not depend on it. */
+    /** Hash order may differ between runs, but snapshots and replays must not depend on it. */
     @ArchTest
     static final ArchRule balancerUsesNoHashOrderedCollections = noClasses()
             .that()
@@ -117,7 +117,7 @@
     static final ArchRule fleetPackagesAreFreeOfCycles =
             slices().matching("weldhitch.fleet.(*)..").should().beFreeOfCycles();
 
-    /** A rule for a package that holds no class would hold of nothing, without a word. */
+    /** A rule whose package pattern matches no class would pass without checking anything. */
     @ArchTest
     static void everyPurePackageHoldsClasses(JavaClasses classes) {
         for (String pattern : PURE_PACKAGES) {
@@ -157,7 +157,7 @@
             .resideInAPackage("weldhitch.testkit..");
 
     /**
-     * Within the node, too, a request's path has one direction; responses come back through narrow
+     * Requests pass through the classes of the node in one direction; responses come back through narrow
      * interfaces.
      */
     @ArchTest
@@ -170,7 +170,7 @@
 
                 @Override
                 public String getDescription() {
-                    return "classes of the node with what is nested in them";
+                    return "classes of the node with their nested classes";
                 }
             })
             .should()
--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -24,8 +24,7 @@
     private static final int NODES = Integer.getInteger("weldhitch.fleet.nodes", 12);
     private static final int COORDINATORS = Integer.getInteger("weldhitch.fleet.stewards", 3);
     /**
-     * Tolerated clock error between processes on a busy machine that synchronise over loopback, in
-     * nanoseconds.
+     * Tolerated clock error in nanoseconds between processes that synchronise over loopback on a busy machine.
      */
     private static final long MAX_CLOCK_ERROR = 60_000_000L;
 
@@ -35,10 +34,10 @@
             fleet.startCoordinators();
             fleet.start(Math.max(10, NODES));
             fleet.awaitAllReady();
-            // 1: no fault.
+            // Version 1: no fault.
             fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2500));
             fleet.awaitActive(1);
-            // 2: the leader is killed once all have voted, and is restarted later.
+            // Version 2: the leader is killed once all members have voted, and is restarted later.
             String leader = fleet.leader();
             String follower = fleet.coordinators().stream()
                     .filter(s -> !s.equals(leader))
@@ -52,8 +51,8 @@
                     fromEntry, 20, e -> !e.source().equals(leader) && e.event().contains("leads, followed by"));
             fleet.processes.get(leader).start();
             fleet.awaitActive(2);
-            // 3: the leader is suspended after the submission until another one leads, and resumes with
-            // stale state.
+            // Version 3: the leader is suspended after the submission until another one leads, and resumes with stale
+            // state.
             String pausedLeader = fleet.leader();
             fromEntry = fleet.eventLog.entries().size();
             fleet.submit(
@@ -80,7 +79,7 @@
                 List<long[]> switches = fleet.switchIntervals(version - 1, version);
                 System.out.println(String.format(
                         Locale.ROOT,
-                        "version %d: %d nodes; overlap %.1f ms; first new answers within %.1f ms",
+                        "version %d: %d nodes; overlap %.1f ms; first new responses within %.1f ms",
                         version,
                         switches.size(),
                         overlap / 1e6,
@@ -92,11 +91,11 @@
                                 / 1e6));
             }
             List<RequestRecord> requests = fleet.loadGenerator.requests();
-            System.out.println("asked " + requests.size() + ", refused "
+            System.out.println("requests " + requests.size() + ", rejected "
                     + requests.stream().filter(RequestRecord::isRejected).count());
             assertTrue(
                     requests.stream().noneMatch(request -> request.unsafe() && request.isRejected()),
-                    "bookings were not touched by any of it");
+                    "a booking was rejected");
         }
     }
 
@@ -155,9 +154,9 @@
             assertTrue(
                     fleet.loadGenerator.requests().stream()
                             .noneMatch(request -> request.unsafe() && request.status() != 200),
-                    "bookings were touched");
-            System.out.println("stewards killed, torn and cut off: asked "
-                    + fleet.loadGenerator.requests().size() + ", refused "
+                    "a booking did not succeed");
+            System.out.println("coordinators killed, truncated and partitioned: requests "
+                    + fleet.loadGenerator.requests().size() + ", rejected "
                     + fleet.loadGenerator.requests().stream()
                             .filter(RequestRecord::isRejected)
                             .count() + ", overlap " + overlap / 1e6
@@ -181,7 +180,7 @@
             fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2600));
             fleet.eventLog.awaitEntry(
                     fromEntry, 20, e -> e.source().equals("n1") && e.event().contains("version 2 takes effect in"));
-            // It knows the activation time but is suspended when it passes.
+            // The node knows the activation time but is suspended when that time passes.
             fleet.faultInjector.runSchedule(List.of(new Fault(0, Fault.Kind.STOP, "n1", 3500, 0)));
             long resumedAt = fleet.eventLog.elapsedNanos();
             fleet.awaitActive(2);
@@ -192,7 +191,7 @@
                                     && request.status() == 200
                                     && request.sentAt() > resumedAt)
                             .allMatch(request -> "2".equals(request.routeVersion())),
-                    "it goes on by the old version");
+                    "n1 served by an old version after it resumed");
             int fromNextEntry = fleet.eventLog.entries().size();
             fleet.submit(fleet.leader(), CoordinatedFleet.routeVersion(2700));
             fleet.eventLog.awaitEntry(
@@ -202,8 +201,8 @@
             assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(100));
             long overlap = fleet.worstOverlap();
             assertTrue(overlap <= MAX_CLOCK_ERROR, "overlap " + overlap / 1e6 + " ms\n" + fleet.eventLog.tail(150));
-            System.out.println("stopped across the moment, restarted with a vote out: in force " + fleet.activeVersion()
-                    + ", overlap " + overlap / 1e6 + " ms, refused "
+            System.out.println("paused across activation, restarted in doubt: active version " + fleet.activeVersion()
+                    + ", overlap " + overlap / 1e6 + " ms, rejected "
                     + fleet.loadGenerator.requests().stream()
                             .filter(RequestRecord::isRejected)
                             .count() + " of "
@@ -213,7 +212,7 @@
 
     /**
      * With the missing member policy {@code fence}, a version is committed without a suspended member once
-     * its lease has expired; that member rejects requests until it has reached the coordinators again.
+     * its lease has expired. That member rejects requests until it has reached the coordinators again.
      */
     @Test
     void fencedVersionIsDecidedWithoutTheMissingMember() throws Exception {
@@ -235,7 +234,7 @@
             assertTrue(
                     fleet.loadGenerator.requests().stream()
                             .anyMatch(request -> !request.node().equals("n3") && "2".equals(request.routeVersion())),
-                    "decided without it\n" + fleet.eventLog.tail(60));
+                    "version 2 was not served without n3\n" + fleet.eventLog.tail(60));
             fleet.awaitActive(2);
             assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(60));
             assertTrue(
@@ -243,15 +242,15 @@
                             .noneMatch(request -> request.node().equals("n3")
                                     && request.sentAt() > resumedAt
                                     && "1".equals(request.routeVersion())),
-                    "back from its stop it served by the old version");
+                    "n3 served by the old version after it resumed");
             assertTrue(fleet.worstOverlap() <= MAX_CLOCK_ERROR, "overlap " + fleet.worstOverlap() / 1e6 + " ms");
-            System.out.println("fence: decided without n3, overlap " + fleet.worstOverlap() / 1e6 + " ms");
+            System.out.println("fence: committed without n3, overlap " + fleet.worstOverlap() / 1e6 + " ms");
         }
     }
 
     /**
-     * Run by hand with {@code -Dweldhitch.fleet.switches=20}: how far apart nodes switch without faults, with a
-     * request to each node every 4 ms.
+     * Measures how far apart nodes switch without faults, with a request to each node every 4 ms. Runs only with
+     * {@code -Dweldhitch.fleet.switches=20} or another count.
      */
     @Test
     @EnabledIfSystemProperty(named = "weldhitch.fleet.switches", matches = "[0-9]+")
@@ -280,8 +279,8 @@
         assertTrue(worstOverlap <= MAX_CLOCK_ERROR, "overlap " + worstOverlap);
         System.out.println(String.format(
                 Locale.ROOT,
-                "%d switches of a node: first new answer after the first of all, us: p50 %d p90 %d p100 %d; between a"
-                        + " node's last old question and first new answer, us: p50 %d p90 %d p100 %d; worst "
+                "%d switches of a node: first new response after the first of all, us: p50 %d p90 %d p100 %d; between a"
+                        + " node's last old request and first new response, us: p50 %d p90 %d p100 %d; worst "
                         + "overlap %.1f ms",
                 switchSpread.getTotalCount(),
                 switchSpread.getValueAtPercentile(50),
@@ -329,8 +328,7 @@
     }
 
     /**
-     * Faults drawn from a seed on coordinators, nodes and every edge between them, while versions are
-     * submitted.
+     * Random faults, drawn from a seed, on coordinators, nodes and all links between them while versions are submitted.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
@@ -370,9 +368,9 @@
                     overlap <= MAX_CLOCK_ERROR,
                     description + "overlap " + overlap / 1e6 + " ms\n" + fleet.eventLog.tail(200));
             List<RequestRecord> requests = fleet.loadGenerator.requests();
-            System.out.println("seed " + seed + ": " + schedule.size() + " faults, in force at the end "
-                    + fleet.activeVersion() + ", asked " + requests.size()
-                    + ", refused "
+            System.out.println("seed " + seed + ": " + schedule.size() + " faults, active version at the end "
+                    + fleet.activeVersion() + ", requests " + requests.size()
+                    + ", rejected "
                     + requests.stream().filter(RequestRecord::isRejected).count() + ", overlap "
                     + (overlap == Long.MIN_VALUE ? "none" : overlap / 1e6 + " ms"));
         }
--- a/cli/src/test/java/weldhitch/cli/CoordinatedFleet.java
+++ b/cli/src/test/java/weldhitch/cli/CoordinatedFleet.java
@@ -25,15 +25,15 @@
 import weldhitch.testkit.fleet.NodeFleet;
 
 /**
- * Nodes and coordinators as processes, with a fault-injecting link between any two of them. Owns the processes,
+ * A fleet of node and coordinator processes, with a fault-injecting link between any two of them. Owns the processes,
  * their ports and directories; used from one test thread.
  */
 class CoordinatedFleet extends NodeFleet {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * Ports of the coordinators, reserved before anything starts. A thread-local, because the superclass
-     * constructor needs them before a field of this class is set.
+     * Ports of the coordinators, reserved before any process starts. A thread-local, because the superclass constructor
+     * needs them before the fields of this class are set.
      */
     private static final ThreadLocal<Map<String, ReservedPort>> COORDINATOR_PORTS =
             ThreadLocal.withInitial(LinkedHashMap::new);
@@ -44,12 +44,20 @@
     private final Path directory = Files.createTempDirectory("weldhitch-stewards");
     private int submittedVersions;
 
-    /** @param differentNode a node whose platform allows one attempt less than that of the others, or null */
+    /**
+     * Creates a fleet with default coordinator settings.
+     *
+     * @param differentNode a node whose platform allows one attempt less than that of the others, or null
+     */
     CoordinatedFleet(int nodeCount, int coordinatorCount, int serverCount, String differentNode) throws Exception {
         this(nodeCount, coordinatorCount, serverCount, differentNode, "");
     }
 
-    /** @param settings further lines of each coordinator's configuration */
+    /**
+     * Creates a fleet.
+     *
+     * @param settings further lines of each coordinator's configuration
+     */
     CoordinatedFleet(int nodeCount, int coordinatorCount, int serverCount, String differentNode, String settings)
             throws Exception {
         super(
@@ -121,7 +129,7 @@
 
     @Override
     protected String customizeConfig(String node, String text) {
-        // Called from the superclass constructor, when the fields of this class are not set yet.
+        // Called from the superclass constructor, before the fields of this class are set.
         return node.equals(DIFFERENT_NODE.get()) ? text.replace("\"maxAttempts\":4", "\"maxAttempts\":3") : text;
     }
 
@@ -148,7 +156,7 @@
         }
     }
 
-    /** The state that a coordinator reports; null where it does not respond. */
+    /** Returns the state that a coordinator reports; null if it does not respond. */
     JsonNode state(String coordinator) {
         if (!processes.get(coordinator).isRunning()) {
             return null;
@@ -180,26 +188,26 @@
         return leaderName[0];
     }
 
-    /** Submits a route version: writes it to a coordinator's directory by an atomic rename. */
+    /** Submits a route version by writing it to a coordinator's directory with an atomic rename. */
     void submit(String coordinator, String text) throws IOException {
         Path versions = Files.createDirectories(directory.resolve(coordinator).resolve("versions"));
         String name = "v" + ++submittedVersions + ".toml";
         Path temporaryFile = directory.resolve(coordinator).resolve(name + ".part");
         Files.writeString(temporaryFile, text);
         Files.move(temporaryFile, versions.resolve(name), StandardCopyOption.ATOMIC_MOVE);
-        eventLog.append(coordinator, "LAID " + name);
+        eventLog.append(coordinator, "SUBMITTED " + name);
     }
 
     Path coordinatorDirectory(String coordinator) {
         return directory.resolve(coordinator);
     }
 
-    /** A route version with another deadline for class {@code read}; class {@code book} is unchanged. */
+    /** Returns a route version with another deadline for class {@code read}; class {@code book} is unchanged. */
     static String routeVersion(int millis) {
         return "version = 1\n[class.read]\ndeadline = \"" + millis + "ms\"\n# end\n";
     }
 
-    /** Waits until every coordinator reports this version as active, and every node serves by it. */
+    /** Waits until every coordinator reports this version as active and every node serves by it. */
     void awaitActive(long number) {
         try {
             TestSupport.await(3 * TestSupport.TIMEOUT_SECONDS, () -> activeVersion() == number);
@@ -210,13 +218,13 @@
             });
         } catch (AssertionError e) {
             throw new AssertionError(
-                    "version " + number + " is not in force, stewards say "
+                    "version " + number + " is not active; state of the coordinators: "
                             + coordinators().stream().map(this::state).toList() + "\n" + eventLog.tail(100),
                     e);
         }
     }
 
-    /** For each node, the version of its response to the latest request sent since then. */
+    /** Returns, for each node, the version of its response to the latest request sent since then. */
     Map<String, Long> versionsSince(long since) {
         return loadGenerator.requests().stream()
                 .filter(request -> request.routeVersion() != null && request.sentAt() >= since)
@@ -228,11 +236,11 @@
     }
 
     /**
-     * By how much, in nanoseconds, a response by the older version was decided after one by the newer: a
-     * request that was sent after another had completed was decided after it. At most 0 where all switched
-     * at one moment; the minimum of long where either version served nothing. Only class {@code read}
-     * counts, on which the versions differ: a member in doubt goes on to serve the classes on which they
-     * don't.
+     * Returns by how many nanoseconds a response by the older version was decided after one by the newer
+     * version. A request that was sent after another one had completed was decided after it. The result is at
+     * most 0 if all nodes switched at one moment, and {@code Long.MIN_VALUE} if either version served nothing.
+     * Counts only class {@code read}, on which the versions differ, because a member in doubt continues to
+     * serve the classes on which they don't.
      */
     long overlap(long older, long newer) {
         long firstNewAt = loadGenerator.requests().stream()
@@ -253,8 +261,7 @@
     }
 
     /**
-     * Waits until all coordinators agree on the active version, none is pending, and every node serves by
-     * it.
+     * Waits until all coordinators agree on the active version, none is pending, and every node serves by it.
      */
     void awaitStable() {
         TestSupport.await(3 * TestSupport.TIMEOUT_SECONDS, () -> {
@@ -267,7 +274,7 @@
         });
     }
 
-    /** The version that all coordinators report as active with none pending; below 0 where they don't agree. */
+    /** Returns the version that all coordinators report as active with none pending; below 0 if they don't agree. */
     long activeVersion() {
         long number = -1;
         for (String coordinator : coordinators()) {
@@ -283,7 +290,7 @@
         return number;
     }
 
-    /** The largest {@link #overlap} of any two versions that served requests. */
+    /** Returns the largest {@link #overlap} of any two versions that served requests. */
     long worstOverlap() {
         List<Long> versions = loadGenerator.requests().stream()
                 .filter(request -> request.routeVersion() != null && request.status() == 200)
@@ -301,8 +308,8 @@
     }
 
     /**
-     * For each node the interval in which it switched, as clients saw it: when its last request answered by
-     * the older version was sent, and when its first response by the newer one arrived.
+     * Returns for each node the interval in which it switched, as seen by clients: from the sending of the last request
+     * answered by the older version to the arrival of the first response by the newer one.
      */
     List<long[]> switchIntervals(long older, long newer) {
         List<long[]> intervals = new ArrayList<>();
--- a/cli/src/test/java/weldhitch/cli/DemoIT.java
+++ b/cli/src/test/java/weldhitch/cli/DemoIT.java
@@ -18,7 +18,7 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** End-to-end test of {@code demo}, as a newcomer runs it: one jar, one command. */
+/** End-to-end test of {@code demo}, run from the jar by a single command. */
 class DemoIT {
     private static Process startProgram(String... arguments) throws IOException {
         List<String> command = new ArrayList<>(List.of("java", "-jar", "cli/target/weldhitch.jar"));
--- a/cli/src/test/java/weldhitch/cli/FormerVerbsTest.java
+++ b/cli/src/test/java/weldhitch/cli/FormerVerbsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** Verbs of earlier releases go on working beside their present names, and the help lists the present ones alone. */
+/** Tests that verbs of earlier releases work like their present names, and that the help lists only the latter. */
 class FormerVerbsTest {
     @TempDir
     Path directory;
--- a/cli/src/test/java/weldhitch/cli/LocalityIT.java
+++ b/cli/src/test/java/weldhitch/cli/LocalityIT.java
@@ -17,8 +17,8 @@
 import weldhitch.testkit.fleet.ManagedProcess;
 
 /**
- * End-to-end test of locality rules: processes of twelve nodes in three zones of two regions, with three
- * coordinators, and faults between them.
+ * End-to-end test of locality rules with processes of twelve nodes, in three zones of two regions, and of three
+ * coordinators, with faults between them.
  */
 class LocalityIT {
     private static final long SECOND = 1_000_000_000L;
@@ -29,8 +29,8 @@
     private static final double TARGET_UTILIZATION = 0.85;
 
     /**
-     * Six nodes in zone a, three each in b and c; a and b form one region, c the other. All nodes reach the
-     * servers of zone a by shared links.
+     * Six nodes in zone a, three each in b and c; a and b form one region, c the other. All nodes reach the servers of
+     * zone a by shared links.
      */
     private static final class ZonedFleet extends CoordinatedFleet {
         ZonedFleet() throws Exception {
@@ -69,8 +69,7 @@
         }
 
         /**
-         * The most requests in any two seconds of the period, by zone, as a fraction of its servers'
-         * capacity.
+         * Returns the most requests in any two seconds of the period, by zone, as a fraction of its servers' capacity.
          */
         Map<String, Double> peaks(long fromNanos, long toNanos) {
             Map<String, Double> peaks = new TreeMap<>();
@@ -88,8 +87,8 @@
         }
 
         /**
-         * Arrival times of requests at the servers of each zone, sorted, on the event log's clock in
-         * nanoseconds.
+         * Returns the arrival times of requests at the servers of each zone, sorted, in nanoseconds on the event
+         * log's clock.
          */
         Map<String, List<Long>> callTimes(long fromNanos, long toNanos) {
             long eventLogStart = System.nanoTime() - eventLog.elapsedNanos();
@@ -106,8 +105,8 @@
         }
 
         /**
-         * Ids of requests that a server received from half a second after {@code from} on: those in flight
-         * may arrive late.
+         * Returns the ids of requests that a server received later than half a second after {@code fromNanos}, because
+         * requests in flight at that time may arrive late.
          */
         Stream<String> requestIdsSince(ScriptedHttpServer server, long fromNanos) {
             long eventLogStart = System.nanoTime() - eventLog.elapsedNanos();
@@ -128,8 +127,8 @@
     }
 
     /**
-     * Rules by which class {@code book} stays in its region, and all others have these further priority
-     * levels.
+     * Returns rules by which class {@code book} stays in its region, and all other classes have these further
+     * priority levels.
      */
     private static String localityRules(String extraPreferences, double uncoordinatedFraction) {
         String spillKeys = "dwell = \"1s\"\ngrowth = 0.4\nalone = " + uncoordinatedFraction + "\n";
@@ -160,8 +159,8 @@
             fleet.waitFor(2000);
             int baselineCallsToB = fleet.callCount("b", calmFrom, calmFrom + 2 * SECOND);
 
-            // 2: load on zone a exceeds its capacity: the rest spills to b and c by quota grants, bookings
-            // to b only.
+            // 2: the load on zone a exceeds its capacity, and the excess spills to b and c by quota grants; bookings
+            // spill to b only.
             fleet.addZoneLoad("a", 50);
             long overloadFrom = fleet.eventLog.elapsedNanos();
             fleet.waitFor(8000);
@@ -169,7 +168,7 @@
             int spilledCallsToB =
                     fleet.callCount("b", overloadFrom + 6 * SECOND, overloadFrom + 8 * SECOND) - baselineCallsToB;
 
-            // 3: the leader is killed and restarted; another one takes over granting, after a while.
+            // 3: the leader is killed and restarted; after a while another one grants quotas.
             String leader = fleet.leader();
             fleet.processes.get(leader).signal("KILL");
             long killedAt = fleet.eventLog.elapsedNanos();
@@ -191,8 +190,8 @@
                     () -> fleet.callCount("a", fleet.eventLog.elapsedNanos() - SECOND, fleet.eventLog.elapsedNanos())
                             > 0.5 * SERVERS_PER_ZONE * CAPACITY_PER_SERVER);
 
-            // 5: no coordinator is reachable for 6 s: nodes use their local view and spill only the smaller
-            // share configured for that; bookings as before.
+            // 5: no coordinator is reachable for 6 s. Nodes use their local view and spill only the smaller share
+            // configured for that; bookings stay in their region as before.
             List<Fault> linkFaults = new ArrayList<>();
             for (String coordinator : fleet.coordinators()) {
                 fleet.linksTo(coordinator)
@@ -215,8 +214,8 @@
             System.out.println(String.format(
                     Locale.ROOT,
                     "peaks under overload %s, at a change of leader %s, while a was lost %s; spilled to b %d in 2 s;"
-                            + " calls to a in the first second of its return %d; to c in a second without "
-                            + "stewards %d; asked %d, refused %d",
+                            + " requests to a in the first second of its return %d; to c in a second without "
+                            + "coordinators %d; requests %d, rejected %d",
                     peaks,
                     peaksAtLeaderChange,
                     peaksDuringZoneLoss,
@@ -236,25 +235,25 @@
                                         .noneMatch(id -> isBooking(id) && isFromWest(id)),
                         "a booking left its region");
             }
-            assertTrue(spilledCallsToB > 20, "it spills: " + spilledCallsToB);
-            // A window of 2 s counts 200 requests. In runs of one build a tenth of that varied with chance, the
-            // clients' timing and the machine (0.84 to 0.90); without coordination nodes exceed 1.2. The bound
-            // of the quota grants is checked to 5% by SpillFleetTest.
+            assertTrue(spilledCallsToB > 20, "requests spilled to b: " + spilledCallsToB);
+            // The peak is taken over 2 s, which hold about 200 requests. Between runs of one build it varies by a tenth
+            // (0.84 to 0.90) with chance, the clients' timing and the machine; without coordination it exceeds 1.2.
+            // SpillFleetTest checks the bound of the quota grants to 5%.
             for (Map<String, Double> peakByZone : List.of(peaks, peaksAtLeaderChange, peaksDuringZoneLoss)) {
                 assertTrue(
                         peakByZone.get("b") <= TARGET_UTILIZATION * 1.2
                                 && peakByZone.get("c") <= TARGET_UTILIZATION * 1.2,
-                        "pushed past its threshold: " + peakByZone);
+                        "utilization exceeds the target by more than 20%: " + peakByZone);
             }
             assertTrue(
                     callsInFirstSecond < 0.6 * SERVERS_PER_ZONE * CAPACITY_PER_SERVER,
-                    "a rush back: " + callsInFirstSecond);
+                    "requests to a in the first second of its return: " + callsInFirstSecond);
             assertTrue(
                     fleet.callCount("c", forbiddenFrom, endedAt) <= 1.15 * 3 * 2 * 1000 / 65 + 10,
-                    "c gets its own alone: " + fleet.callCount("c", forbiddenFrom, endedAt));
+                    "c received requests of the other region: " + fleet.callCount("c", forbiddenFrom, endedAt));
             assertTrue(
                     fleet.eventLog.entries().stream().anyMatch(e -> e.event().contains("stale-view: n")),
-                    "the silence of stewards is told");
+                    "no node logged a stale view");
         }
     }
 
@@ -268,8 +267,8 @@
     }
 
     /**
-     * All coordinators are killed before the first zone view of any rule: nodes route by their local view,
-     * and even while a zone is lost no booking leaves its region.
+     * All coordinators are killed before the first zone view of any rule. Nodes route by their local view, and
+     * even while a zone is lost no booking leaves its region.
      */
     @Test
     void withoutCoordinatorsNodesRouteByTheirLocalView() throws Exception {
@@ -312,9 +311,10 @@
                             && request.sentAt() < zoneBackAt
                             && request.status() == 200)
                     .count();
-            System.out.println("without stewards, zone a lost: look-ups of its callers served in 3 s " + servedLookups);
-            // Look-ups go wherever servers are (panic); bookings may spill to b only by the smaller share.
-            assertTrue(servedLookups > 20, "served " + servedLookups);
+            System.out.println(
+                    "without coordinators, zone a lost: look-ups of its nodes served in 3 s " + servedLookups);
+            // Look-ups go wherever servers are available (panic); bookings may spill to b only by the smaller share.
+            assertTrue(servedLookups > 20, "look-ups served: " + servedLookups);
             for (ScriptedHttpServer server : fleet.servers) {
                 assertTrue(
                         !fleet.zoneOf(server.name()).equals("c")
--- a/cli/src/test/java/weldhitch/cli/StartupPollSlotsIT.java
+++ b/cli/src/test/java/weldhitch/cli/StartupPollSlotsIT.java
@@ -11,15 +11,17 @@
 import weldhitch.testkit.fleet.CapacityLimitedDiscovery.RecordedCall;
 
 /**
- * End-to-end test of the start after a power cut: processes of nodes and coordinators, with the discovery
- * service unavailable until all nodes listen, and poll slots for its first polls.
+ * End-to-end test of the start after a power cut, with processes of nodes and coordinators. The discovery service is
+ * unavailable until all nodes listen, and nodes get poll slots for their first polls.
  */
 class StartupPollSlotsIT {
     private static final int NODES = Integer.getInteger("weldhitch.fleet.nodes", 12);
 
     /**
-     * @param killLeader whether the leader is killed as the discovery service becomes available again: poll
-     *     slots are an optimisation, and no node waits for one forever
+     * Checks that all nodes get the endpoint list in time, and that they do so without a leader too: poll slots are an
+     * optimisation, and no node may wait forever for one.
+     *
+     * @param killLeader whether the leader is killed as the discovery service becomes available again
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -54,17 +56,18 @@
             }
             System.out.println(String.format(
                     Locale.ROOT,
-                    "%d nodes, leader %s: list held by all %.2f s after the service was back; calls for "
-                            + "lists %d, peak %d"
-                            + " in 100 ms; of all calls %d",
+                    "%d nodes, leader %s: all nodes had the list %.2f s after the service was back; complete list "
+                            + "polls: %d, peak %d"
+                            + " in 100 ms; peak of all polls: %d",
                     NODES,
-                    killLeader ? "killed" : "there",
+                    killLeader ? "killed" : "running",
                     (allListedAt - serviceBackAt) / 1e9,
                     completeListCalls.size(),
                     peak,
                     fleet.discovery.peakCalls(100)));
             assertTrue(
-                    allListedAt - serviceBackAt < 10_000_000_000L, "held after " + (allListedAt - serviceBackAt) / 1e9);
+                    allListedAt - serviceBackAt < 10_000_000_000L,
+                    "seconds until all nodes had the list: " + (allListedAt - serviceBackAt) / 1e9);
             TestSupport.await(() -> fleet.loadGenerator.requests().size() >= 10 * NODES);
             assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(60));
         }
