--- a/cli/src/main/java/weldhitch/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldhitch/cli/ReplayCommand.java
@@ -237,16 +237,16 @@
                                                     && zones.requestId().equals(requestId);
         }
 
-        private boolean concerns(BalancerAction matched) {
-            return matched instanceof SendAttempt sent
+        private boolean concerns(BalancerAction action) {
+            return action instanceof SendAttempt sent
                     ? sent.requestId().equals(requestId)
-                    : matched instanceof RejectRequest rejected
+                    : action instanceof RejectRequest rejected
                             ? rejected.requestId().equals(requestId)
-                            : matched instanceof FailRequest started
-                                    ? started.requestId().equals(requestId)
-                                    : matched instanceof CancelAttempt cancelled
+                            : action instanceof FailRequest failed
+                                    ? failed.requestId().equals(requestId)
+                                    : action instanceof CancelAttempt cancelled
                                             ? cancelled.requestId().equals(requestId)
-                                            : matched instanceof RequestZones zones
+                                            : action instanceof RequestZones zones
                                                     && zones.requestId().equals(requestId);
         }
     }
--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -169,7 +169,7 @@
      * the next one, before the outcome, and is restarted.
      */
     @Test
-    void nodePausedAcrossActivationAndNodeRestartedWithAVoteOutServeOneVersion() throws Exception {
+    void nodePausedAcrossActivationAndNodeRestartedInDoubtServeOneVersion() throws Exception {
         try (CoordinatedFleet fleet = new CoordinatedFleet(5, 3, 2, null)) {
             fleet.startCoordinators();
             fleet.start(12);
--- a/cli/src/test/java/weldhitch/cli/DemoIT.java
+++ b/cli/src/test/java/weldhitch/cli/DemoIT.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void killingAServerFailsNoSafeRequest() throws Exception {
+    void killingAServerFailsNoIdempotentRequest() throws Exception {
         Process demo = startProgram("demo", "--port", "0");
         List<ProcessHandle> children;
         try (BufferedReader out = demo.inputReader(StandardCharsets.UTF_8)) {
@@ -58,8 +58,8 @@
             assertEquals(200, sendRequest(port, "enrol", "POST /enrol").status());
             ProcessHandle.of(servers.get(0)).orElseThrow().destroyForcibly();
             for (int i = 0; i < 300; i++) {
-                RawHttpMessage matcher = sendRequest(port, "g" + i, "GET /look-up");
-                assertEquals(200, matcher.status(), "look-up " + i + " after the kill");
+                RawHttpMessage response = sendRequest(port, "g" + i, "GET /look-up");
+                assertEquals(200, response.status(), "look-up " + i + " after the kill");
             }
         } finally {
             demo.destroy();
--- a/cli/src/test/java/weldhitch/cli/FormerVerbsTest.java
+++ b/cli/src/test/java/weldhitch/cli/FormerVerbsTest.java
@@ -35,7 +35,7 @@
 
     @ParameterizedTest
     @CsvSource({"coordinator", "steward"})
-    void aMissingCoordinatorFileEndsWithTheSameStatusUnderBothVerbs(String verb) {
+    void missingCoordinatorFileHasTheSameExitStatusUnderBothVerbs(String verb) {
         String missing = directory.resolve("missing.toml").toString();
         assertEquals(78, Weldhitch.commandLine().execute(verb, "--config", missing));
     }
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void theHelpListsPresentNamesAlone() {
+    void helpListsOnlyPresentNames() {
         String help = Weldhitch.commandLine().getUsageMessage();
         assertTrue(help.contains("coordinator") && help.contains("simulator"), help);
         assertFalse(help.contains("steward") || help.matches("(?s).*\\blab\\b.*"), help);
