--- a/cli/src/main/java/weldhitch/cli/CaptureCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureCommands.java
@@ -42,7 +42,8 @@
     private CaptureCommands() {}
 
     /**
-     * Checks a capture against the four invariants. Exit status 1 if one is violated, 3 if the capture can't be read.
+     * Checks a capture against the four invariants of {@code InvariantChecker}. Exit status 1 if one is violated, 3 if
+     * the capture can't be read.
      */
     @Command(
             name = "verify",
@@ -162,7 +163,8 @@
             name = "summary",
             mixinStandardHelpOptions = true,
             description =
-                    "Summarises a capture: request outcomes by class and over time, their causes, attempts by server.")
+                    "Summarises a capture: request outcomes by class and over time, causes of rejections and "
+                            + "failures, attempts by server.")
     static final class SummaryCommand implements Callable<Integer> {
         @Mixin
         private CaptureOption capture;
--- a/cli/src/main/java/weldhitch/cli/CaptureOption.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureOption.java
@@ -14,7 +14,7 @@
 import weldhitch.capture.format.CaptureEntry;
 import weldhitch.capture.format.CaptureFiles;
 
-/** Parameters shared by all commands that read a capture, and the reading itself. */
+/** Declares the parameters shared by all commands that read a capture, and reads the capture. */
 final class CaptureOption {
     /** Exit status if the files can't be read or are not a capture. */
     static final int EXIT_UNREADABLE = 3;
--- a/cli/src/main/java/weldhitch/cli/CertificateCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CertificateCommands.java
@@ -27,7 +27,10 @@
         synopsisSubcommandLabel = "COMMAND",
         description = "Issues the certificates of a fleet: its certificate authority, agents and operators.")
 final class CertificateCommands {
-    /** How far before the present a certificate becomes valid, because clocks of a fleet may differ by minutes. */
+    /**
+     * How long before its creation a certificate is already valid. Certificates are dated back because the clocks of a
+     * fleet may differ by some minutes.
+     */
     private static final Duration CLOCK_SKEW = Duration.ofMinutes(10);
 
     @Spec
--- a/cli/src/main/java/weldhitch/cli/CheckCommand.java
+++ b/cli/src/main/java/weldhitch/cli/CheckCommand.java
@@ -32,7 +32,7 @@
                             ? "valid, " + routeConfig.routeTable().routes().size() + " routes"
                             : routeConfig.errors().size()
                                     + (routeConfig.errors().size() == 1 ? " error" : " errors"))
-                    + (input.hasPlatform() ? "" : " (not checked against platform settings; use --config for that)"));
+                    + (input.hasPlatform() ? "" : " (not checked against a node configuration; see --config)"));
         }
         out.flush();
         return routeConfig.isUsable() ? 0 : 1;
--- a/cli/src/main/java/weldhitch/cli/DemoCommand.java
+++ b/cli/src/main/java/weldhitch/cli/DemoCommand.java
@@ -23,7 +23,7 @@
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
-        description = "Starts a node and demo servers on loopback, to send requests to with curl.")
+        description = "Starts a node with demo servers on loopback; prints curl commands that send requests to it.")
 final class DemoCommand implements Callable<Integer> {
     @Option(
             names = "--port",
--- a/cli/src/main/java/weldhitch/cli/ExplainCommand.java
+++ b/cli/src/main/java/weldhitch/cli/ExplainCommand.java
@@ -17,7 +17,7 @@
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
-        description = "Prints the route that a request matches, and the source of each of its rules.")
+        description = "Prints the route that a request matches, and where each rule of the route is set.")
 final class ExplainCommand implements Callable<Integer> {
     @Mixin
     private RouteConfigOption input;
--- a/cli/src/main/java/weldhitch/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldhitch/cli/ReplayCommand.java
@@ -41,7 +41,7 @@
 
 /**
  * Replays a capture with this build's balancer and compares each decision with the captured one, or evaluates an
- * alternative. Exit status 0 if all decisions are the same, 1 otherwise.
+ * alternative. A comparison exits with status 0 if all decisions are the same, 1 otherwise.
  */
 @Command(
         name = "replay",
@@ -74,7 +74,10 @@
     @ArgGroup
     private Alternative alternative;
 
-    @Option(names = "--seeds", defaultValue = "5", description = "Number of runs of the model, 2 to 1000; default: 5.")
+    @Option(
+            names = "--seeds",
+            defaultValue = "5",
+            description = "With --what-if or --model: number of seeds to simulate with, 2 to 1000; default: 5.")
     private int seeds;
 
     @Option(
@@ -90,14 +93,16 @@
         @Option(
                 names = "--what-if",
                 paramLabel = "FILE",
-                description = "Evaluates another route configuration file: prints where decisions differ, and "
-                        + "the results that a model of the servers, fitted to the capture, predicts. Exits "
-                        + "with status 1 if the file has errors.")
+                description = "Replays the capture with another route configuration file and prints the decisions "
+                        + "that differ. Then simulates the captured requests with both route configurations, on "
+                        + "servers modelled after the capture, and prints the results side by side. Exits with "
+                        + "status 1 if the file has errors.")
         private Path routeConfigFile;
 
         @Option(
                 names = "--model",
-                description = "Does the same for this build with the captured routes, for comparison with the output "
+                description = "Like --what-if, but with the captured routes: prints which decisions of this build "
+                        + "differ from the captured ones, and its simulated results, for comparison with the output "
                         + "of another build.")
         private boolean modelOnly;
     }
@@ -297,7 +302,7 @@
             }
             if (replayer.divergences().size() > MAX_SHOWN_DIFFERENCES) {
                 out.println("and " + (replayer.divergences().size() - MAX_SHOWN_DIFFERENCES)
-                        + " more, each after a restart at a snapshot");
+                        + " more; after each difference the replay restarts at the next snapshot");
             }
             if (snapshotBefore != null) {
                 out.println("state before event " + firstDifference.eventNumber() + ":");
--- a/cli/src/main/java/weldhitch/cli/SimulatorCommands.java
+++ b/cli/src/main/java/weldhitch/cli/SimulatorCommands.java
@@ -48,7 +48,8 @@
             mixinStandardHelpOptions = true,
             description =
                     "Runs a scenario and writes metrics (JSON, CSV) and a page with plots for each seed. Exits with "
-                            + "status 1 if the scenario has errors, 3 if a file can't be read or written.")
+                            + "status 1 if the scenario or the route configuration has errors, 3 if a file can't be "
+                            + "read or written.")
     static final class RunCommand implements Callable<Integer> {
         private static final Pattern SEED_RANGE = Pattern.compile("(-?\\d{1,18})(?:\\.\\.(-?\\d{1,18}))?");
         private static final int MAX_SEEDS = 10_000;
@@ -197,20 +198,20 @@
     @Command(
             name = "compare",
             mixinStandardHelpOptions = true,
-            description = "Compares the results of two sets of simulator runs over the same seeds, of two builds or "
-                    + "two settings. Prints "
-                    + "the mean change of each metric, paired by seed, with a confidence interval.")
+            description = "Compares the results of two sets of simulator runs over the same seeds, for example of two "
+                    + "builds or with two configurations. Prints the mean change of each metric, paired by seed, with "
+                    + "a confidence interval.")
     static final class CompareCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
-        @Parameters(index = "0", paramLabel = "BEFORE", description = "Output directory of simulator run --out.")
+        @Parameters(index = "0", paramLabel = "BEFORE", description = "Directory that simulator run --out wrote.")
         private Path beforeDirectory;
 
         @Parameters(
                 index = "1",
                 paramLabel = "AFTER",
-                description = "Output directory of the same seeds by another build or settings.")
+                description = "The same for the other build or configuration, with the same seeds.")
         private Path afterDirectory;
 
         @Option(
--- a/cli/src/main/java/weldhitch/cli/WhatIfReport.java
+++ b/cli/src/main/java/weldhitch/cli/WhatIfReport.java
@@ -32,7 +32,7 @@
 
     void printText(PrintWriter out) {
         out.printf(
-                "Measured on the captured events: from %d snapshots, decisions differ %d times with %s%n",
+                "Measured on the captured events: replayed from %d snapshots, decisions differ %d times with %s%n",
                 analysis.restores(), analysis.divergences().size(), alternativeName);
         for (Divergence difference :
                 analysis.divergences().stream().limit(MAX_SHOWN_DIFFERENCES).toList()) {
--- a/cli/src/main/java/weldhitch/cli/WhyCommand.java
+++ b/cli/src/main/java/weldhitch/cli/WhyCommand.java
@@ -18,14 +18,15 @@
 import weldhitch.replay.Replayer;
 
 /**
- * Explains, by replaying a capture, why a request went to its endpoints or why requests avoided an endpoint. Exit
- * status 1 if the capture contains no decision about it.
+ * Explains, by replaying a capture, why a request went to its endpoints, or why an endpoint was or was not picked.
+ * Exit status 1 if the capture contains no decision about it.
  */
 @Command(
         name = "why",
         mixinStandardHelpOptions = true,
         description =
-                "Explains why a request went to its servers, or why requests avoided a server, by replaying a capture. "
+                "Explains why a request went to its servers, or why a server was or was not picked, by replaying a "
+                        + "capture. "
                         + "Exits with status 1 if the capture has no decision about it, 3 if it can't be read.")
 final class WhyCommand implements Callable<Integer> {
     @Spec
@@ -40,8 +41,8 @@
     @Option(
             names = "--at",
             paramLabel = "TIME",
-            description = "With --server: explains the last selection at or before this time, "
-                    + "for example 2026-12-01T09:30:00.250Z; default: the end of the capture.")
+            description = "With --server: explains the last pick, at or before this time, that had the server as a "
+                    + "candidate; for example 2026-12-01T09:30:00.250Z; default: the end of the capture.")
     private String time;
 
     /** The request or the server to explain; exactly one of the two is given. */
@@ -69,7 +70,7 @@
             }
             if (!replayer.divergences().isEmpty()) {
                 capture.out()
-                        .println("This build decides differently from the build captured (see weldhitch replay): "
+                        .println("This build decides differently from the captured build (see weldhitch replay): "
                                 + "the explanation above is that of this build.");
             }
             return explanation.steps().isEmpty() ? 1 : 0;
--- a/cli/src/test/java/weldhitch/ArchitectureTest.java
+++ b/cli/src/test/java/weldhitch/ArchitectureTest.java
@@ -18,6 +18,7 @@
 /** Architecture rules, checked by ArchUnit: which packages may depend on which. */
 @AnalyzeClasses(packages = "weldhitch", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
+    /** Packages of deterministic code: without I/O, and with clock readings and random numbers passed in. */
     private static final String[] PURE_PACKAGES = {
         "weldhitch.decision..",
         "weldhitch.consensus",
@@ -117,7 +118,7 @@
     static final ArchRule fleetPackagesAreFreeOfCycles =
             slices().matching("weldhitch.fleet.(*)..").should().beFreeOfCycles();
 
-    /** A rule whose package pattern matches no class would pass without checking anything. */
+    /** Checks that each pattern matches a class, because a rule whose pattern matches none would check nothing. */
     @ArchTest
     static void everyPurePackageHoldsClasses(JavaClasses classes) {
         for (String pattern : PURE_PACKAGES) {
--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -95,14 +95,15 @@
                     + requests.stream().filter(RequestRecord::isRejected).count());
             assertTrue(
                     requests.stream().noneMatch(request -> request.unsafe() && request.isRejected()),
-                    "a booking was rejected");
+                    "a non-idempotent request was rejected");
         }
     }
 
     /**
-     * All coordinators are killed between the commit and the activation time, and the state log of one is
-     * truncated; later the leader is partitioned from the others while a version is submitted to it. Nodes
-     * that know the activation time switch, bookings continue, and all end with the latest version.
+     * All coordinators are killed between the commit and the activation time, and the state log of one is truncated.
+     * Later the leader is partitioned from the others while a version is submitted to it. Nodes that know the
+     * activation time must switch, non-idempotent requests, whose routes do not change, must all succeed, and all
+     * nodes must serve by the latest version at the end.
      */
     @Test
     void killedOrPartitionedCoordinatorsDoNotAffectUnchangedRoutes() throws Exception {
@@ -122,7 +123,7 @@
                 fleet.processes.get(coordinator).signal("KILL");
             }
             long killedAt = fleet.eventLog.elapsedNanos();
-            // No coordinator is running, and all nodes switch.
+            // All four nodes must switch although no coordinator is running.
             TestSupport.await(() -> fleet.versionsSince(killedAt).values().stream()
                             .filter(v -> v == 2)
                             .count()
@@ -154,7 +155,7 @@
             assertTrue(
                     fleet.loadGenerator.requests().stream()
                             .noneMatch(request -> request.unsafe() && request.status() != 200),
-                    "a booking did not succeed");
+                    "a non-idempotent request did not succeed");
             System.out.println("coordinators killed, truncated and partitioned: requests "
                     + fleet.loadGenerator.requests().size() + ", rejected "
                     + fleet.loadGenerator.requests().stream()
@@ -165,8 +166,8 @@
     }
 
     /**
-     * One node is suspended across the activation time of a version; another is killed after it voted for
-     * the next one, before the outcome, and is restarted.
+     * One node is suspended across the activation time of a version. Another is killed after it has voted for the next
+     * version and before it knows the outcome, and is restarted.
      */
     @Test
     void nodePausedAcrossActivationAndNodeRestartedInDoubtServeOneVersion() throws Exception {
@@ -211,8 +212,9 @@
     }
 
     /**
-     * With the missing member policy {@code fence}, a version is committed without a suspended member once
-     * its lease has expired. That member rejects requests until it has reached the coordinators again.
+     * With the missing member policy {@code fence}, a version is committed without a suspended member once the lease of
+     * that member has expired. After it resumes, the member rejects requests until it has reached the coordinators
+     * again, and so never serves by the old version.
      */
     @Test
     void fencedVersionIsDecidedWithoutTheMissingMember() throws Exception {
@@ -300,7 +302,7 @@
             fleet.start(20);
             fleet.awaitAllReady();
             int fromEntry = fleet.eventLog.entries().size();
-            // The platform of n2 allows three attempts, that of the others four.
+            // The platform settings of n2 allow three attempts, those of the other nodes four.
             fleet.submit("s1", "version = 1\n[class.read]\nattempts = 4\n# end\n");
             String abortEvent = fleet.eventLog
                     .awaitEntry(
@@ -328,7 +330,8 @@
     }
 
     /**
-     * Random faults, drawn from a seed, on coordinators, nodes and all links between them while versions are submitted.
+     * Injects faults drawn from a seed into coordinators, nodes and the links to coordinators while versions are
+     * submitted.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
--- a/cli/src/test/java/weldhitch/cli/CoordinatedFleet.java
+++ b/cli/src/test/java/weldhitch/cli/CoordinatedFleet.java
@@ -47,7 +47,7 @@
     /**
      * Creates a fleet with default coordinator settings.
      *
-     * @param differentNode a node whose platform allows one attempt less than that of the others, or null
+     * @param differentNode a node whose platform settings allow one attempt fewer than those of the others, or null
      */
     CoordinatedFleet(int nodeCount, int coordinatorCount, int serverCount, String differentNode) throws Exception {
         this(nodeCount, coordinatorCount, serverCount, differentNode, "");
@@ -56,6 +56,7 @@
     /**
      * Creates a fleet.
      *
+     * @param differentNode a node whose platform settings allow one attempt fewer than those of the others, or null
      * @param settings further lines of each coordinator's configuration
      */
     CoordinatedFleet(int nodeCount, int coordinatorCount, int serverCount, String differentNode, String settings)
@@ -207,7 +208,7 @@
         return "version = 1\n[class.read]\ndeadline = \"" + millis + "ms\"\n# end\n";
     }
 
-    /** Waits until every coordinator reports this version as active and every node serves by it. */
+    /** Waits until every coordinator reports this version as active and every node serves requests by it. */
     void awaitActive(long number) {
         try {
             TestSupport.await(3 * TestSupport.TIMEOUT_SECONDS, () -> activeVersion() == number);
@@ -218,13 +219,17 @@
             });
         } catch (AssertionError e) {
             throw new AssertionError(
-                    "version " + number + " is not active; state of the coordinators: "
+                    "version " + number + " is not active at every coordinator and node; state of the coordinators: "
                             + coordinators().stream().map(this::state).toList() + "\n" + eventLog.tail(100),
                     e);
         }
     }
 
-    /** Returns, for each node, the version of its response to the latest request sent since then. */
+    /**
+     * Returns, for each node, the route version in its response to the latest request sent at {@code since} or later.
+     *
+     * @param since a time in nanoseconds on the event log's clock
+     */
     Map<String, Long> versionsSince(long since) {
         return loadGenerator.requests().stream()
                 .filter(request -> request.routeVersion() != null && request.sentAt() >= since)
@@ -261,7 +266,7 @@
     }
 
     /**
-     * Waits until all coordinators agree on the active version, none is pending, and every node serves by it.
+     * Waits until all coordinators agree on the active version, none is pending, and every node serves requests by it.
      */
     void awaitStable() {
         TestSupport.await(3 * TestSupport.TIMEOUT_SECONDS, () -> {
--- a/cli/src/test/java/weldhitch/cli/LocalityIT.java
+++ b/cli/src/test/java/weldhitch/cli/LocalityIT.java
@@ -105,8 +105,8 @@
         }
 
         /**
-         * Returns the ids of requests that a server received later than half a second after {@code fromNanos}, because
-         * requests in flight at that time may arrive late.
+         * Returns the ids of the requests that a server received after {@code fromNanos}. Leaves out the first half
+         * second, because requests that were in flight at {@code fromNanos} may arrive in it.
          */
         Stream<String> requestIdsSince(ScriptedHttpServer server, long fromNanos) {
             long eventLogStart = System.nanoTime() - eventLog.elapsedNanos();
@@ -127,8 +127,12 @@
     }
 
     /**
-     * Returns rules by which class {@code book} stays in its region, and all other classes have these further
-     * priority levels.
+     * Returns a route configuration whose locality rules keep class {@code book} in its region and let all other
+     * classes prefer their zone, then their region.
+     *
+     * @param extraPreferences further priority levels of the other classes
+     * @param uncoordinatedFraction largest fraction of requests that may spill over without a view from the
+     *     coordinators
      */
     private static String localityRules(String extraPreferences, double uncoordinatedFraction) {
         String spillKeys = "dwell = \"1s\"\ngrowth = 0.4\nalone = " + uncoordinatedFraction + "\n";
@@ -154,13 +158,13 @@
             fleet.submit(fleet.leader(), localityRules(", \"any\"", 0.02));
             fleet.awaitActive(1);
 
-            // 1: no fault; all requests stay in their zones.
+            // Phase 1: no fault; all requests stay in their zones.
             long calmFrom = fleet.eventLog.elapsedNanos();
             fleet.waitFor(2000);
             int baselineCallsToB = fleet.callCount("b", calmFrom, calmFrom + 2 * SECOND);
 
-            // 2: the load on zone a exceeds its capacity, and the excess spills to b and c by quota grants; bookings
-            // spill to b only.
+            // Phase 2: the load on zone a exceeds its capacity, and the excess spills to b and c by quota grants. Class
+            // book spills only to b, which is in the same region.
             fleet.addZoneLoad("a", 50);
             long overloadFrom = fleet.eventLog.elapsedNanos();
             fleet.waitFor(8000);
@@ -168,7 +172,7 @@
             int spilledCallsToB =
                     fleet.callCount("b", overloadFrom + 6 * SECOND, overloadFrom + 8 * SECOND) - baselineCallsToB;
 
-            // 3: the leader is killed and restarted; after a while another one grants quotas.
+            // Phase 3: the leader is killed and restarted; after a while another leader grants quotas.
             String leader = fleet.leader();
             fleet.processes.get(leader).signal("KILL");
             long killedAt = fleet.eventLog.elapsedNanos();
@@ -176,7 +180,7 @@
             fleet.processes.get(leader).start();
             Map<String, Double> peaksAtLeaderChange = fleet.peaks(killedAt, fleet.eventLog.elapsedNanos());
 
-            // 4: the servers of zone a are unreachable from all nodes for 5 s.
+            // Phase 4: the servers of zone a are unreachable from all nodes for 5 s.
             long zoneLostAt = fleet.eventLog.elapsedNanos();
             fleet.faultInjector.runSchedule(fleet.links.keySet().stream()
                     .filter(e -> e.startsWith("*>"))
@@ -190,8 +194,8 @@
                     () -> fleet.callCount("a", fleet.eventLog.elapsedNanos() - SECOND, fleet.eventLog.elapsedNanos())
                             > 0.5 * SERVERS_PER_ZONE * CAPACITY_PER_SERVER);
 
-            // 5: no coordinator is reachable for 6 s. Nodes use their local view and spill only the smaller share
-            // configured for that; bookings stay in their region as before.
+            // Phase 5: no coordinator is reachable for 6 s. Nodes use their local view and spill at most the
+            // uncoordinated fraction; class book stays in its region as before.
             List<Fault> linkFaults = new ArrayList<>();
             for (String coordinator : fleet.coordinators()) {
                 fleet.linksTo(coordinator)
@@ -202,7 +206,7 @@
             int callsToCWithoutCoordinators =
                     fleet.callCount("c", coordinatorsLostAt + 5 * SECOND, coordinatorsLostAt + 6 * SECOND);
 
-            // 6: during the spillover a version is activated by which no request leaves its region.
+            // Phase 6: during the spillover a version is activated by which no request leaves its region.
             fleet.submit(fleet.leader(), localityRules("", 0.02));
             fleet.awaitActive(2);
             fleet.waitFor(500);
@@ -233,12 +237,12 @@
                         !isEast
                                 || fleet.requestIdsSince(server, calmFrom)
                                         .noneMatch(id -> isBooking(id) && isFromWest(id)),
-                        "a booking left its region");
+                        "a request of class book left its region");
             }
-            assertTrue(spilledCallsToB > 20, "requests spilled to b: " + spilledCallsToB);
+            assertTrue(spilledCallsToB > 20, "too few requests spilled to zone b: " + spilledCallsToB);
             // The peak is taken over 2 s, which hold about 200 requests. Between runs of one build it varies by a tenth
             // (0.84 to 0.90) with chance, the clients' timing and the machine; without coordination it exceeds 1.2.
-            // SpillFleetTest checks the bound of the quota grants to 5%.
+            // FleetSpilloverTest checks the bound of the quota grants to 5%.
             for (Map<String, Double> peakByZone : List.of(peaks, peaksAtLeaderChange, peaksDuringZoneLoss)) {
                 assertTrue(
                         peakByZone.get("b") <= TARGET_UTILIZATION * 1.2
@@ -247,10 +251,11 @@
             }
             assertTrue(
                     callsInFirstSecond < 0.6 * SERVERS_PER_ZONE * CAPACITY_PER_SERVER,
-                    "requests to a in the first second of its return: " + callsInFirstSecond);
+                    "too many requests to zone a in the first second of its return: " + callsInFirstSecond);
             assertTrue(
                     fleet.callCount("c", forbiddenFrom, endedAt) <= 1.15 * 3 * 2 * 1000 / 65 + 10,
-                    "c received requests of the other region: " + fleet.callCount("c", forbiddenFrom, endedAt));
+                    "zone c received more requests than its own clients send: "
+                            + fleet.callCount("c", forbiddenFrom, endedAt));
             assertTrue(
                     fleet.eventLog.entries().stream().anyMatch(e -> e.event().contains("stale-view: n")),
                     "no node logged a stale view");
@@ -267,8 +272,8 @@
     }
 
     /**
-     * All coordinators are killed before the first zone view of any rule. Nodes route by their local view, and
-     * even while a zone is lost no booking leaves its region.
+     * All coordinators are killed before there is a zone view of any rule. Nodes must route by their local view, and
+     * even while a zone is lost no request of class {@code book} may leave its region.
      */
     @Test
     void withoutCoordinatorsNodesRouteByTheirLocalView() throws Exception {
@@ -312,15 +317,17 @@
                             && request.status() == 200)
                     .count();
             System.out.println(
-                    "without coordinators, zone a lost: look-ups of its nodes served in 3 s " + servedLookups);
-            // Look-ups go wherever servers are available (panic); bookings may spill to b only by the smaller share.
-            assertTrue(servedLookups > 20, "look-ups served: " + servedLookups);
+                    "without coordinators, zone a lost: idempotent requests to its nodes served in 3 s "
+                            + servedLookups);
+            // While zone a has no server, panic mode lets idempotent requests go to any zone with servers. Class book
+            // has panic mode off: it may spill only to zone b, and at most by the uncoordinated fraction.
+            assertTrue(servedLookups > 20, "too few idempotent requests served: " + servedLookups);
             for (ScriptedHttpServer server : fleet.servers) {
                 assertTrue(
                         !fleet.zoneOf(server.name()).equals("c")
                                 || fleet.requestIdsSince(server, boundFrom)
                                         .noneMatch(id -> isBooking(id) && isFromWest(id)),
-                        "a booking left its region");
+                        "a request of class book left its region");
             }
         }
     }
--- a/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
+++ b/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
@@ -50,7 +50,7 @@
         assertEquals(0, run("check", file.toString(), "--config", config.toString()));
         assertEquals(file + ": valid, 1 routes\n", out.toString());
         assertEquals(0, run("check", file.toString()));
-        assertTrue(out.toString().contains("not checked against platform settings"), out.toString());
+        assertTrue(out.toString().contains("not checked against a node configuration"), out.toString());
     }
 
     @Test
--- a/cli/src/test/java/weldhitch/cli/StartupPollSlotsIT.java
+++ b/cli/src/test/java/weldhitch/cli/StartupPollSlotsIT.java
@@ -58,7 +58,7 @@
                     Locale.ROOT,
                     "%d nodes, leader %s: all nodes had the list %.2f s after the service was back; complete list "
                             + "polls: %d, peak %d"
-                            + " in 100 ms; peak of all polls: %d",
+                            + " in 100 ms; peak of all polls: %d in 100 ms",
                     NODES,
                     killLeader ? "killed" : "running",
                     (allListedAt - serviceBackAt) / 1e9,
--- a/client/src/main/java/weldhitch/client/policy/AdaptiveThrottle.java
+++ b/client/src/main/java/weldhitch/client/policy/AdaptiveThrottle.java
@@ -2,10 +2,10 @@
 
 /**
  * Client-side adaptive throttling for one node and request class. Rejects locally with probability max(0, (requests -
- * K accepts - 5) / (requests + 1)), over counts that decay exponentially (Beyer et al., Site Reliability Engineering,
- * chapter 21, "Client-Side Throttling"). The constant 5 is not in the book: without it, one rejection of one request
- * would throttle half of the following requests. A request is counted when it is rejected, accepted or throttled,
- * because nothing is known while its response is outstanding. Single-threaded.
+ * K * accepts - 5) / (requests + 1)), where K is the multiplier and the counts decay exponentially (Beyer et al., Site
+ * Reliability Engineering, chapter 21, "Client-Side Throttling"). The constant 5 is not in the book: without it, one
+ * rejection of one request would throttle half of the following requests. A request is counted when it is rejected,
+ * accepted or throttled, because nothing is known while its response is outstanding. Single-threaded.
  */
 final class AdaptiveThrottle {
     /** Time constant of the decay in nanoseconds. */
--- a/client/src/main/java/weldhitch/client/policy/CallStateMachine.java
+++ b/client/src/main/java/weldhitch/client/policy/CallStateMachine.java
@@ -42,7 +42,7 @@
     /** Reports that the caller has cancelled its call. */
     public record CallCancelled(long callId) implements Event {}
 
-    /** Reports that the time requested by {@link ScheduleTimer} has come. */
+    /** Reports that the time requested by {@link ScheduleTimer} has been reached. */
     public record TimerFired() implements Event {}
 
     /** Reports that the last connection to a node was closed unannounced, with no attempt on it. */
@@ -238,8 +238,8 @@
                 failWithoutAttempt(call, earliestAvailable - now);
                 return;
             }
-            // Waits for the time at which a node becomes available. That time is 0 if a probe is in flight or a node
-            // has no capacity: the call then resumes when the outcome of that attempt is known.
+            // Waits until a node becomes available. A resumeAt of 0 means that this depends on a probe in flight or on
+            // a node without capacity: the call then resumes when the outcome of an attempt at such a node is known.
             call.resumeAt = earliestAvailable < Long.MAX_VALUE && earliestAvailable > now ? earliestAvailable : 0;
             return;
         }
@@ -372,8 +372,8 @@
             endUnanswered(call, retryAfter);
             return;
         }
-        // A connection that was closed while idle is no sign of overload, so the first such retry of a call waits
-        // for no backoff and takes no retry token.
+        // A connection that was closed while idle is no sign of overload. The first retry of a call after a stale
+        // connection or an unsent attempt therefore waits for no backoff and takes no retry token.
         boolean unbudgeted =
                 (call.lastOutcome == AttemptOutcome.STALE_CONNECTION || call.lastOutcome == AttemptOutcome.NOT_SENT)
                         && !call.unbudgetedRetryUsed;
--- a/client/src/main/java/weldhitch/client/policy/ClientPolicy.java
+++ b/client/src/main/java/weldhitch/client/policy/ClientPolicy.java
@@ -11,12 +11,13 @@
  * @param maxBackoff maximum backoff, to which Retry-After is added; from {@code initialBackoff} to 10 minutes
  * @param retryRatio retry tokens earned by each call; 0 to 1
  * @param minRetriesPerSecond retry tokens earned each second, whatever the number of calls; 0 to 1000
- * @param throttleMultiplier how many times the number of accepted requests the throttle lets through (Site Reliability
- *     Engineering, chapter 21); 1.1 to 100
+ * @param throttleMultiplier multiple of the accepted requests up to which the throttle lets requests through (Site
+ *     Reliability Engineering, chapter 21); 1.1 to 100
  * @param ejectionThreshold consecutive failures after which a node is ejected; 1 to 1000
- * @param minReconnectWindow initial window over which reconnects to a lost node are spread; 10 ms to 10 minutes
- * @param maxReconnectWindow maximum of that window, which grows with the outage; from {@code minReconnectWindow} to 1
- *     hour
+ * @param minReconnectWindow initial length of the window over which reconnects to a lost node are spread; 10 ms to 10
+ *     minutes
+ * @param maxReconnectWindow maximum length of that window, which grows with the outage; from
+ *     {@code minReconnectWindow} to 1 hour
  * @param subsetSize how many of the nodes this client uses; 1 or more
  * @param deduplicationWindow deduplication window of the servers; 0 if they do not deduplicate
  */
--- a/client/src/main/java/weldhitch/client/policy/NodeState.java
+++ b/client/src/main/java/weldhitch/client/policy/NodeState.java
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Widens the window of a recovering node by one after a success, which doubles it each round trip. */
+    /** Widens the window of a recovering node by one for each success, so that it doubles with each round trip. */
     void widenWindow() {
         concurrencyWindow = concurrencyWindow >= FULLY_RECOVERED_WINDOW ? Integer.MAX_VALUE : concurrencyWindow + 1;
     }
--- a/client/src/main/java/weldhitch/client/policy/OutgoingCall.java
+++ b/client/src/main/java/weldhitch/client/policy/OutgoingCall.java
@@ -22,11 +22,11 @@
     boolean possiblyExecuted;
     /** Outcome of the last attempt that ended; null before the first has. */
     AttemptOutcome lastOutcome;
-    /** Time of the next attempt; 0 to wait for a node with capacity. */
+    /** Time of the next attempt; 0 to send it as soon as a node is available and has capacity. */
     long resumeAt;
 
     long backoff;
-    /** Whether the current attempt is covered, by a retry token or as the first attempt. */
+    /** Whether the call has started, which entitles it to its first attempt without a retry token. */
     boolean paid;
 
     boolean unbudgetedRetryUsed;
--- a/client/src/test/java/weldhitch/client/WeldhitchClientTest.java
+++ b/client/src/test/java/weldhitch/client/WeldhitchClientTest.java
@@ -93,8 +93,8 @@
                     && !first.header("x-trace-id").equals(second.header("x-trace-id")));
             double elapsedSeconds = Double.parseDouble(first.header("x-expires-in"))
                     - Double.parseDouble(second.header("x-expires-in"));
-            assertTrue(elapsedSeconds >= 0.05 && elapsedSeconds < 9, "remaining time decreased by " + elapsedSeconds);
-            assertEquals(1, node.connections.size(), "one connection for both requests");
+            assertTrue(elapsedSeconds >= 0.05 && elapsedSeconds < 9, "decrease of X-Expires-In: " + elapsedSeconds);
+            assertEquals(1, node.connections.size(), "number of connections for both requests");
             client.send(Request.idempotent("view-slots"));
             RawHttpMessage get = node.nextRequest();
             assertEquals("GET /view-slots HTTP/1.1", get.firstLine());
@@ -123,7 +123,7 @@
             double statedSeconds = Double.parseDouble(request.header("x-expires-in"));
             assertTrue(
                     statedSeconds <= timeoutSeconds - elapsed + 0.15,
-                    "stated " + statedSeconds + " s, " + elapsed + " s after the call");
+                    "stated remaining time " + statedSeconds + " s, " + elapsed + " s after the call");
             node.write(ok("booked"));
             assertEquals(1, response.join().attempts());
         }
--- a/client/src/test/java/weldhitch/client/policy/CallStateMachineTest.java
+++ b/client/src/test/java/weldhitch/client/policy/CallStateMachineTest.java
@@ -224,7 +224,8 @@
         harness.advanceTo(harness.now + 4 * S);
         assertEquals(callCount, harness.completions.size(), "number of calls that ended");
         assertEquals(0, harness.stateMachine.pendingCallCount());
-        // First attempts take no retry token, nor does one retry of each call after a stale connection.
+        // First attempts take no retry token, nor does one retry of each call after a stale connection or an unsent
+        // attempt.
         long retries = harness.attempts.stream().filter(t -> t.attempt() > 0).count();
         double allowedRetries = 10 * Math.max(policy.retryRatio() * 10, policy.minRetriesPerSecond())
                 + 1
@@ -247,7 +248,8 @@
         assertEquals(2, harness.attempts.size());
         harness.advanceTo(retryAfterEnd + S);
         assertEquals(4, harness.attempts.size());
-        // A call that cannot wait that long is rejected at once, with the remaining time as its Retry-After.
+        // A call that must end before the node's Retry-After has passed is rejected at once, and its own Retry-After
+        // is the time that remains of the node's.
         harness.endAttempt(2, AttemptOutcome.REJECTED, 5 * S);
         harness.startCall(4, Idempotency.IDEMPOTENT, S);
         assertEquals(CallResult.REJECTED, harness.result(4));
@@ -343,7 +345,7 @@
         List<SendAttempt> probes = harness.outstanding.values().stream()
                 .filter(t -> t.node().equals("a:1"))
                 .toList();
-        assertEquals(1, probes.size(), "calls that probe the ejected node: " + probes);
+        assertEquals(1, probes.size(), "number of calls that probe the ejected node: " + probes);
         harness.endAttempt(probes.get(0).callId(), AttemptOutcome.OK, 0);
         for (int i = 0; i < 40; i++) {
             harness.startCall(++callId, Idempotency.IDEMPOTENT, 5 * S);
@@ -353,7 +355,7 @@
                 harness.outstanding.values().stream()
                         .filter(t -> t.node().equals("a:1"))
                         .count(),
-                "concurrent attempts at the recovering node");
+                "number of concurrent attempts at the recovering node");
     }
 
     /** After every outcome of a probe, the node gets attempts again later. */
@@ -423,10 +425,11 @@
                 returnsByHalfSecond.values().stream().mapToInt(n -> n).max().orElseThrow();
         assertTrue(
                 returnsByHalfSecond.lastKey() >= 10,
-                "all reconnected within " + (returnsByHalfSecond.lastKey() + 1) / 2.0 + " s: " + returnsByHalfSecond);
+                "reconnects are spread over only " + (returnsByHalfSecond.lastKey() + 1) / 2.0 + " s: "
+                        + returnsByHalfSecond);
         assertTrue(
                 maxReturns < clientCount / 5,
-                "reconnects in half a second: " + maxReturns + ": " + returnsByHalfSecond);
+                "too many reconnects in half a second: " + maxReturns + ": " + returnsByHalfSecond);
     }
 
     @Test
