--- a/cli/src/main/java/weldhitch/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldhitch/cli/ReplayCommand.java
@@ -230,10 +230,10 @@
         }
 
         private boolean concerns(BalancerEvent event) {
-            return event instanceof RequestArrived matched
-                    ? matched.requestId().equals(requestId)
-                    : event instanceof AttemptEnded matched
-                            ? matched.requestId().equals(requestId)
+            return event instanceof RequestArrived arrived
+                    ? arrived.requestId().equals(requestId)
+                    : event instanceof AttemptEnded ended
+                            ? ended.requestId().equals(requestId)
                             : event instanceof ResponseStarted started
                                     ? started.requestId().equals(requestId)
                                     : event instanceof ClientDisconnected disconnected
--- a/cli/src/test/java/weldhitch/ArchitectureTest.java
+++ b/cli/src/test/java/weldhitch/ArchitectureTest.java
@@ -32,7 +32,7 @@
     };
 
     @ArchTest
-    static final ArchRule pureCodeDependsOnCollectionsAndMathsAlone = classes()
+    static final ArchRule pureCodeDependsOnlyOnCollectionsAndMaths = classes()
             .that()
             .resideInAnyPackage(PURE_PACKAGES)
             .should()
@@ -120,7 +120,7 @@
 
     /** Checks that each pattern matches a class, because a rule whose pattern matches none would check nothing. */
     @ArchTest
-    static void everyPurePackageHoldsClasses(JavaClasses classes) {
+    static void everyPurePackageContainsClasses(JavaClasses classes) {
         for (String pattern : PURE_PACKAGES) {
             assertTrue(classes.stream().anyMatch(c -> PackageMatcher.of(pattern).matches(c.getPackageName())), pattern);
         }
