--- a/cli/src/main/java/weldhitch/cli/CaptureCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureCommands.java
@@ -117,7 +117,7 @@
         @Parameters(
                 arity = "1..*",
                 paramLabel = "PATH",
-                description = "Segments of a capture in order, or the directory that holds them.")
+                description = "Segments of a capture in order, or the directory that contains them.")
         private List<Path> paths;
 
         @Option(
--- a/cli/src/main/java/weldhitch/cli/CaptureOption.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureOption.java
@@ -25,7 +25,7 @@
     @Parameters(
             arity = "1..*",
             paramLabel = "PATH",
-            description = "Segments of a capture in order, or the directory that holds them.")
+            description = "Segments of a capture in order, or the directory that contains them.")
     private List<Path> paths;
 
     @Option(names = "--json", description = "Prints JSON.")
