--- a/cli/src/test/java/weldhitch/cli/DemoIT.java
+++ b/cli/src/test/java/weldhitch/cli/DemoIT.java
@@ -18,7 +18,7 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** End-to-end test of {@code demo}, as a newcomer runs it: one jar, one command. */
+/** End-to-end test of {@code demo}, run from the jar by a single command. */
 class DemoIT {
     private static Process startProgram(String... arguments) throws IOException {
         List<String> command = new ArrayList<>(List.of("java", "-jar", "cli/target/weldhitch.jar"));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void killingAServerFailsNoSafeRequest() throws Exception {
+    void killingAServerFailsNoIdempotentRequest() throws Exception {
         Process demo = startProgram("demo", "--port", "0");
         List<ProcessHandle> children;
         try (BufferedReader out = demo.inputReader(StandardCharsets.UTF_8)) {
@@ -58,8 +58,8 @@
             assertEquals(200, sendRequest(port, "enrol", "POST /enrol").status());
             ProcessHandle.of(servers.get(0)).orElseThrow().destroyForcibly();
             for (int i = 0; i < 300; i++) {
-                RawHttpMessage matcher = sendRequest(port, "g" + i, "GET /look-up");
-                assertEquals(200, matcher.status(), "look-up " + i + " after the kill");
+                RawHttpMessage response = sendRequest(port, "g" + i, "GET /look-up");
+                assertEquals(200, response.status(), "look-up " + i + " after the kill");
             }
         } finally {
             demo.destroy();
