--- a/testkit/src/main/java/weldhitch/testkit/FakeDiscovery.java
+++ b/testkit/src/main/java/weldhitch/testkit/FakeDiscovery.java
@@ -87,7 +87,7 @@
         while (notifiedVersion < version) {
             long remaining = deadline - System.nanoTime();
             if (remaining <= 0) {
-                throw new AssertionError("no node asked for version " + version);
+                throw new AssertionError("no node polled for list version " + version);
             }
             TimeUnit.NANOSECONDS.timedWait(this, remaining);
         }
--- a/testkit/src/main/java/weldhitch/testkit/InvariantCheckingClient.java
+++ b/testkit/src/main/java/weldhitch/testkit/InvariantCheckingClient.java
@@ -59,19 +59,19 @@
         connection.write(request);
         RawHttpMessage response = connection.readMessage();
         if (response == null) {
-            violations.add(id + ": no final answer");
+            violations.add(id + ": no final response");
             return null;
         }
         CompletedRequest result = new CompletedRequest(id, unsafe, response.status(), response.bodyText());
         if (completedById.put(id, result) != null) {
-            violations.add(id + ": asked twice by the test");
+            violations.add(id + ": request id used twice by the test");
         }
         // After this half-close the node closes too; any byte that arrives until then is one too many.
         connection.socket.shutdownOutput();
         try {
             byte[] extraBytes = connection.readToEnd();
             if (extraBytes.length > 0) {
-                violations.add(id + ": " + extraBytes.length + " bytes behind its final answer");
+                violations.add(id + ": " + extraBytes.length + " bytes after its final response");
             }
         } catch (SocketException e) {
             // after a reset nothing follows the response either
@@ -92,13 +92,13 @@
                     .mapToInt(server -> server.executionCount(request.id))
                     .sum();
             if (request.unsafe && executions > 1) {
-                found.add(request.id + ": unsafe and run " + executions + " times");
+                found.add(request.id + ": non-idempotent and executed " + executions + " times");
             }
             if (request.unsafe && request.isRejected() && executions > 0) {
-                found.add(request.id + ": refused with " + request.status + " and run");
+                found.add(request.id + ": rejected with status " + request.status + " but executed");
             }
             if (request.status == 200 && executions == 0) {
-                found.add(request.id + ": served and never run");
+                found.add(request.id + ": responded with status 200 but never executed");
             }
         }
         return found;
@@ -114,7 +114,7 @@
                 .filter(received -> received.receivedAtNanos() - notifiedAtNanos > graceNanos)
                 .map(received -> received.id() + ": sent to " + server.name() + " "
                         + (received.receivedAtNanos() - notifiedAtNanos) / 1_000_000
-                        + " ms after the node was told of its drain")
+                        + " ms after the node was notified that it is draining")
                 .toList();
     }
 
--- a/testkit/src/main/java/weldhitch/testkit/ScriptedServer.java
+++ b/testkit/src/main/java/weldhitch/testkit/ScriptedServer.java
@@ -74,7 +74,7 @@
     public RawHttpMessage nextRequest() throws InterruptedException {
         RawHttpMessage request = requests.poll(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (request == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request arrived within the timeout");
         }
         return request;
     }
@@ -83,7 +83,7 @@
     public TestConnection nextConnection() throws InterruptedException {
         TestConnection connection = connections.poll(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (connection == null) {
-            throw new AssertionError("no connection came");
+            throw new AssertionError("no connection was accepted within the timeout");
         }
         return connection;
     }
--- a/testkit/src/main/java/weldhitch/testkit/TestConnection.java
+++ b/testkit/src/main/java/weldhitch/testkit/TestConnection.java
@@ -45,7 +45,7 @@
             }
         }
         if (buffer.size() > 0) {
-            throw new EOFException("a broken head: " + buffer);
+            throw new EOFException("stream ended within a message head: " + buffer);
         }
         return null;
     }
--- a/testkit/src/main/java/weldhitch/testkit/TestSupport.java
+++ b/testkit/src/main/java/weldhitch/testkit/TestSupport.java
@@ -40,7 +40,7 @@
         long deadline = System.nanoTime() + seconds * 1_000_000_000L;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > deadline) {
-                throw new AssertionError("it never came about");
+                throw new AssertionError("condition was not met within the timeout");
             }
             Thread.onSpinWait();
         }
--- a/testkit/src/main/java/weldhitch/testkit/fleet/EventLog.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/EventLog.java
@@ -54,7 +54,7 @@
             }
             long remaining = deadline - System.nanoTime();
             if (remaining <= 0) {
-                throw new AssertionError("it was never seen; the last of what was:\n" + tail(40));
+                throw new AssertionError("no matching event within the timeout; the latest events:\n" + tail(40));
             }
             wait(Math.max(1, remaining / 1_000_000));
         }
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
@@ -117,7 +117,7 @@
                                 Integer.parseInt(fields[4]));
                     } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
                         throw new IllegalArgumentException(
-                                "no fault, expected AT KIND TARGET LASTS FIGURE: " + line, e);
+                                "invalid fault, expected AT_MILLIS KIND TARGET DURATION_MILLIS MAGNITUDE: " + line, e);
                     }
                 })
                 .toList();
--- a/testkit/src/main/java/weldhitch/testkit/fleet/InvariantChecker.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/InvariantChecker.java
@@ -43,31 +43,31 @@
             if (!excused
                     && (request.completion() == Completion.TIMED_OUT
                             || request.completion() == Completion.CONNECTION_BROKEN)) {
-                violations.add(request.id() + ": no whole answer, " + request);
+                violations.add(request.id() + ": no complete response, " + request);
             }
             if (request.completion() == Completion.EXTRA_RESPONSE) {
-                violations.add(request.id() + ": more behind its final answer");
+                violations.add(request.id() + ": bytes after its final response");
             }
             if (!excused
                     && request.completion() == Completion.RESPONDED
                     && request.endedAt() - request.sentAt() > (timeoutMillis + graceMillis) * NANOS_PER_MILLI) {
-                violations.add(request.id() + ": answered after "
+                violations.add(request.id() + ": response arrived after "
                         + (request.endedAt() - request.sentAt()) / NANOS_PER_MILLI + " ms");
             }
             int executions = servers.stream()
                     .mapToInt(server -> server.executionCount(request.id()))
                     .sum();
             if (request.unsafe() && executions > 1) {
-                violations.add(request.id() + ": unsafe and run " + executions + " times");
+                violations.add(request.id() + ": non-idempotent and executed " + executions + " times");
             }
             if (request.unsafe() && request.isRejected() && executions > 0) {
-                violations.add(request.id() + ": refused with " + request.status() + " and run");
+                violations.add(request.id() + ": rejected with status " + request.status() + " but executed");
             }
             if (!excused && request.completion() == Completion.STALE_CONNECTION && executions > 0) {
-                violations.add(request.id() + ": its connection was closed with no answer, and it ran");
+                violations.add(request.id() + ": connection closed without a response, but executed");
             }
             if (request.status() == 200 && executions == 0) {
-                violations.add(request.id() + ": served and never run");
+                violations.add(request.id() + ": responded with status 200 but never executed");
             }
         }
         return violations;
@@ -103,8 +103,8 @@
                     + (receivedAt - request.sentAt()) / (double) NANOS_PER_MILLI
                     - request.timeoutMillis();
             if (excessMillis > toleranceMillis && !linkWasAffected(request, server, receivedAt)) {
-                violations.add(request.id() + ": " + server.name() + " was told " + Math.round(excessMillis)
-                        + " ms more than its client waits");
+                violations.add(request.id() + ": " + server.name() + " was sent a timeout " + Math.round(excessMillis)
+                        + " ms longer than its client waits");
             }
         });
         return violations;
@@ -150,7 +150,7 @@
                         && !faultInjector.wasAffected(node, notifiedAt, receivedAt)) {
                     violations.add(received.id() + ": sent to " + server.name() + " "
                             + (receivedAt - notifiedAt) / NANOS_PER_MILLI + " ms after " + node
-                            + " was told of its drain");
+                            + " was notified that it is draining");
                 }
             }
         }
@@ -195,7 +195,7 @@
                     * (initialFraction + (1 - initialFraction) * Math.max(0, ageMillis) / slowStartMillis);
             double allowedCalls = allowedMultiple * capacity * windowMillis / 1000;
             if (windowEnd - windowStart > allowedCalls + 3 * Math.sqrt(allowedCalls) + 3) {
-                return List.of(server.name() + ": " + (windowEnd - windowStart) + " calls within " + windowMillis
+                return List.of(server.name() + ": " + (windowEnd - windowStart) + " requests within " + windowMillis
                         + " ms, " + Math.round(ageMillis) + " ms after its start, allowed " + allowedCalls);
             }
         }
--- a/testkit/src/main/java/weldhitch/testkit/fleet/ManagedProcess.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/ManagedProcess.java
@@ -44,7 +44,7 @@
     /** Starts or restarts the process and copies its log to the event log; fails where it is running. */
     public synchronized ManagedProcess start() throws IOException {
         if (process != null && process.isAlive()) {
-            throw new IllegalStateException(name + " runs");
+            throw new IllegalStateException(name + " is already running");
         }
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().putAll(environment);
@@ -81,7 +81,7 @@
             portAnnounced = listening;
         }
         if (!portAnnounced.await(3 * TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS) || port == 0) {
-            throw new AssertionError(name + " does not listen\n" + eventLog.tail(20));
+            throw new AssertionError(name + " did not log its port; the latest events:\n" + eventLog.tail(20));
         }
         return port;
     }
@@ -113,7 +113,7 @@
             started = process;
         }
         if (!started.waitFor(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-            throw new AssertionError(name + " does not end");
+            throw new AssertionError(name + " did not exit within the timeout");
         }
         return started.exitValue();
     }
@@ -134,7 +134,7 @@
                 .start()
                 .waitFor();
         if (exitStatus != 0 && process.isAlive()) {
-            throw new IOException("kill -" + signal + " " + name + " ended with " + exitStatus);
+            throw new IOException("kill -" + signal + " " + name + " exited with status " + exitStatus);
         }
         if (signal.equals("CONT")) {
             suspended = false;
--- a/testkit/src/test/java/weldhitch/testkit/FaultInjectingProxyTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/FaultInjectingProxyTest.java
@@ -37,7 +37,7 @@
             long bytesBefore = proxy.bytesForwarded(Direction.TO_CLIENT);
             try {
                 connection.readMessage();
-                throw new AssertionError("what is held came");
+                throw new AssertionError("a response was forwarded while the direction was paused");
             } catch (SocketTimeoutException e) {
                 assertEquals(bytesBefore, proxy.bytesForwarded(Direction.TO_CLIENT));
             }
@@ -79,7 +79,7 @@
             connection.write(getRequest("1"));
             assertEquals(200, connection.readMessage().body().length);
             // At least 240 bytes at 2,000 bytes a second; only the lower bound of the time is certain.
-            assertTrue(System.nanoTime() - startedAt > 80_000_000L, "came at once");
+            assertTrue(System.nanoTime() - startedAt > 80_000_000L, "the bandwidth was not limited");
             proxy.heal().drop(Direction.TO_SERVER);
             connection.write(getRequest("2"));
             proxy.resetConnections();
--- a/testkit/src/test/java/weldhitch/testkit/InvariantCheckingClientTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/InvariantCheckingClientTest.java
@@ -45,13 +45,15 @@
 
     @Test
     void reportsEachViolation() throws Exception {
-        assertEquals(List.of("r: no final answer"), violations("", 0));
+        assertEquals(List.of("r: no final response"), violations("", 0));
         assertEquals(
-                List.of("r: " + OK_RESPONSE.length() + " bytes behind its final answer"),
+                List.of("r: " + OK_RESPONSE.length() + " bytes after its final response"),
                 violations(OK_RESPONSE + OK_RESPONSE, 1));
-        assertEquals(List.of("r: unsafe and run 2 times"), violations(OK_RESPONSE, 2));
-        assertEquals(List.of("r: refused with 503 and run"), violations(OK_RESPONSE.replace("200 OK", "503 x"), 1));
-        assertEquals(List.of("r: served and never run"), violations(OK_RESPONSE, 0));
+        assertEquals(List.of("r: non-idempotent and executed 2 times"), violations(OK_RESPONSE, 2));
+        assertEquals(
+                List.of("r: rejected with status 503 but executed"),
+                violations(OK_RESPONSE.replace("200 OK", "503 x"), 1));
+        assertEquals(List.of("r: responded with status 200 but never executed"), violations(OK_RESPONSE, 0));
     }
 
     @Test
--- a/testkit/src/test/java/weldhitch/testkit/fleet/InvariantCheckerTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/fleet/InvariantCheckerTest.java
@@ -124,7 +124,7 @@
             // multiple of three, 21 with the slack.
             assertTrue(checker.slowStartOverloads(server, startedAt, 10, 0.3, 5000, 3, 1000)
                     .get(0)
-                    .contains("40 calls"));
+                    .contains("40 requests"));
             assertEquals(List.of(), checker.slowStartOverloads(server, startedAt, 40, 0.3, 5000, 3, 1000));
         }
     }
