--- a/testkit/src/main/java/weldhitch/testkit/ConnectionHandler.java
+++ b/testkit/src/main/java/weldhitch/testkit/ConnectionHandler.java
@@ -1,7 +1,7 @@
 package weldhitch.testkit;
 
-/** Handles one accepted connection of a {@link ScriptedServer}, on a thread of its own. */
+/** Handles one accepted connection of a {@link ScriptedServer}, on its own thread. */
 public interface ConnectionHandler {
-    /** Reads from and writes to the connection until it is done with it. */
+    /** Reads from and writes to the connection; the thread ends when this method returns. */
     void handle(TestConnection connection) throws Exception;
 }
--- a/testkit/src/main/java/weldhitch/testkit/FakeDiscovery.java
+++ b/testkit/src/main/java/weldhitch/testkit/FakeDiscovery.java
@@ -9,13 +9,17 @@
 import java.util.regex.Pattern;
 
 /**
- * A fake discovery service: serves an endpoint list that the test changes, by poll or long poll. Thread-safe:
- * the list is guarded by the object's monitor.
+ * A fake discovery service that serves an endpoint list by poll or long poll; the test changes the list.
+ * Thread-safe: the list is guarded by the object's monitor.
  */
 public final class FakeDiscovery implements Closeable {
     private static final Pattern WATCH_QUERY = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
 
-    /** One list entry; {@code since} is the list version that changed it last. Immutable. */
+    /**
+     * An entry of the endpoint list. Immutable.
+     *
+     * @param changedIn the list version in which the entry changed last
+     */
     private record Endpoint(String address, String health, int changedIn) {}
 
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
@@ -24,10 +28,10 @@
     private boolean paused;
     private long notifiedAt;
     private int notifiedVersion;
-    /** The list version in the latest response. */
+    /** List version of the latest response. */
     private int lastAnsweredVersion;
 
-    /** Starts to listen at once, with an empty list. */
+    /** Creates a service with an empty list and starts to listen. */
     public FakeDiscovery() throws IOException {
         server = new ScriptedServer(connection -> {
             for (RawHttpMessage request = connection.readMessage();
@@ -39,22 +43,22 @@
         });
     }
 
-    /** Host and port. */
+    /** Returns the host and port on which the service listens. */
     public String address() {
         return server.address();
     }
 
-    /** Lists the endpoint as ready. */
+    /** Adds the endpoint to the list, or changes it, with health {@code ready}. */
     public FakeDiscovery add(String name, String address) {
         return update(name, address, "ready");
     }
 
-    /** Lists the endpoint as draining. */
+    /** Marks the listed endpoint as draining. */
     public FakeDiscovery drain(String name) {
         return update(name, endpoints.get(name).address, "draining");
     }
 
-    /** Removes the endpoint from the list. */
+    /** Marks the listed endpoint as removed. */
     public FakeDiscovery remove(String name) {
         return update(name, endpoints.get(name).address, "gone");
     }
@@ -65,13 +69,13 @@
         return this;
     }
 
-    /** Suspends all responses until {@link #resume}; polls stay pending. */
+    /** Suspends all responses until {@link #resume} is called; polls stay pending meanwhile. */
     public synchronized FakeDiscovery pause() {
         paused = true;
         return this;
     }
 
-    /** Resumes responses. */
+    /** Resumes responses, also to the pending polls. */
     public synchronized FakeDiscovery resume() {
         paused = false;
         notifyAll();
@@ -79,8 +83,9 @@
     }
 
     /**
-     * Waits until a node has received the newest list version; returns {@link System#nanoTime} of that
-     * moment.
+     * Waits until a node has received the newest list version.
+     *
+     * @return the {@link System#nanoTime} at which the response with that version had been written
      */
     public synchronized long awaitNotified() throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TestSupport.TIMEOUT_SECONDS);
--- a/testkit/src/main/java/weldhitch/testkit/FaultInjectingProxy.java
+++ b/testkit/src/main/java/weldhitch/testkit/FaultInjectingProxy.java
@@ -15,8 +15,8 @@
 
 /**
  * A TCP proxy on loopback that injects faults between a client and a server: delay, jitter, limited bandwidth,
- * dropped bytes, resets, half-close. A fault applies to bytes not yet forwarded, on all open connections and on
- * new ones. Thread-safe; each connection uses two daemon threads of its own.
+ * dropped bytes, resets and half-closes. A fault applies to all open and new connections and affects the bytes
+ * that have not been forwarded yet. Thread-safe; each connection uses two daemon threads.
  */
 public final class FaultInjectingProxy implements Closeable {
     /** The direction in which bytes are forwarded. */
@@ -34,7 +34,7 @@
     private final DirectionState toClient = new DirectionState();
     private volatile boolean rejecting;
 
-    /** Faults in force for one direction. Guarded by its own monitor. */
+    /** The active faults of one direction. Guarded by its own monitor, except the counter. */
     private static final class DirectionState {
         final AtomicLong bytesForwarded = new AtomicLong();
         long delayMillis;
@@ -42,7 +42,7 @@
         int maxJitterMillis;
 
         SplittableRandom random = new SplittableRandom(0);
-        /** How many more bytes are forwarded before the connections are reset; below 0 for no limit. */
+        /** Number of bytes to forward before the connections are reset; negative for no limit. */
         long bytesUntilReset = -1;
 
         long bytesPerSecond;
@@ -50,7 +50,7 @@
         boolean paused;
     }
 
-    /** The two sockets of one proxied connection. Immutable. */
+    /** The two sockets of a proxied connection. Immutable. */
     private record ProxiedConnection(Socket client, Socket server) {
         void close(boolean reset) {
             for (Socket socket : new Socket[] {client, server}) {
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Starts to listen at once.
+     * Creates a proxy and starts to listen.
      *
      * @param address host and port of the server
      */
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Forwards bytes, applying the faults in force when each chunk is written. */
+    /** Forwards bytes and applies the faults that are active when each chunk is written. */
     private static void forward(
             byte[] bytes, int count, OutputStream output, DirectionState state, ProxiedConnection connection)
             throws IOException, InterruptedException {
@@ -143,7 +143,7 @@
                                 : 0)
                         + (state.bytesPerSecond == 0 ? 0 : 1000L * length / state.bytesPerSecond);
                 if (waitMillis > 0) {
-                    // The injected delay; a change of the faults notifies and ends it early.
+                    // The injected delay; a change of the faults notifies this thread and ends the delay early.
                     state.wait(waitMillis);
                 }
                 if (state.dropping) {
@@ -158,7 +158,7 @@
                     }
                 }
             }
-            // Counted before the write, so that whoever reads these bytes finds them counted.
+            // Counted before the write, so that a peer that has read these bytes finds them counted.
             state.bytesForwarded.addAndGet(length);
             output.write(bytes, offset, length);
             output.flush();
@@ -166,17 +166,17 @@
         }
     }
 
-    /** Host and port to which clients connect. */
+    /** Returns the host and port to which clients connect. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Number of bytes forwarded in that direction. */
+    /** Returns the number of bytes forwarded in a direction. */
     public long bytesForwarded(Direction direction) {
         return stateOf(direction).bytesForwarded.get();
     }
 
-    /** Number of open proxied connections. */
+    /** Returns the number of open proxied connections. */
     public int connectionCount() {
         return connections.size();
     }
@@ -185,7 +185,7 @@
         return direction == Direction.TO_SERVER ? toServer : toClient;
     }
 
-    /** A change of the faults of one direction, applied under its monitor. */
+    /** Changes the faults of one direction; applied under the monitor of that direction. */
     private interface StateChange {
         void apply(DirectionState state);
     }
@@ -199,14 +199,15 @@
         return this;
     }
 
-    /** Forwards each chunk {@code millis} late. */
+    /** Delays each chunk of a direction by {@code millis}. */
     public FaultInjectingProxy delay(Direction direction, long millis) {
         return update(direction, state -> state.delayMillis = millis);
     }
 
     /**
-     * Delays each chunk by a further random time below {@code millis}, drawn from the seed; both
-     * directions.
+     * Delays each chunk, in both directions, by a further random time below {@code millis}.
+     *
+     * @param seed seed of the random times
      */
     public FaultInjectingProxy jitter(int millis, long seed) {
         for (Direction direction : Direction.values()) {
@@ -219,29 +220,29 @@
     }
 
     /**
-     * After so many more bytes to the client, resets each connection that has more to forward, which is mostly
-     * within a message.
+     * Forwards this many more bytes to the clients, over all connections, and then resets each connection that has
+     * more to forward. The reset usually happens within a message.
      */
     public FaultInjectingProxy resetAfter(long bytes) {
         return update(Direction.TO_CLIENT, state -> state.bytesUntilReset = bytes);
     }
 
-    /** Limits the bandwidth of a direction in bytes a second; 0 for no limit. */
+    /** Limits the bandwidth of a direction in bytes per second; 0 for no limit. */
     public FaultInjectingProxy limitBandwidth(Direction direction, long bytesPerSecond) {
         return update(direction, state -> state.bytesPerSecond = bytesPerSecond);
     }
 
-    /** Reads and drops all bytes but leaves connections open, as when a machine has vanished. */
+    /** Reads and drops all bytes of a direction and leaves the connections open, as if a machine had failed. */
     public FaultInjectingProxy drop(Direction direction) {
         return update(direction, state -> state.dropping = true);
     }
 
-    /** Pauses forwarding until {@link #heal}; unlike with {@link #drop}, nothing is lost. */
+    /** Pauses forwarding until {@link #heal} is called; unlike with {@link #drop}, no bytes are lost. */
     public FaultInjectingProxy pause(Direction direction) {
         return update(direction, state -> state.paused = true);
     }
 
-    /** Ends all faults; bytes dropped so far stay lost. */
+    /** Ends all faults; dropped bytes stay lost. */
     public FaultInjectingProxy heal() {
         rejecting = false;
         for (Direction direction : Direction.values()) {
@@ -257,20 +258,20 @@
         return this;
     }
 
-    /** Resets all open connections; new ones are accepted. */
+    /** Resets all open connections; new connections are accepted. */
     public FaultInjectingProxy resetConnections() {
         connections.forEach(connection -> connection.close(true));
         connections.clear();
         return this;
     }
 
-    /** Resets new connections as soon as they are accepted, until {@link #heal}. */
+    /** Resets new connections as soon as they are accepted, until {@link #heal} is called. */
     public FaultInjectingProxy rejectConnections() {
         rejecting = true;
         return this;
     }
 
-    /** Half-closes all connections: an orderly end of one direction (FIN), while the other goes on. */
+    /** Half-closes all connections: ends one direction with a FIN and keeps the other open. */
     public FaultInjectingProxy halfClose(Direction direction) throws IOException {
         for (ProxiedConnection connection : connections) {
             (direction == Direction.TO_SERVER ? connection.server : connection.client).shutdownOutput();
--- a/testkit/src/main/java/weldhitch/testkit/InvariantCheckingClient.java
+++ b/testkit/src/main/java/weldhitch/testkit/InvariantCheckingClient.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * A client that checks a node's invariants: exactly one final response for each request; no non-idempotent
- * request executed twice, or executed and then rejected; nothing sent to a draining endpoint once a grace
- * period after the node was notified is over. Thread-safe.
+ * A client that checks the invariants of a node: each request gets exactly one final response; no non-idempotent
+ * request is executed twice, or executed and then rejected; and a draining endpoint receives no request after a
+ * grace period that starts when the node was notified of the drain. Thread-safe.
  */
 public final class InvariantCheckingClient implements Closeable {
     /**
      * A completed request. Immutable.
      *
-     * @param unsafe whether it is non-idempotent
+     * @param unsafe whether the request is non-idempotent
      */
     public record CompletedRequest(String id, boolean unsafe, int status, String body) {
-        /** Whether the response promises that the request had no effect, so that a retry is harmless. */
+        /** Returns whether the response states that the request was not executed, so that a retry is safe. */
         public boolean isRejected() {
             return status == 429 || status == 503;
         }
@@ -35,17 +35,22 @@
     private final ConcurrentLinkedQueue<String> violations = new ConcurrentLinkedQueue<>();
     private final Set<TestConnection> openConnections = ConcurrentHashMap.newKeySet();
 
-    /** @param port the node's port on loopback */
+    /**
+     * Creates a client of one node.
+     *
+     * @param port the node's port on loopback
+     */
     public InvariantCheckingClient(int port) {
         this.port = port;
     }
 
-    /** Sends a request on a new connection, waits for its response and checks that nothing follows it. */
+    /** Sends a request on a new connection, waits for the response and checks that no bytes follow it. */
     public CompletedRequest send(String id, boolean unsafe, String request) throws IOException {
         TestConnection connection = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
         openConnections.add(connection);
-        // Closed as soon as it has ended: at thousands of requests a second each would occupy a descriptor, and
-        // once the process has none left, a node in the same process can't accept the next connection.
+        // Closed as soon as the request has completed: at thousands of requests per second each open connection
+        // would occupy a descriptor, and once the process has none left, a node in the same process can't accept
+        // the next connection.
         try {
             return exchange(connection, id, unsafe, request);
         } finally {
@@ -66,7 +71,7 @@
         if (completedById.put(id, result) != null) {
             violations.add(id + ": request id used twice by the test");
         }
-        // After this half-close the node closes too; any byte that arrives until then is one too many.
+        // The node closes its side after this half-close; any byte that arrives until then is in excess.
         connection.socket.shutdownOutput();
         try {
             byte[] extraBytes = connection.readToEnd();
@@ -74,17 +79,17 @@
                 violations.add(id + ": " + extraBytes.length + " bytes after its final response");
             }
         } catch (SocketException e) {
-            // after a reset nothing follows the response either
+            // No bytes follow the response after a reset either.
         }
         return result;
     }
 
-    /** All completed requests, in no particular order. */
+    /** Returns all completed requests, in no particular order. */
     public List<CompletedRequest> completedRequests() {
         return List.copyOf(completedById.values());
     }
 
-    /** The invariants violated so far, one line each; empty where all hold. */
+    /** Returns the invariants violated so far, one line each; empty if all invariants hold. */
     public List<String> violations(List<ScriptedHttpServer> servers) {
         List<String> found = new ArrayList<>(violations);
         for (CompletedRequest request : completedById.values()) {
@@ -105,9 +110,10 @@
     }
 
     /**
-     * Requests that the server received later than {@code graceNanos} after {@code toldNanos}, one line each.
+     * Returns the requests that the server received more than {@code graceNanos} after {@code notifiedAtNanos}, one
+     * line each.
      *
-     * @param notifiedAtNanos {@link System#nanoTime} at which the node was notified that the endpoint drains
+     * @param notifiedAtNanos {@link System#nanoTime} at which the node was notified that the endpoint is draining
      */
     public static List<String> requestsAfterDrain(ScriptedHttpServer server, long notifiedAtNanos, long graceNanos) {
         return server.receivedRequests().stream()
--- a/testkit/src/main/java/weldhitch/testkit/NodeFixtures.java
+++ b/testkit/src/main/java/weldhitch/testkit/NodeFixtures.java
@@ -9,20 +9,21 @@
 public final class NodeFixtures {
     private NodeFixtures() {}
 
-    /** An endpoint list entry in JSON with health {@code ready}; {@code address} is host and port. */
+    /** Returns an endpoint list entry in JSON with health {@code ready}; {@code address} is host and port. */
     public static String endpointEntry(String name, String address) {
         return endpointEntry(name, address, "ready");
     }
 
-    /** An endpoint list entry in JSON; {@code address} is host and port. */
+    /** Returns an endpoint list entry in JSON; {@code address} is host and port. */
     public static String endpointEntry(String name, String address, String health) {
         return "{\"host\":\"" + name + "\",\"dial\":\"" + address + "\",\"site\":\"a\",\"class\":\"k\",\"block\":1,"
                 + "\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":0}";
     }
 
     /**
-     * The balancer settings in JSON; {@code more} is appended to the object as it is and starts with a
-     * comma.
+     * Returns the balancer settings in JSON.
+     *
+     * @param extraSettings text appended to the settings object without changes; starts with a comma, or is empty
      */
     public static String settingsJson(String extraSettings) {
         return "{\"areas\":[\"a\"],\"az\":\"a\",\"layer\":0,\"me\":0,\"siblings\":1,\"quantumS\":0.002,\"classes\":["
@@ -37,12 +38,12 @@
     }
 
     /**
-     * A node's configuration file in JSON.
+     * Returns a node's configuration file in JSON.
      *
      * @param discovery host and port of the discovery service
      * @param cachedEndpoints entries of the cached endpoint list, separated by commas
      * @param maxSockets the node's socket limit
-     * @param extraSettings appended to the balancer settings as it is; starts with a comma
+     * @param extraSettings text appended to the balancer settings without changes; starts with a comma, or is empty
      */
     public static byte[] configJson(String discovery, String cachedEndpoints, int maxSockets, String extraSettings) {
         return ("{\"name\":\"n1\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery + "\",\"seed\":\"0f\","
@@ -53,18 +54,18 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A GET request of class {@code read} with the given trace id. */
+    /** Returns a GET request of class {@code read} with the given trace id. */
     public static String getRequest(String traceId) {
         return "GET /read/x?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + traceId + "\r\nX-Qos: read\r\n"
                 + "X-Expires-In: 8.000\r\n\r\n";
     }
 
-    /** A GET request of class {@code feed}, whose responses the node streams. */
+    /** Returns a GET request of class {@code feed}, whose responses the node streams. */
     public static String streamedGetRequest(String traceId) {
         return getRequest(traceId).replace("/read/", "/feed/").replace("X-Qos: read", "X-Qos: feed");
     }
 
-    /** A non-idempotent POST request of class {@code book} with the given trace id. */
+    /** Returns a non-idempotent POST request of class {@code book} with the given trace id. */
     public static String postRequest(String traceId, String body) {
         return "POST /book HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: " + traceId + "\r\nX-Qos: book\r\n"
                 + "X-Expires-In: 8.000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
--- a/testkit/src/main/java/weldhitch/testkit/ReservedPort.java
+++ b/testkit/src/main/java/weldhitch/testkit/ReservedPort.java
@@ -7,27 +7,27 @@
 import java.net.Socket;
 
 /**
- * Reserves a loopback port for a listener that starts later, by a socket that is bound to it and does not
- * listen. The kernel then assigns the port neither as an ephemeral port nor to an outgoing connection,
- * refuses connection attempts to it, and lets a listener bind to it explicitly, any number of times. A port
- * that was only looked up and released may be taken by any connection in between. Immutable.
+ * Reserves a loopback port for a listener that starts later, with a socket that is bound to the port and does not
+ * listen. While it is reserved, the kernel assigns the port neither as an ephemeral port nor to an outgoing
+ * connection, refuses connection attempts to it, and lets a listener bind to it explicitly any number of times.
+ * Without the reservation any connection could take the port before the listener starts. Immutable.
  */
 public final class ReservedPort implements Closeable {
     private final Socket reservingSocket = new Socket();
 
-    /** Reserves a free port at once. */
+    /** Reserves a free port. */
     public ReservedPort() throws IOException {
-        // Both sockets need SO_REUSEADDR; Java's server channels set it by themselves.
+        // Both sockets need SO_REUSEADDR; Java sets it on server sockets by default.
         reservingSocket.setReuseAddress(true);
         reservingSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
-    /** The reserved port. */
+    /** Returns the reserved port. */
     public int number() {
         return reservingSocket.getLocalPort();
     }
 
-    /** Host and port. */
+    /** Returns the host and port. */
     public String address() {
         return "127.0.0.1:" + number();
     }
--- a/testkit/src/main/java/weldhitch/testkit/ScriptedHttpServer.java
+++ b/testkit/src/main/java/weldhitch/testkit/ScriptedHttpServer.java
@@ -13,16 +13,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An HTTP server that follows a script: each request gets the next step, and the default step once the
- * script is used up. It counts executions by request id, so that tests can check that no non-idempotent
- * request runs twice. Thread-safe; each connection has a thread of its own.
+ * An HTTP server that follows a script: each request takes the next step of the script, or the default step once
+ * the script is used up. Counts executions by request id, so that tests can check that no non-idempotent request
+ * is executed twice. Thread-safe; each connection has its own thread.
  *
  * <pre>{@code
  * new ScriptedHttpServer("s1").enqueue(reject(), delayed(50, respond("late"))).byDefault(respond("x"))
  * }</pre>
  */
 public final class ScriptedHttpServer implements Closeable {
-    /** How the server treats one request. Immutable. */
+    /** Defines how the server treats one request. Immutable. */
     public sealed interface Step
             permits FullResponse,
                     Rejection,
@@ -33,19 +33,19 @@
                     StalledResponse,
                     MalformedResponse,
                     NoResponse {
-        /** Whether the request is executed. */
+        /** Returns whether the request is executed. */
         default boolean executesRequest() {
             return true;
         }
     }
 
-    /** Status 200 with a body. */
+    /** Responds with status 200 and a body. */
     private record FullResponse(String body) implements Step {}
 
-    /** A status without a body. */
+    /** Responds with a status and no body. */
     private record ErrorStatus(int status) implements Step {}
 
-    /** Another step, a while later. */
+    /** Performs another step after a delay. */
     private record DelayedStep(long millis, Step step) implements Step {
         @Override
         public boolean executesRequest() {
@@ -53,19 +53,19 @@
         }
     }
 
-    /** A reset after the request was executed. */
+    /** Executes the request and resets the connection without a response. */
     private record ResetAfterRequest() implements Step {}
 
-    /** The first half of the body, then nothing. */
+    /** Sends the first half of the body and then nothing more. */
     private record StalledResponse(String body) implements Step {}
 
-    /** Bytes that are no HTTP response. */
+    /** Sends bytes that are not an HTTP response. */
     private record MalformedResponse(String rawResponse) implements Step {}
 
-    /** No response at all. */
+    /** Sends no response. */
     private record NoResponse() implements Step {}
 
-    /** Status 503 with the promise that the request was not executed. */
+    /** Responds with status 503 and states that the request was not executed. */
     private record Rejection() implements Step {
         @Override
         public boolean executesRequest() {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** A reset before the body is read. */
+    /** Resets the connection before the body is read. */
     private record ResetBeforeBody() implements Step {
         @Override
         public boolean executesRequest() {
@@ -81,47 +81,47 @@
         }
     }
 
-    /** Executes and responds with status 200 and this body. */
+    /** Returns a step that executes the request and responds with status 200 and this body. */
     public static Step respond(String body) {
         return new FullResponse(body);
     }
 
-    /** Rejects with status 503 and {@code X-Never-Ran}: the request is not executed. */
+    /** Returns a step that rejects the request, without execution, with status 503 and {@code X-Never-Ran}. */
     public static Step reject() {
         return new Rejection();
     }
 
-    /** Executes and responds with this status and no body. */
+    /** Returns a step that executes the request and responds with this status and no body. */
     public static Step respondWithStatus(int status) {
         return new ErrorStatus(status);
     }
 
-    /** Performs the step so many milliseconds later. */
+    /** Returns a step that performs another step {@code millis} milliseconds later. */
     public static Step delayed(long millis, Step step) {
         return new DelayedStep(millis, step);
     }
 
-    /** Resets after the head and before the body is read: the request is not executed. */
+    /** Returns a step that resets the connection after the head, before the body is read and without execution. */
     public static Step resetBeforeLastByte() {
         return new ResetBeforeBody();
     }
 
-    /** Executes and resets without a response. */
+    /** Returns a step that executes the request and resets the connection without a response. */
     public static Step resetAfterLastByte() {
         return new ResetAfterRequest();
     }
 
-    /** Executes, sends the first half of this body, then stalls with the connection open. */
+    /** Returns a step that executes the request, sends the first half of this body and then stalls. */
     public static Step stallMidResponse(String body) {
         return new StalledResponse(body);
     }
 
-    /** Executes and responds with these bytes, which are no HTTP response. */
+    /** Returns a step that executes the request and responds with these bytes, which are not an HTTP response. */
     public static Step respondMalformed(String rawResponse) {
         return new MalformedResponse(rawResponse);
     }
 
-    /** Executes and never responds. */
+    /** Returns a step that executes the request and never responds. */
     public static Step hang() {
         return new NoResponse();
     }
@@ -129,10 +129,10 @@
     /**
      * A received request. Immutable.
      *
-     * @param id its trace id
-     * @param receivedAtNanos {@link System#nanoTime} when its last byte had arrived, or its head where it was reset
-     *     unread
-     * @param expiresInSeconds how long its sender says that it waits; infinite if it does not say
+     * @param id the trace id of the request
+     * @param receivedAtNanos {@link System#nanoTime} at which the last byte had arrived, or the head if the connection
+     *     was reset before the body was read
+     * @param expiresInSeconds the remaining time that the request states, in seconds; infinite if it states none
      */
     public record ReceivedRequest(String id, long receivedAtNanos, double expiresInSeconds, Step step) {}
 
@@ -144,20 +144,20 @@
     private final CountDownLatch closed = new CountDownLatch(1);
     private Step defaultStep;
 
-    /** Starts to listen at once; the default step responds with the server's name. */
+    /** Starts to listen; the default step responds with the server's name. */
     public ScriptedHttpServer(String name) throws IOException {
         this.name = name;
         defaultStep = respond(name);
         server = new ScriptedServer(this::serve);
     }
 
-    /** Appends steps that are used once each, in order, before the default step. */
+    /** Appends steps, each used for one request, to the script. */
     public synchronized ScriptedHttpServer enqueue(Step... steps) {
         script.addAll(List.of(steps));
         return this;
     }
 
-    /** Sets the step for every request for which the script has none. */
+    /** Sets the step for requests that arrive when the script is used up. */
     public synchronized ScriptedHttpServer byDefault(Step step) {
         defaultStep = step;
         return this;
@@ -184,7 +184,7 @@
                 return;
             }
         }
-        // The client has ended it; left open, each would cost a descriptor until the end of the test.
+        // The client has closed its side; left open, each connection would cost a descriptor until the test ends.
         connection.close();
     }
 
@@ -193,7 +193,7 @@
         return value == null ? Double.POSITIVE_INFINITY : Double.parseDouble(value);
     }
 
-    /** Performs a step; false where nothing more is read on the connection. */
+    /** Performs a step and returns whether to read further requests on the connection. */
     private boolean perform(TestConnection connection, Step step) throws Exception {
         if (step instanceof DelayedStep delayed) {
             // The scripted processing time; closing the server ends it early.
@@ -224,27 +224,27 @@
         return "HTTP/1.1 " + status + " x\r\nContent-Length: " + length + "\r\n\r\n";
     }
 
-    /** The server's name. */
+    /** Returns the server's name. */
     public String name() {
         return name;
     }
 
-    /** Host and port. */
+    /** Returns the host and port on which the server listens. */
     public String address() {
         return server.address();
     }
 
-    /** How often the request of this id was executed. */
+    /** Returns how often the request with this id was executed. */
     public int executionCount(String id) {
         return executionsById.getOrDefault(id, 0);
     }
 
-    /** All received requests, in order of arrival. */
+    /** Returns all received requests, in order of arrival. */
     public List<ReceivedRequest> receivedRequests() {
         return List.copyOf(receivedRequests);
     }
 
-    /** The most connections accepted within any {@code millis}. */
+    /** Returns the maximum number of connections accepted within any {@code millis} milliseconds. */
     public int peakConnections(long millis) {
         List<Long> acceptedAt = server.acceptTimes();
         int peak = 0;
--- a/testkit/src/main/java/weldhitch/testkit/ScriptedServer.java
+++ b/testkit/src/main/java/weldhitch/testkit/ScriptedServer.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A TCP server on loopback that runs its handler on each connection, on a thread of its own. Thread-safe. */
+/** A TCP server on loopback that runs a handler for each connection, on a separate thread. Thread-safe. */
 public final class ScriptedServer implements Closeable {
     public final ServerSocket listener;
     public final BlockingQueue<RawHttpMessage> requests = new LinkedBlockingQueue<>();
@@ -20,7 +20,7 @@
     private final java.util.concurrent.atomic.AtomicInteger activeHandlers =
             new java.util.concurrent.atomic.AtomicInteger();
 
-    /** Starts to listen at once on a free port. */
+    /** Starts to listen on a free port. */
     public ScriptedServer(ConnectionHandler handler) throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         TestSupport.startDaemon(() -> {
@@ -41,7 +41,7 @@
         });
     }
 
-    /** An HTTP server that queues each request in {@link #requests} and responds with {@code answer}'s text. */
+    /** Creates an HTTP server that queues each request in {@link #requests} and sends the text of {@code responder}. */
     public static ScriptedServer respondingWith(java.util.function.Function<RawHttpMessage, String> responder)
             throws IOException {
         ScriptedServer[] server = new ScriptedServer[1];
@@ -60,17 +60,17 @@
         return server[0];
     }
 
-    /** {@link System#nanoTime} at which each connection was accepted, in order. */
+    /** Returns the {@link System#nanoTime} at which each connection was accepted, in order. */
     public List<Long> acceptTimes() {
         return List.copyOf(acceptTimes);
     }
 
-    /** Number of connections whose handler has not returned. */
+    /** Returns the number of connections whose handler has not returned. */
     public int activeHandlers() {
         return activeHandlers.get();
     }
 
-    /** Waits for the next request and removes it from the queue; fails when none arrives in time. */
+    /** Waits for the next request and removes it from the queue; fails if none arrives within the timeout. */
     public RawHttpMessage nextRequest() throws InterruptedException {
         RawHttpMessage request = requests.poll(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (request == null) {
@@ -79,7 +79,7 @@
         return request;
     }
 
-    /** Waits for the next connection and removes it from the queue; fails when none arrives in time. */
+    /** Waits for the next connection and removes it from the queue; fails if none arrives within the timeout. */
     public TestConnection nextConnection() throws InterruptedException {
         TestConnection connection = connections.poll(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (connection == null) {
@@ -88,7 +88,7 @@
         return connection;
     }
 
-    /** Host and port. */
+    /** Returns the host and port on which the server listens. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
--- a/testkit/src/main/java/weldhitch/testkit/StalledListener.java
+++ b/testkit/src/main/java/weldhitch/testkit/StalledListener.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A listener whose full backlog stalls connection attempts until it is released. The kernel retransmits a
- * SYN one second after the first, so a stalled attempt takes at least that long. Used from one test thread.
+ * A listener that stalls connection attempts by a full backlog until it is released. The kernel retransmits a SYN
+ * one second after the first, so a stalled attempt takes at least that long. Used by one test thread.
  */
 public final class StalledListener implements Closeable {
     private static final int BACKLOG = 1;
@@ -21,7 +21,7 @@
     private final ServerSocket listener;
     private final List<Closeable> openSockets = new CopyOnWriteArrayList<>();
 
-    /** Listens and fills the backlog at once. */
+    /** Starts to listen and fills the backlog. */
     public StalledListener() throws IOException {
         listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         for (int i = 0; i <= BACKLOG; i++) {
@@ -29,12 +29,12 @@
         }
     }
 
-    /** Host and port. */
+    /** Returns the host and port on which it listens. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Waits until a connection attempt to it is under way (state SYN_SENT). */
+    /** Waits until a connection attempt to this listener is pending (state SYN_SENT). */
     public void awaitConnectAttempt() {
         String connectAttemptPattern = String.format(Locale.ROOT, ":%04X 02", listener.getLocalPort());
         TestSupport.await(() -> hasMatchingLine("/proc/net/tcp", connectAttemptPattern)
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Empties the backlog, so that connection attempts succeed, and waits for one. */
+    /** Empties the backlog, so that connection attempts succeed, and returns the next accepted connection. */
     public TestConnection release() throws IOException {
         listener.setSoTimeout(TestSupport.TIMEOUT_SECONDS * 1000);
         for (int i = 0; i <= BACKLOG; i++) {
@@ -60,7 +60,7 @@
         return connection;
     }
 
-    /** Empties the backlog and hands each connection, now and later, to this handler on a thread of its own. */
+    /** Empties the backlog and runs the handler for each connection accepted from now on, on separate threads. */
     public void release(ConnectionHandler handler) {
         TestSupport.startDaemon(() -> {
             for (TestConnection connection = release(); ; connection = new TestConnection(listener.accept())) {
--- a/testkit/src/main/java/weldhitch/testkit/TestConnection.java
+++ b/testkit/src/main/java/weldhitch/testkit/TestConnection.java
@@ -9,8 +9,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One TCP connection of a test, with blocking reads of HTTP messages and of the end of the stream. Every read
- * times out after {@link TestSupport#TIMEOUT_SECONDS} seconds. Not thread-safe: one thread reads at a time.
+ * A TCP connection of a test, with blocking reads of HTTP messages and of the end of the stream. Every read times
+ * out after {@link TestSupport#TIMEOUT_SECONDS} seconds. Not thread-safe: only one thread may read at a time.
  */
 public final class TestConnection implements Closeable {
     public final Socket socket;
@@ -34,7 +34,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** Reads a message head including its empty line; null at the end of the stream. */
+    /** Reads a message head including its empty line; returns null at the end of the stream. */
     public String readHead() throws IOException {
         ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         for (int nextByte = input.read(); nextByte >= 0; nextByte = input.read()) {
@@ -50,7 +50,7 @@
         return null;
     }
 
-    /** Reads a complete message by its Content-Length (0 without one); null at the end of the stream. */
+    /** Reads a message with the body that Content-Length states (none without it); null at the end of the stream. */
     public RawHttpMessage readMessage() throws IOException {
         String head = readHead();
         if (head == null) {
@@ -61,17 +61,17 @@
         return new RawHttpMessage(head, body);
     }
 
-    /** Reads all bytes up to the end of the stream. */
+    /** Reads all bytes until the end of the stream. */
     public byte[] readToEnd() throws IOException {
         return input.readAllBytes();
     }
 
-    /** Reads {@code count} bytes, or fewer where the stream ends before. */
+    /** Reads {@code count} bytes, or fewer if the stream ends before. */
     public byte[] readBytes(int count) throws IOException {
         return input.readNBytes(count);
     }
 
-    /** Whether the peer closes or resets the connection; blocks until it does or a byte arrives. */
+    /** Blocks until the peer closes or resets the connection, or a byte arrives; returns whether it was closed. */
     public boolean isClosedByPeer() throws IOException {
         try {
             return input.read() < 0;
--- a/testkit/src/main/java/weldhitch/testkit/TestSupport.java
+++ b/testkit/src/main/java/weldhitch/testkit/TestSupport.java
@@ -3,26 +3,26 @@
 /** Timeout, polling and daemon threads shared by tests that use sockets. Thread-safe. */
 public final class TestSupport {
     /**
-     * Upper bound for any wait of a test, in seconds: generous for a noisy machine, not itself an
-     * assertion.
+     * Upper bound for any wait of a test, in seconds. It is generous so that a busy machine does not exceed it, and is
+     * not an assertion about the time that something takes.
      */
     public static final int TIMEOUT_SECONDS = 20;
 
     private TestSupport() {}
 
-    /** The body of a daemon thread. Its exceptions are ignored, as a peer's thread ends with its connection. */
+    /** The body of a daemon thread. Its exceptions are ignored, because such a thread ends with its connection. */
     public interface ThrowingRunnable {
-        /** Runs on a thread of its own until the connection ends. */
+        /** Runs on its own thread until the connection ends. */
         void run() throws Exception;
     }
 
-    /** Starts a daemon thread that runs {@code work} and ignores its exceptions. */
+    /** Starts a daemon thread that runs {@code task} and ignores its exceptions. */
     public static Thread startDaemon(ThrowingRunnable task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
             } catch (Exception e) {
-                // the peer's connection has ended, and its thread with it
+                // The connection has ended, and the thread ends with it.
             }
         });
         thread.setDaemon(true);
@@ -35,7 +35,7 @@
         await(TIMEOUT_SECONDS, condition);
     }
 
-    /** Polls until the condition is true; fails after {@code seconds}. */
+    /** Polls until the condition is true; fails after {@code seconds} seconds. */
     public static void await(int seconds, java.util.function.BooleanSupplier condition) {
         long deadline = System.nanoTime() + seconds * 1_000_000_000L;
         while (!condition.getAsBoolean()) {
--- a/testkit/src/main/java/weldhitch/testkit/fleet/CapacityLimitedDiscovery.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/CapacityLimitedDiscovery.java
@@ -21,25 +21,34 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * A fake discovery service of limited capacity that many nodes share: it processes calls one by one, also
- * those of clients that have disconnected, and rejects calls when its queue is full. Each node has an
- * address of its own here, by which it gets the endpoint addresses that it shall use. Thread-safe: the list
- * is guarded by the object's monitor.
+ * A fake discovery service of limited capacity, shared by many nodes. It processes calls one by one, including
+ * calls of clients that have disconnected, and rejects calls while its queue is full. Each node polls its own
+ * address, by which the service knows which endpoint addresses to send. Thread-safe: the list is guarded by the
+ * object's monitor.
  */
 public final class CapacityLimitedDiscovery implements Closeable {
     private static final Pattern WATCH_QUERY = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
 
-    /** One list entry; {@code since} is the list version that changed it last. Immutable. */
+    /**
+     * An entry of the endpoint list. Immutable.
+     *
+     * @param startedAtMillis start time of the server, Unix time in milliseconds
+     * @param changedIn the list version in which the entry changed last
+     */
     private record Endpoint(String health, long startedAtMillis, int changedIn) {}
 
-    /** A queued call, by the number of list entries in its response. */
+    /**
+     * A queued call.
+     *
+     * @param entryCount number of list entries in the response
+     */
     private record QueuedCall(int entryCount, CompletableFuture<Void> completed) {}
 
     /**
      * A received call. Immutable.
      *
-     * @param atNanos nanoseconds on the event log's clock
-     * @param completeList whether it requests the complete list rather than changes
+     * @param atNanos time of the call on the event log's clock, in nanoseconds
+     * @param completeList whether the call requests the complete list rather than changes
      */
     public record RecordedCall(long atNanos, String node, boolean completeList) {}
 
@@ -61,11 +70,11 @@
     private long entriesWritten;
 
     /**
-     * Starts to process calls at once.
+     * Starts to process calls.
      *
-     * @param microsPerCall processing time of each call in microseconds
-     * @param microsPerEntry processing time of each list entry of a response in microseconds
-     * @param maxQueueLength the most calls that may be queued
+     * @param microsPerCall processing time of each call, in microseconds
+     * @param microsPerEntry processing time of each list entry of a response, in microseconds
+     * @param maxQueueLength maximum number of queued calls
      */
     public CapacityLimitedDiscovery(EventLog eventLog, long microsPerCall, long microsPerEntry, int maxQueueLength) {
         this.eventLog = eventLog;
@@ -82,7 +91,7 @@
         });
     }
 
-    /** Sets the zone of each server by its name; without it all are in zone a. */
+    /** Sets the function that returns the zone of a server by its name; the default is zone a for all servers. */
     public void setZones(UnaryOperator<String> zoneLookup) {
         zoneOfServer = zoneLookup;
     }
@@ -90,7 +99,7 @@
     /**
      * Listens on a further address, for one node.
      *
-     * @param addresses the address of each server as this node shall use it, by server name
+     * @param addresses the address at which this node reaches each server, by server name
      * @return host and port
      */
     public String addressFor(String node, Map<String, String> addresses) throws IOException {
@@ -116,7 +125,7 @@
         }
     }
 
-    /** Resets pending calls and every new one until {@link #makeAvailable}. */
+    /** Resets pending and new calls until {@link #makeAvailable} is called. */
     public void makeUnavailable() {
         unavailable = true;
         eventLog.append("list service", "away");
@@ -125,13 +134,13 @@
         }
     }
 
-    /** Serves calls again. */
+    /** Serves calls again after {@link #makeUnavailable}. */
     public void makeAvailable() {
         unavailable = false;
         eventLog.append("list service", "back");
     }
 
-    /** Adds or changes an entry in the list of every node. */
+    /** Adds or changes an entry in the list of every node; {@code bornMillis} is Unix time in milliseconds. */
     public synchronized void put(String server, String health, long bornMillis) {
         endpoints.put(server, new Endpoint(health, bornMillis, ++version));
         eventLog.append("list service", server + " is " + health + " in version " + version);
@@ -185,7 +194,7 @@
         return entries.toString();
     }
 
-    /** One list entry in JSON. */
+    /** Returns a list entry in JSON. */
     public static String entryJson(String server, String address, String health, long bornMillis, String zone) {
         return "{\"host\":\"" + server + "\",\"dial\":\"" + address + "\",\"site\":\"" + zone
                 + "\",\"class\":\"k\",\"block\":1,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":" + bornMillis
@@ -201,14 +210,14 @@
     }
 
     /**
-     * When the node was first notified that the server drains, in nanoseconds on the event log's clock;
-     * null where it never was.
+     * Returns when the node was first notified that the server is draining, in nanoseconds on the event log's clock,
+     * or null if it was not notified.
      */
     public Long drainNotifiedAt(String node, String server) {
         return drainNotificationTimes.get(node + ">" + server);
     }
 
-    /** Whether every one of these nodes has received the newest list version. */
+    /** Returns whether all given nodes have received the newest list version. */
     public synchronized boolean allNotified(Iterable<String> nodes) {
         for (String node : nodes) {
             if (notifiedVersions.getOrDefault(node, 0) < version) {
@@ -218,12 +227,12 @@
         return true;
     }
 
-    /** All calls received so far, in order of arrival. */
+    /** Returns all calls received so far, in order of arrival. */
     public synchronized List<RecordedCall> calls() {
         return List.copyOf(calls);
     }
 
-    /** The most calls received within any {@code millis}. */
+    /** Returns the maximum number of calls received within any {@code millis} milliseconds. */
     public int peakCalls(long millis) {
         List<RecordedCall> recordedCalls = calls();
         int peak = 0;
@@ -236,7 +245,7 @@
         return peak;
     }
 
-    /** Number of list entries processed for responses so far. */
+    /** Returns the number of list entries processed for responses so far. */
     public synchronized long entriesWritten() {
         return entriesWritten;
     }
--- a/testkit/src/main/java/weldhitch/testkit/fleet/EventLog.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/EventLog.java
@@ -5,13 +5,13 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** The log of all events of a test, in one order and on the clock of this process. Thread-safe. */
+/** Records all events of a test in one sequence, on the clock of this process. Thread-safe. */
 public final class EventLog {
     /**
-     * One event. Immutable.
+     * A recorded event. Immutable.
      *
      * @param atNanos nanoseconds since the event log was created
-     * @param source the process, link or peer that it concerns
+     * @param source the process, link or service that the event concerns
      */
     public record Entry(long atNanos, String source, String event) {
         @Override
@@ -23,7 +23,7 @@
     private final long startedAt = System.nanoTime();
     private final List<Entry> entries = new ArrayList<>();
 
-    /** Nanoseconds since the event log was created. */
+    /** Returns the nanoseconds since the event log was created. */
     public long elapsedNanos() {
         return System.nanoTime() - startedAt;
     }
@@ -36,12 +36,12 @@
         return atNanos;
     }
 
-    /** All entries so far, in order. */
+    /** Returns all entries so far, in order. */
     public synchronized List<Entry> entries() {
         return List.copyOf(entries);
     }
 
-    /** Waits for the first matching entry from index {@code from} on; fails after {@code seconds}. */
+    /** Waits for the first matching entry at or after {@code fromIndex}; fails after {@code timeoutSeconds}. */
     public synchronized Entry awaitEntry(int fromIndex, int timeoutSeconds, Predicate<Entry> predicate)
             throws InterruptedException {
         long deadline = System.nanoTime() + timeoutSeconds * 1_000_000_000L;
@@ -60,7 +60,7 @@
         }
     }
 
-    /** The last {@code count} entries, one line each: for the message of a failing test. */
+    /** Returns the last {@code count} entries, one line each, for the message of a failing test. */
     public synchronized String tail(int count) {
         return entries.subList(Math.max(0, entries.size() - count), entries.size()).stream()
                 .map(Entry::toString)
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
@@ -7,35 +7,35 @@
 import java.util.stream.Collectors;
 
 /**
- * One fault of a schedule: drawn from a seed, and formatted and parsed as a line of text, so that a
- * schedule can be repeated. Immutable.
+ * A fault of a schedule. A schedule is drawn from a seed and can be formatted and parsed as text, one fault per
+ * line, so that a run can be repeated. Immutable.
  *
- * @param atMillis when it begins, in milliseconds since the start of the schedule
- * @param target the process, or the edge as {@code from>to}
- * @param durationMillis how long until it is reverted, in milliseconds
- * @param magnitude milliseconds of a delay or jitter, bytes a second of a throttled link, bytes before a reset;
- *     0 for the others
+ * @param atMillis start of the fault, in milliseconds since the start of the schedule
+ * @param target the process, or the edge in the form {@code from>to}
+ * @param durationMillis time until the fault is reverted, in milliseconds
+ * @param magnitude the delay or maximum jitter in milliseconds, the bandwidth in bytes per second, or the number of
+ *     bytes before a reset; 0 for all other kinds
  */
 public record Fault(long atMillis, Kind kind, String target, long durationMillis, int magnitude) {
-    /** The kind of disturbance. */
+    /** The kind of a fault. */
     public enum Kind {
-        /** SIGKILL, and a restart under the same name when it is reverted. */
+        /** Kills the process with SIGKILL; reverted by a restart under the same name. */
         KILL(true),
-        /** SIGSTOP, and SIGCONT when it is reverted. */
+        /** Suspends the process with SIGSTOP; reverted by SIGCONT. */
         STOP(true),
-        /** All connections are reset, new ones too. */
+        /** Resets all open and new connections. */
         RESET(false),
-        /** Bytes to the server are lost, those from it arrive. */
+        /** Drops the bytes sent to the server and forwards those of the server. */
         DROP_TO_SERVER(false),
-        /** Bytes from the server are lost, those to it arrive. */
+        /** Drops the bytes sent by the server and forwards those to the server. */
         DROP_TO_CLIENT(false),
-        /** Every chunk is delayed by the same time. */
+        /** Delays every chunk by the same time. */
         DELAY(false),
-        /** Every chunk is delayed by a random time of its own. */
+        /** Delays every chunk by a different random time. */
         JITTER(false),
-        /** The bandwidth of responses is limited. */
+        /** Limits the bandwidth of responses. */
         THROTTLE(false),
-        /** The connections are reset after so many more bytes of responses, within a message. */
+        /** Resets the connections within a message, after a number of further bytes of responses. */
         RESET_MID_RESPONSE(false);
 
         private final boolean targetsProcess;
@@ -44,19 +44,19 @@
             this.targetsProcess = ofProcess;
         }
 
-        /** Whether it targets a process rather than an edge. */
+        /** Returns whether this kind targets a process rather than an edge. */
         public boolean targetsProcess() {
             return targetsProcess;
         }
     }
 
     /**
-     * Draws a schedule in which each target has at most one fault at a time and all are reverted by the end.
+     * Draws a schedule in which each target has at most one fault at a time and all faults are reverted by the end.
      *
-     * @param processes names of processes that may be killed or stopped
-     * @param links names of edges that may fail
+     * @param processes names of the processes that may be killed or suspended
+     * @param links names of the edges that may fail
      * @param spanMillis length of the schedule in milliseconds
-     * @param count the most faults to draw; fewer where they don't fit without overlap
+     * @param count maximum number of faults; fewer are drawn if they don't fit without overlap
      */
     public static List<Fault> randomSchedule(
             long seed, List<String> processes, List<String> links, long spanMillis, int count) {
@@ -91,7 +91,7 @@
                 && other.atMillis <= atMillis + durationMillis;
     }
 
-    /** A schedule as text, one fault a line, as {@link #parse} parses it. */
+    /** Formats a schedule as text, one fault per line, as {@link #parse} expects it. */
     public static String format(List<Fault> schedule) {
         return schedule.stream()
                 .map(f -> f.atMillis + " " + f.kind + " " + f.target + " " + f.durationMillis + " " + f.magnitude)
@@ -101,7 +101,7 @@
     /**
      * Parses a schedule.
      *
-     * @throws IllegalArgumentException naming the line that can't be parsed
+     * @throws IllegalArgumentException if a line can't be parsed; the message contains the line
      */
     public static List<Fault> parse(String text) {
         return text.lines()
--- a/testkit/src/main/java/weldhitch/testkit/fleet/FaultInjector.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/FaultInjector.java
@@ -9,17 +9,16 @@
 import weldhitch.testkit.FaultInjectingProxy.Direction;
 
 /**
- * Injects a schedule of faults into processes and links, and records which target was affected when. The
- * schedule runs on the calling thread; the recorded intervals may be read from any thread.
+ * Injects a schedule of faults into processes and links, and records when each target was affected. The schedule
+ * runs on the calling thread; the recorded intervals may be read from any thread.
  */
 public final class FaultInjector {
     /**
-     * The interval in which a target was affected by a fault, on the event log's clock in nanoseconds.
-     * Immutable.
+     * The interval in which a fault affected a target, in nanoseconds on the event log's clock. Immutable.
      */
     public record FaultInterval(String target, Fault.Kind kind, long startNanos, long endNanos) {}
 
-    /** The begin or the end of a fault. Immutable. */
+    /** The start or the end of a fault. Immutable. */
     private record ScheduledStep(long atMillis, Fault fault, boolean isStart) {}
 
     private final EventLog eventLog;
@@ -28,7 +27,7 @@
     private final List<FaultInterval> intervals = new ArrayList<>();
 
     /**
-     * Entries may be added to the maps until a schedule runs.
+     * Creates an injector. Entries may be added to the maps until a schedule runs.
      *
      * @param processes processes by target name
      * @param links links by edge name, {@code from>to}
@@ -40,7 +39,7 @@
         this.links = links;
     }
 
-    /** Runs the schedule; returns once the last fault is reverted. */
+    /** Runs the schedule and returns once the last fault has been reverted. */
     public void runSchedule(List<Fault> schedule) throws Exception {
         List<ScheduledStep> steps = new ArrayList<>();
         for (Fault fault : schedule) {
@@ -69,7 +68,7 @@
         }
     }
 
-    /** Waits for the schedule's next step: a plain timed wait, which nothing notifies. */
+    /** Waits until the time of the schedule's next step; no other thread notifies this wait. */
     private void waitUntil(long deadline) throws InterruptedException {
         synchronized (this) {
             for (long remaining = deadline - eventLog.elapsedNanos();
@@ -100,15 +99,15 @@
         switch (fault.kind()) {
             case KILL -> processes.get(fault.target()).start();
             case STOP -> processes.get(fault.target()).signal("CONT");
-            // Bytes were dropped from the streams, so their connections can't go on, as after a machine's
-            // return.
+            // Bytes are missing from the streams, so their connections can't continue, as after the failure of a
+            // machine.
             case DROP_TO_SERVER, DROP_TO_CLIENT ->
                 links.get(fault.target()).heal().resetConnections();
             default -> links.get(fault.target()).heal();
         }
     }
 
-    /** Whether the target was affected at any time between the two, on the event log's clock in nanoseconds. */
+    /** Returns whether a fault affected the target between two times, in nanoseconds on the event log's clock. */
     public boolean wasAffected(String target, long fromNanos, long toNanos) {
         synchronized (intervals) {
             return intervals.stream()
@@ -118,7 +117,7 @@
         }
     }
 
-    /** All intervals of faults that were reverted, in the order of their ends. */
+    /** Returns the intervals of all reverted faults, in order of their ends. */
     public List<FaultInterval> intervals() {
         synchronized (intervals) {
             return List.copyOf(intervals);
--- a/testkit/src/main/java/weldhitch/testkit/fleet/InvariantChecker.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/InvariantChecker.java
@@ -9,18 +9,22 @@
 import weldhitch.testkit.fleet.LoadGenerator.RequestRecord;
 
 /**
- * Checks the four invariants of many nodes against what clients and servers recorded. Immutable; reads the
- * records at each call.
+ * Checks the invariants of many nodes against the records of clients and servers. Immutable; reads the records at
+ * each call.
  */
 public final class InvariantChecker {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final FaultInjector faultInjector;
     private final List<ScriptedHttpServer> servers;
-    /** {@link System#nanoTime} at which the event log began: converts the servers' times to its clock. */
+    /** {@link System#nanoTime} at which the event log was created; converts the servers' times to the log's clock. */
     private final long eventLogStart;
 
-    /** @param eventLog the event log on whose clock requests and faults were recorded */
+    /**
+     * Creates a checker.
+     *
+     * @param eventLog the event log whose clock the recorded requests and faults use
+     */
     public InvariantChecker(EventLog eventLog, FaultInjector faultInjector, List<ScriptedHttpServer> servers) {
         this.faultInjector = faultInjector;
         this.servers = servers;
@@ -28,12 +32,12 @@
     }
 
     /**
-     * Violations of: one final response in time; no non-idempotent request executed twice, or rejected
-     * after it was executed. A node that was killed or suspended with a request in flight is excused from
-     * responding; executions are checked all the same.
+     * Returns the violations of two invariants: each request gets one final response in time, and no non-idempotent
+     * request is executed twice, or rejected after it was executed. A node that was killed or suspended while the
+     * request was in flight is excused from responding, but its executions are checked all the same.
      *
      * @param timeoutMillis the clients' timeout in milliseconds
-     * @param graceMillis how much later than that a response may arrive, in milliseconds
+     * @param graceMillis tolerance after the timeout for the arrival of a response, in milliseconds
      */
     public List<String> violations(List<RequestRecord> requests, long timeoutMillis, long graceMillis) {
         List<String> violations = new ArrayList<>();
@@ -74,8 +78,9 @@
     }
 
     /**
-     * Requests that a server received later than a tolerance after their client had disconnected, one line each. A
-     * node that was suspended meanwhile is not excused; a link that delays what the node has sent is.
+     * Returns the requests that a server received more than {@code toleranceMillis} after their client had
+     * disconnected, one line each. A node that was suspended in between is not excused; a request is excused if its
+     * link was affected by a fault, because the link may have delayed it after the node had sent it.
      */
     public List<String> requestsAfterDisconnect(List<RequestRecord> requests, long toleranceMillis) {
         List<String> violations = new ArrayList<>();
@@ -92,8 +97,9 @@
     }
 
     /**
-     * Requests of which a server was told that they have more time left than their client waits, by more than a
-     * tolerance, one line each; a link that delays them is excused, a node that was suspended is not.
+     * Returns the requests whose remaining time, as stated to a server, exceeds the time that their client still waits
+     * by more than {@code toleranceMillis}, one line each. A request is excused if its link was affected by a fault,
+     * because the link may have delayed it; a node that was suspended is not excused.
      */
     public List<String> overstatedTimeouts(List<RequestRecord> requests, long toleranceMillis) {
         List<String> violations = new ArrayList<>();
@@ -114,7 +120,7 @@
         return faultInjector.wasAffected(request.node() + ">" + server.name(), request.sentAt(), receivedAt);
     }
 
-    /** Consumes what a server received of a recorded request. */
+    /** Processes a request that a server received, together with the client's record of it. */
     private interface ReceivedRequestConsumer {
         void accept(ScriptedHttpServer server, ScriptedHttpServer.ReceivedRequest received, RequestRecord request);
     }
@@ -133,9 +139,9 @@
     }
 
     /**
-     * Requests that a server received from a node later than a grace period after the node was notified
-     * that the endpoint drains, one line each. A node that was suspended at that time counts as notified
-     * when it resumed.
+     * Returns the requests that a server received from a node later than a grace period after the node was notified
+     * that the endpoint is draining, one line each. A request is excused if its node was affected by a fault between
+     * the notification and the receipt.
      */
     public List<String> requestsAfterDrain(
             CapacityLimitedDiscovery discovery, List<String> nodeNames, long graceMillis) {
@@ -158,15 +164,15 @@
     }
 
     /**
-     * The slow-start invariant: in no window of {@code spanMs} does the server receive more requests, of
-     * all nodes together, than {@code N + 3 sqrt(N) + 3}, where N is {@code multiple} times its capacity at
-     * that time.
+     * Checks the slow-start invariant: in no window of {@code windowMillis} does the server receive more requests, from
+     * all nodes together, than {@code N + 3 sqrt(N) + 3}, where N is {@code allowedMultiple} times its capacity at the
+     * start of the window.
      *
-     * @param startedAt when it started, on the event log's clock in nanoseconds
-     * @param warmRatePerSecond its capacity once warm, in requests a second
-     * @param initialFraction its capacity at the start as a fraction of that, which grows linearly to 1 over
-     *     {@code coldMs}
-     * @param slowStartMillis how long it warms up, in milliseconds
+     * @param startedAt when the server started, in nanoseconds on the event log's clock
+     * @param warmRatePerSecond the server's capacity once warm, in requests per second
+     * @param initialFraction the server's capacity at its start as a fraction of the warm capacity; the fraction grows
+     *     linearly to 1 over {@code slowStartMillis}
+     * @param slowStartMillis how long the server warms up, in milliseconds
      * @return the first violation, or an empty list
      */
     public List<String> slowStartOverloads(
--- a/testkit/src/main/java/weldhitch/testkit/fleet/LoadGenerator.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/LoadGenerator.java
@@ -16,14 +16,15 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * Generates load: each client sends one request at a time to one node and records its completion. Clients
- * run on threads of their own; they are added from one thread, and the records may be read from any.
+ * Generates load: each client sends one request at a time to one node and records the result. Each client runs on
+ * its own thread; clients are added from one thread, and the records may be read from any thread.
  */
 public final class LoadGenerator implements Closeable {
     /**
-     * How a request completed: answered; its reused connection was closed just as it was written; the
-     * connection broke; no response in time; more bytes after the final response; its client gave up and closed
-     * the connection.
+     * How a request completed. RESPONDED: a response arrived. STALE_CONNECTION: the reused connection was closed
+     * while the request was written. CONNECTION_BROKEN: the connection broke before a response. TIMED_OUT: no
+     * response arrived in time. EXTRA_RESPONSE: bytes followed the final response. DISCONNECTED: the client stopped
+     * waiting and closed the connection.
      */
     public enum Completion {
         RESPONDED,
@@ -35,13 +36,13 @@
     }
 
     /**
-     * A completed request. Times are nanoseconds on the event log's clock. Immutable.
+     * A completed request. Times are in nanoseconds on the event log's clock. Immutable.
      *
-     * @param unsafe whether it is non-idempotent
-     * @param sentAt when its last byte was written
-     * @param timeoutMillis how long its client waits for the response, in milliseconds
-     * @param status 0 without a response
-     * @param routeVersion the route version that the response names, or null
+     * @param unsafe whether the request is non-idempotent
+     * @param sentAt when the last byte was written
+     * @param timeoutMillis the timeout that the request states, in milliseconds
+     * @param status the status code, or 0 without a response
+     * @param routeVersion the route version named in the response, or null
      */
     public record RequestRecord(
             String id,
@@ -53,26 +54,26 @@
             Completion completion,
             int status,
             String routeVersion) {
-        /** Whether the response promises that the request had no effect, so that a retry is harmless. */
+        /** Returns whether the response states that the request was not executed, so that a retry is safe. */
         public boolean isRejected() {
             return status == 429 || status == 503;
         }
     }
 
-    /** Builds the text of a request from its id and whether it is non-idempotent, which odd numbers are. */
+    /** Builds the text of a request from its id and whether it is non-idempotent; odd request numbers are. */
     public interface RequestFactory extends BiFunction<String, Boolean, String> {}
 
     /**
-     * How a client waits for its responses.
+     * Defines how a client waits for its responses.
      *
-     * @param requestTimeoutMillis the time that its requests state, in milliseconds
-     * @param readTimeoutMillis how long it waits in fact, in milliseconds
-     * @param impatient whether it then disconnects, as it has stated; otherwise the request counts as lost. An
-     *     impatient client goes on while its node is suspended.
+     * @param requestTimeoutMillis the timeout that the requests state, in milliseconds
+     * @param readTimeoutMillis how long the client really waits, in milliseconds
+     * @param impatient whether the client disconnects at the timeout that it has stated; otherwise a request without a
+     *     response by then counts as timed out. An impatient client continues to send while its node is suspended.
      */
     private record Behaviour(long requestTimeoutMillis, long readTimeoutMillis, boolean impatient) {}
 
-    /** Size of each client's own range of request numbers: even, because odd numbers are non-idempotent. */
+    /** Size of each client's range of request numbers. It is even, because odd numbers mark non-idempotent requests. */
     private static final int MAX_IDS_PER_CLIENT = 1_000_000;
 
     private final EventLog eventLog;
@@ -83,10 +84,10 @@
     private final List<Thread> threads = new ArrayList<>();
 
     /**
-     * Adds no client yet.
+     * Creates a generator without clients.
      *
-     * @param requestTimeoutMillis the time that the requests state, in milliseconds
-     * @param timeoutMillis how long a client waits for a response before it counts as lost, in milliseconds
+     * @param requestTimeoutMillis the timeout that the requests state, in milliseconds
+     * @param timeoutMillis time in milliseconds after which a request without a response counts as timed out
      */
     public LoadGenerator(
             EventLog eventLog, RequestFactory requestFactory, long requestTimeoutMillis, long timeoutMillis) {
@@ -95,14 +96,14 @@
         patient = new Behaviour(requestTimeoutMillis, timeoutMillis, false);
     }
 
-    /** Adds a client that sends a request to the node about every {@code everyMs}, while the node listens. */
+    /** Adds a client that sends requests about every {@code intervalMillis} while the node listens. */
     public LoadGenerator addClient(ManagedProcess node, long intervalMillis) {
         return addClient(node, intervalMillis, patient);
     }
 
     /**
-     * Adds a client that waits only {@code timeoutMillis} for each response, states so, and then disconnects. It
-     * goes on while the node is suspended.
+     * Adds a client that states {@code timeoutMillis} as the timeout of its requests and disconnects when that time has
+     * passed without a response. It continues while the node is suspended.
      */
     public LoadGenerator addImpatientClient(ManagedProcess node, long intervalMillis, long timeoutMillis) {
         return addClient(node, intervalMillis, new Behaviour(timeoutMillis, timeoutMillis, true));
@@ -148,7 +149,7 @@
         return connection;
     }
 
-    /** Sends one request; returns the connection where it may carry another, else null. */
+    /** Sends one request; returns the connection if it can be reused, or null. */
     private TestConnection sendOnce(
             TestConnection connection, String node, String id, boolean unsafe, boolean reused, Behaviour behaviour) {
         long sentAt = 0;
@@ -159,7 +160,7 @@
             sentAt = eventLog.elapsedNanos();
             RawHttpMessage response = connection.readMessage();
             if (response == null) {
-                // An idle connection may be closed in the instant in which the next request is written.
+                // The node may close an idle connection at the moment at which the next request is written.
                 addRecord(
                         id,
                         node,
@@ -233,7 +234,7 @@
                 response == null ? null : RawHttpMessage.header(response.head(), "x-route-version")));
     }
 
-    /** All completed requests so far, in order of completion. */
+    /** Returns all completed requests so far, in order of completion. */
     public List<RequestRecord> requests() {
         return List.copyOf(requests);
     }
--- a/testkit/src/main/java/weldhitch/testkit/fleet/ManagedProcess.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/ManagedProcess.java
@@ -13,7 +13,7 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * A process that a test starts, signals and restarts, known by one name in the event log. Its standard error is
+ * A process that a test starts, signals and restarts, with a fixed name in the event log. Its standard error is
  * copied to the event log. Thread-safe.
  */
 public final class ManagedProcess implements Closeable {
@@ -28,7 +28,7 @@
     private volatile int port;
     private volatile boolean suspended;
 
-    /** Does not start the process. */
+    /** Creates the object without starting the process. */
     public ManagedProcess(EventLog eventLog, String name, List<String> command, Map<String, String> environment) {
         this.eventLog = eventLog;
         this.name = name;
@@ -36,12 +36,12 @@
         this.environment = Map.copyOf(environment);
     }
 
-    /** The name in the event log. */
+    /** Returns the name in the event log. */
     public String name() {
         return name;
     }
 
-    /** Starts or restarts the process and copies its log to the event log; fails where it is running. */
+    /** Starts or restarts the process and copies its log to the event log; fails if the process is running. */
     public synchronized ManagedProcess start() throws IOException {
         if (process != null && process.isAlive()) {
             throw new IllegalStateException(name + " is already running");
@@ -74,7 +74,7 @@
         return this;
     }
 
-    /** Waits for the loopback port that its log names; fails where the process ends instead. */
+    /** Waits for the process to log its loopback port, and returns the port; fails if the process ends before. */
     public int awaitPort() throws InterruptedException {
         CountDownLatch portAnnounced;
         synchronized (this) {
@@ -86,27 +86,27 @@
         return port;
     }
 
-    /** The port on which it listens; 0 while it does not. */
+    /** Returns the port on which the process listens; 0 while it does not listen or is suspended. */
     public int currentPort() {
         return isRunning() ? port : 0;
     }
 
-    /** The port of a process that exists, suspended or not; 0 until it listens. */
+    /** Returns the port of a process that exists, suspended or not; 0 until it listens. */
     public int listenPort() {
         return isAlive() ? port : 0;
     }
 
-    /** Whether it has been started and has neither ended nor been suspended. */
+    /** Returns whether the process has been started and has neither ended nor been suspended. */
     public synchronized boolean isRunning() {
         return process != null && process.isAlive() && !suspended;
     }
 
-    /** Whether the process exists, suspended or not. */
+    /** Returns whether the process exists, suspended or not. */
     public synchronized boolean isAlive() {
         return process != null && process.isAlive();
     }
 
-    /** Waits for the process to end and returns its exit status; fails when it does not end in time. */
+    /** Waits for the process to end and returns its exit status; fails if it does not end within the timeout. */
     public int awaitExit() throws InterruptedException {
         Process started;
         synchronized (this) {
@@ -119,7 +119,7 @@
     }
 
     /**
-     * Sends a signal by its short name (TERM, HUP, STOP, CONT or KILL) to this process; none where it has
+     * Sends a signal to the process by its short name (TERM, HUP, STOP, CONT or KILL). Does nothing if the process has
      * ended.
      */
     public synchronized void signal(String signal) throws IOException, InterruptedException {
--- a/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
@@ -23,8 +23,8 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * Processes of the packaged node with their servers and one fake discovery service, with a fault-injecting
- * link on every edge. Owns all of them and their temporary files; used from one test thread.
+ * Runs processes of the packaged node with their servers and one fake discovery service, and with a fault-injecting
+ * link on every edge. Owns all of them and their temporary files. Used by one test thread.
  */
 public class NodeFleet implements Closeable {
     /** How long a client waits for a response, in milliseconds. */
@@ -34,9 +34,9 @@
     public final CapacityLimitedDiscovery discovery;
     public final List<ScriptedHttpServer> servers = new ArrayList<>();
     public final Map<String, ManagedProcess> nodes = new LinkedHashMap<>();
-    /** All processes that faults may target: the nodes, and those that a test adds. */
+    /** All processes that faults may target: the nodes, and the processes that a test adds. */
     public final Map<String, ManagedProcess> processes = new LinkedHashMap<>();
-    /** Links by edge: {@code n0>list}, {@code n0>s1}. */
+    /** Links by edge, for example {@code n0>list} and {@code n0>s1}. */
     public final Map<String, FaultInjectingProxy> links = new LinkedHashMap<>();
 
     public final LoadGenerator loadGenerator =
@@ -47,12 +47,12 @@
     private final CountDownLatch closed = new CountDownLatch(1);
 
     /**
-     * Starts the servers and the discovery service and writes the configurations; nodes are not started yet.
+     * Starts the servers and the discovery service and writes the configurations; does not start the nodes.
      *
      * @param responseMillis processing time of each request at a server, in milliseconds
-     * @param serversStartedAt when the servers start, Unix time in milliseconds; 0 for long ago
-     * @param useServerLinks whether nodes reach servers by links, which cost four threads a connection
-     * @param discoveryFactory creates the discovery service that all nodes poll; the servers are listed here
+     * @param serversStartedAt start time of the servers, Unix time in milliseconds; 0 for a start long ago
+     * @param useServerLinks whether nodes reach servers through links, which cost four threads per connection
+     * @param discoveryFactory creates the discovery service that all nodes poll and that lists the servers
      */
     public NodeFleet(
             int nodeCount,
@@ -65,7 +65,12 @@
         this(nodeCount, serverCount, responseMillis, serversStartedAt, useServerLinks, discoveryFactory, null);
     }
 
-    /** @param routeConfigFactory creates each node's route configuration, or null for none */
+    /**
+     * Starts the servers and the discovery service and writes the configurations and route configurations; does not
+     * start the nodes.
+     *
+     * @param routeConfigFactory creates the route configuration of each node, or null for none
+     */
     public NodeFleet(
             int nodeCount,
             int serverCount,
@@ -130,37 +135,37 @@
         faultInjector = new FaultInjector(eventLog, processes, links);
     }
 
-    /** Creates the discovery service, once the event log exists. */
+    /** Creates the discovery service; called after the event log has been created. */
     public interface DiscoveryFactory {
-        /** Called once, from the constructor. */
+        /** Creates the service; called once, from the constructor. */
         CapacityLimitedDiscovery create(EventLog eventLog);
     }
 
-    /** Called with each node's configuration before it is written; a test may override it to change one. */
+    /** Returns the configuration to write for a node; a test may override it to change the given text. */
     protected String customizeConfig(String node, String text) {
         return text;
     }
 
-    /** The zone of a server; called from the constructor. */
+    /** Returns the zone of a server; called from the constructor. */
     protected String zoneOf(String server) {
         return "a";
     }
 
     /**
-     * Whether all nodes reach a server by one shared link, the edge {@code *>server}; called from the
+     * Returns whether all nodes reach a server through one shared link, the edge {@code *>server}; called from the
      * constructor.
      */
     protected boolean usesSharedLink(ScriptedHttpServer server) {
         return false;
     }
 
-    /** Creates the route configuration of a node, as text. */
+    /** Creates the route configuration of a node as text. */
     public interface RouteConfigFactory {
-        /** Called once for each node, from the constructor. */
+        /** Creates the text; called once for each node, from the constructor. */
         String create(String node, NodeFleet fleet) throws IOException;
     }
 
-    /** Adds a fault-injecting link as the edge of that name; returns host and port on which it listens. */
+    /** Adds a fault-injecting link for the given edge; returns the host and port on which the link listens. */
     public String addLink(String linkName, String address) throws IOException {
         FaultInjectingProxy proxy = new FaultInjectingProxy(address);
         links.put(linkName, proxy);
@@ -168,8 +173,8 @@
     }
 
     /**
-     * The command of the deploy file, with a heap that lets many run on one machine, and with the jar that
-     * the system property {@code weldhitch.fleet.jar} names, where it is set.
+     * Returns the command in the deploy file, with a heap so small that many nodes fit on one machine, and with the jar
+     * named by the system property {@code weldhitch.fleet.jar}, if it is set.
      */
     private static List<String> nodeCommand(String extraArguments) throws Exception {
         String jar = System.getProperty("weldhitch.fleet.jar", "");
@@ -208,15 +213,15 @@
                 .replace("\"me\":0,\"siblings\":1", "\"me\":" + nodeIndex + ",\"siblings\":" + nodeCount);
     }
 
-    /** A request with {@link #REQUEST_TIMEOUT_MILLIS} as its deadline. */
+    /** Returns a request with {@link #REQUEST_TIMEOUT_MILLIS} as its timeout. */
     public static String request(String id, boolean unsafe) {
         String text = unsafe ? NodeFixtures.postRequest(id, "body") : NodeFixtures.getRequest(id);
         return text.replace("X-Expires-In: 8.000", "X-Expires-In: " + REQUEST_TIMEOUT_MILLIS / 1000.0);
     }
 
     /**
-     * Starts all nodes at once. Each is logged as READY once its readiness check succeeds, and gets load
-     * from then on, as from a front-end.
+     * Starts all nodes simultaneously. Logs each node as READY once its readiness check succeeds, and sends load to it
+     * from then on, as a front-end does.
      *
      * @param requestIntervalMillis milliseconds between requests to a node; 0 for no load
      */
@@ -240,7 +245,7 @@
         }
     }
 
-    /** Waits for {@code millis} of test time; closing the fleet ends the wait early. */
+    /** Waits for {@code millis} milliseconds; closing the fleet ends the wait early. */
     public void waitFor(long millis) throws InterruptedException {
         closed.await(millis, TimeUnit.MILLISECONDS);
     }
@@ -260,8 +265,8 @@
     }
 
     /**
-     * Waits until all nodes have been ready; returns when the last was, on the event log's clock in
-     * nanoseconds.
+     * Waits until all nodes have been ready; returns when the last node became ready, in nanoseconds on the event log's
+     * clock.
      */
     public long awaitAllReady() throws InterruptedException {
         long lastReadyAt = 0;
@@ -281,13 +286,13 @@
     /**
      * Stops the load and checks the invariants.
      *
-     * @param checkDrains whether to check requests to draining endpoints too
+     * @param checkDrains whether to check for requests to draining endpoints too
      * @return all violations, one line each
      */
     public List<String> stopAndCheckInvariants(boolean checkDrains) throws IOException {
         loadGenerator.close();
         InvariantChecker checker = new InvariantChecker(eventLog, faultInjector, servers);
-        // One second of tolerance for a noisy machine; the node's own limit is 50 ms.
+        // One second of tolerance for a busy machine; the node's own limit is 50 ms.
         List<String> violations =
                 new ArrayList<>(checker.violations(loadGenerator.requests(), REQUEST_TIMEOUT_MILLIS, 1000));
         // Half a second of tolerance for the server's thread; the node's own limit is 100 ms.
--- a/testkit/src/test/java/weldhitch/testkit/FaultInjectingProxyTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/FaultInjectingProxyTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.testkit.FaultInjectingProxy.Direction;
 
-/** Tests of {@link FaultInjectingProxy}: each fault, in each direction that it applies to. */
+/** Tests each fault of {@link FaultInjectingProxy}. */
 class FaultInjectingProxyTest {
     private static TestConnection connect(FaultInjectingProxy proxy) throws IOException {
         int port = Integer.parseInt(proxy.address().substring(proxy.address().indexOf(':') + 1));
@@ -78,7 +78,7 @@
             long startedAt = System.nanoTime();
             connection.write(getRequest("1"));
             assertEquals(200, connection.readMessage().body().length);
-            // At least 240 bytes at 2,000 bytes a second; only the lower bound of the time is certain.
+            // At least 240 bytes at 2,000 bytes per second; only a lower bound of the time is certain.
             assertTrue(System.nanoTime() - startedAt > 80_000_000L, "the bandwidth was not limited");
             proxy.heal().drop(Direction.TO_SERVER);
             connection.write(getRequest("2"));
--- a/testkit/src/test/java/weldhitch/testkit/InvariantCheckingClientTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/InvariantCheckingClientTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Violates each invariant on purpose: a checker that finds nothing would let every other test pass. */
+/** Tests that each violation is reported; a checker that reported none would let every other test pass. */
 class InvariantCheckingClientTest {
     private static final String UNSAFE_REQUEST = "POST /x HTTP/1.1\r\nX-Trace-Id: %s\r\nContent-Length: 0\r\n\r\n";
     private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
 
-    /** The violations found for a node that gives this answer and executes its request so often. */
+    /** Returns the violations reported for a node that responds as given and executes the request so many times. */
     private static List<String> violations(String response, int executions) throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer("s");
                 ScriptedServer node = new ScriptedServer(connection -> {
@@ -67,7 +67,7 @@
                 client.send("r" + i, true, UNSAFE_REQUEST.formatted("r" + i));
             }
             assertEquals(300, client.completedRequests().size());
-            // Without the closes it would be 300 or more at either end; other threads open far fewer meanwhile.
+            // Unclosed connections would make it 300 or more at either end; other threads open far fewer meanwhile.
             TestSupport.await(() -> operatingSystem.getOpenFileDescriptorCount() - descriptorsBefore < 100);
         }
     }
--- a/testkit/src/test/java/weldhitch/testkit/ReservedPortTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/ReservedPortTest.java
@@ -13,7 +13,7 @@
 
 /** Tests of {@link ReservedPort}. */
 class ReservedPortTest {
-    /** Binds without SO_REUSEADDR: the check by which the kernel chooses ephemeral ports. */
+    /** Binds without SO_REUSEADDR, with the same check by which the kernel chooses ephemeral ports. */
     @Test
     void noOtherSocketCanBindAReservedPort() throws Exception {
         try (ReservedPort port = new ReservedPort();
--- a/testkit/src/test/java/weldhitch/testkit/fleet/FaultTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/fleet/FaultTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests that schedules of faults are repeatable, don't overlap, and survive formatting and parsing. */
+/** Tests that fault schedules are repeatable, do not overlap, and are unchanged by formatting and parsing. */
 class FaultTest {
     private static final List<String> PROCESSES = List.of("n0", "n1", "s1");
     private static final List<String> LINKS = List.of("n0>list", "n1>list", "n0>s", "n1>s");
--- a/testkit/src/test/java/weldhitch/testkit/fleet/InvariantCheckerTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/fleet/InvariantCheckerTest.java
@@ -13,7 +13,7 @@
 import weldhitch.testkit.fleet.LoadGenerator.Completion;
 import weldhitch.testkit.fleet.LoadGenerator.RequestRecord;
 
-/** Violates each invariant on purpose: a checker that finds nothing would let every other test pass. */
+/** Tests that each violation is reported; a checker that reported none would let every other test pass. */
 class InvariantCheckerTest {
     private static final long SECOND = 1_000_000_000L;
     private final EventLog eventLog = new EventLog();
@@ -120,8 +120,8 @@
                 execute(server, "n0-" + i);
             }
             InvariantChecker checker = new InvariantChecker(eventLog, noFaults, List.of(server));
-            // Warm capacity 10 requests a second, 0.3 of that at the start: 9 requests in 1 s at a
-            // multiple of three, 21 with the slack.
+            // The warm capacity is 10 requests per second, and 0.3 of that at the start: 9 requests within 1 s at a
+            // multiple of three, and 21 with the statistical slack.
             assertTrue(checker.slowStartOverloads(server, startedAt, 10, 0.3, 5000, 3, 1000)
                     .get(0)
                     .contains("40 requests"));
