--- a/node/src/test/java/weldhitch/adapter/AdapterTest.java
+++ b/node/src/test/java/weldhitch/adapter/AdapterTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The adapter's line protocol: lists, events, actions and the reporting of errors. */
+/** Tests the adapter's line protocol: endpoint lists, events, actions and error reports. */
 class AdapterTest {
     private static final String SETTINGS = "areas=north,south az=north classes.count=1 classes.0.name=get "
             + "classes.0.effect=read_like classes.0.aimS=0.3 classes.0.deadlineS=1 quantumS=0.001 layer=0 siblings=2 "
--- a/node/src/test/java/weldhitch/adapter/PackagedAdapterIT.java
+++ b/node/src/test/java/weldhitch/adapter/PackagedAdapterIT.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** Starts the packaged jar by the command in the deploy file. */
+/** Tests the adapter in the packaged jar, started by the command in the deploy file. */
 class PackagedAdapterIT {
     private static Process start() throws IOException {
         String command = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
--- a/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
@@ -19,14 +19,14 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * The concurrency that a node admits, as its servers observe it: after a start, when they are full, and when
- * some of them are removed.
+ * Tests the concurrency that a node admits, as its servers observe it: after a start, while the servers are full, and
+ * after some of them were removed.
  */
 class AdmissionOnSocketsTest {
     private static final int CLIENTS = 60;
     private static final String FULL = "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
-    /** Longer than half of a latency objective of one second, and far below all of it. */
+    /** Longer than half of a latency objective of one second, and far below the objective itself, in milliseconds. */
     private static final int SLOW_MS = 600;
 
     /** How the servers respond: serve after 100 ms, reject, or block until released. */
@@ -36,7 +36,7 @@
         HOLD
     }
 
-    /** Servers of one mode, and clients that each send request after request until they are stopped. */
+    /** Servers that share a mode, and clients that send one request after another until they are stopped. */
     private static final class TestCluster implements Closeable {
         volatile Mode mode = Mode.ANSWER_SOON;
         final CountDownLatch release = new CountDownLatch(1);
@@ -45,7 +45,7 @@
         final AtomicInteger served = new AtomicInteger();
         final AtomicInteger rejected = new AtomicInteger();
         final AtomicInteger ids = new AtomicInteger();
-        /** How many of the next requests take longer, like those of a server that is warming up. */
+        /** Number of further requests that take longer, like those of a server that is warming up. */
         final AtomicInteger slowRequestsLeft = new AtomicInteger();
 
         final List<ScriptedServer> servers = new ArrayList<>();
@@ -71,8 +71,7 @@
                 if (slowRequestsLeft.getAndDecrement() > 0) {
                     neverReleased.await(SLOW_MS, TimeUnit.MILLISECONDS);
                 }
-                // The service time: long enough for a round trip to be observed, far below any latency
-                // objective.
+                // The service time is long enough for a round trip to be observed and far below any latency objective.
                 (now == Mode.HOLD ? release : neverReleased)
                         .await(now == Mode.HOLD ? TestSupport.TIMEOUT_SECONDS * 1000 : 100, TimeUnit.MILLISECONDS);
                 inService.decrementAndGet();
@@ -101,8 +100,8 @@
         }
 
         /**
-         * Starts this many clients, each sending again as soon as it is answered, until {@code until} is
-         * reached.
+         * Starts this many clients, each of which sends its next request as soon as it has a response, until
+         * {@code count} has reached {@code until}.
          */
         void sendRequests(int clients, AtomicInteger count, int until) throws Exception {
             stopped = false;
@@ -125,8 +124,8 @@
         }
 
         /**
-         * Of many simultaneous requests, how many reach a server while none is answered; non-idempotent ones
-         * reach one only once.
+         * Sends many requests simultaneously and returns how many of them reach a server while none is answered.
+         * The requests are non-idempotent, so each reaches at most one server.
          */
         int countAdmitted() throws Exception {
             mode = Mode.HOLD;
@@ -155,19 +154,19 @@
         }
     }
 
-    /** Growing by a tenth for each response, the limit would be at most 22 after a hundred of them. */
+    /** If the limit grew by a tenth for each response, it would be at most 22 after a hundred responses. */
     @Test
     void freshNodeReachesItsServersCapacityAfterAFewRoundTrips() throws Exception {
         try (TestCluster cluster = new TestCluster(2)) {
             cluster.start(NodeHarness.discovery(cluster.hosts()));
             cluster.sendRequests(CLIENTS, cluster.served, 100);
-            assertTrue(cluster.maxInService.get() >= 30, "at most " + cluster.maxInService + " at once");
+            assertTrue(cluster.maxInService.get() >= 30, "at most " + cluster.maxInService + " requests in service");
         }
     }
 
     /**
-     * Regression: the first slow response ended the doubling, with at most 22 at once after the same hundred
-     * responses.
+     * Regression: the first slow response ended the doubling of the limit, so that at most 22 requests were in service
+     * after a hundred responses.
      */
     @Test
     void slowFirstResponsesDoNotStopTheInitialGrowth() throws Exception {
@@ -175,13 +174,12 @@
             cluster.slowRequestsLeft.set(12);
             cluster.start(NodeHarness.discovery(cluster.hosts()), "1.0");
             cluster.sendRequests(CLIENTS, cluster.served, 100);
-            assertTrue(cluster.maxInService.get() >= 30, "at most " + cluster.maxInService + " at once");
+            assertTrue(cluster.maxInService.get() >= 30, "at most " + cluster.maxInService + " requests in service");
         }
     }
 
     /**
-     * Regression: only late responses lowered the limit, and a server that rejects requests never responds
-     * late.
+     * Regression: only late responses lowered the limit, but a server that rejects requests never responds late.
      */
     @Test
     void nodeWithFullServersAdmitsFewer() throws Exception {
@@ -189,17 +187,16 @@
             cluster.start(NodeHarness.discovery(cluster.hosts()));
             cluster.sendRequests(CLIENTS, cluster.served, 300);
             int before = cluster.maxInService.get();
-            assertTrue(before >= 30, "at most " + before + " at once");
+            assertTrue(before >= 30, "at most " + before + " requests in service");
             cluster.mode = Mode.FULL;
             cluster.sendRequests(CLIENTS, cluster.rejected, cluster.rejected.get() + 200);
             int after = cluster.countAdmitted();
-            assertTrue(after > 0 && after <= before / 2, after + " at once after " + before);
+            assertTrue(after > 0 && after <= before / 2, after + " requests admitted after " + before);
         }
     }
 
     /**
-     * Regression: after a release that removed most of the servers, the limit learned from all of them
-     * remained.
+     * Regression: after a release had removed most of the servers, the node kept the limit learned from all of them.
      */
     @Test
     void nodeWithOneOfFourServersRemainingAdmitsFewer() throws Exception {
@@ -225,11 +222,11 @@
             cluster.start(discovery);
             cluster.sendRequests(CLIENTS, cluster.served, 300);
             int before = cluster.maxInService.get();
-            assertTrue(before >= 30, "at most " + before + " at once");
+            assertTrue(before >= 30, "at most " + before + " requests in service");
             drain.countDown();
             assertTrue(listApplied.await(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             int after = cluster.countAdmitted();
-            assertTrue(after > 0 && after <= before / 2, after + " at once after " + before);
+            assertTrue(after > 0 && after <= before / 2, after + " requests admitted after " + before);
         }
     }
 }
--- a/node/src/test/java/weldhitch/node/CaptureBenchmark.java
+++ b/node/src/test/java/weldhitch/node/CaptureBenchmark.java
@@ -19,8 +19,8 @@
 import weldhitch.testkit.TestConnection;
 
 /**
- * Measures what a capture costs the packaged node, by hand: the same closed loop of clients against a node with
- * the capture off and on, alternately. The command and dated figures stand in docs/capture.md.
+ * Measures the cost of a capture for the packaged node; run by hand. The same closed loop of clients runs against a
+ * node with the capture off and on, alternately. docs/capture.md contains the command and dated results.
  */
 final class CaptureBenchmark {
     private static final int WARM_UP_S = 4;
@@ -28,16 +28,16 @@
     private CaptureBenchmark() {}
 
     /**
-     * The figures of one round.
+     * The results of one round. Latencies are in milliseconds.
      *
-     * @param perSecond requests answered per second
-     * @param cpuMicros processor time per request, in microseconds
-     * @param peakKiB peak resident memory of the process
+     * @param perSecond responses per second
+     * @param cpuMicros CPU time per request, in microseconds
+     * @param peakKiB peak resident memory of the process, in KiB
      */
     private record Measurement(
             double perSecond, double p50, double p99, double cpuMicros, long requests, long peakKiB) {}
 
-    /** Runs the rounds and prints their figures. */
+    /** Runs the rounds and prints their results; the arguments are rounds, seconds per round and clients. */
     public static void main(String[] args) throws Exception {
         int rounds = args.length > 0 ? Integer.parseInt(args[0]) : 5;
         int seconds = args.length > 1 ? Integer.parseInt(args[1]) : 8;
@@ -62,8 +62,8 @@
                 .sum();
         System.out.printf(
                 Locale.ROOT,
-                "last capture: %d events, %d missed, %d differences, %.1f bytes a request;"
-                        + " played in %.2f s, %.0f times as fast as it went%n",
+                "last capture: %d events, %d dropped, %d divergences, %.1f bytes per request;"
+                        + " replayed in %.2f s, %.0f times as fast as recorded%n",
                 player.replayedEvents(),
                 player.droppedEvents(),
                 player.divergences().size(),
@@ -75,8 +75,8 @@
     private static void printMedians(String label, List<Measurement> rounds) {
         System.out.printf(
                 Locale.ROOT,
-                "%s median: %.0f requests a second, p50 %.2f ms, p99 %.2f ms,"
-                        + " %.1f us of processor a request, %d KiB at most%n",
+                "%s median: %.0f requests per second, p50 %.2f ms, p99 %.2f ms,"
+                        + " %.1f us of CPU time per request, peak memory %d KiB%n",
                 label,
                 median(rounds.stream().map(Measurement::perSecond).toList()),
                 median(rounds.stream().map(Measurement::p50).toList()),
@@ -171,12 +171,12 @@
                         wire.write(
                                 NodeHarness.get(String.format("%016x", ids.incrementAndGet() * 0x9E3779B97F4A7C15L)));
                         if (wire.readMessage() == null) {
-                            throw new IOException("no answer");
+                            throw new IOException("connection closed without a response");
                         }
                         own.recordValue(System.nanoTime() - startedAt);
                     }
                 } catch (IOException e) {
-                    System.err.println("a caller ended: " + e);
+                    System.err.println("client stopped: " + e);
                 }
                 synchronized (all) {
                     all.add(own);
@@ -191,7 +191,7 @@
         return all;
     }
 
-    /** Peak resident memory of a process in KiB (proc(5), status: VmHWM): heap, code and threads. */
+    /** Returns the peak resident memory of a process in KiB: heap, code and threads (proc(5), status: VmHWM). */
     private static long peakKiB(long pid) throws IOException {
         return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
                 .filter(l -> l.startsWith("VmHWM:"))
@@ -200,7 +200,7 @@
                 .orElse(0);
     }
 
-    /** Processor time of a process, in hundredths of a second (proc(5), stat: utime and stime). */
+    /** Returns the CPU time of a process in hundredths of a second (proc(5), stat: utime and stime). */
     private static long cpuTicks(long pid) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
--- a/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
@@ -29,7 +29,8 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * A live node that captures, in front of servers that fail in every way, and what its capture shows afterwards.
+ * Tests the capture of a live node whose servers reject, fail and reset requests: it is replayed, explained and
+ * checked against the invariants.
  */
 class CaptureOnSocketsTest {
     @TempDir
@@ -72,7 +73,7 @@
             node.node.reload(Map.of("GW_CONFIG", platform.toString()));
         }
 
-        /** Sends this many requests, idempotent and not; each must be answered. */
+        /** Sends this many requests, idempotent and non-idempotent ones; each must get a response. */
         void sendRequests(int count) throws IOException {
             for (int i = 0; i < count; i++) {
                 String id = String.format("%016x", 0x9000 + requestsSent++);
@@ -143,7 +144,7 @@
                 .anyMatch(e -> e instanceof CaptureEntry.EventRecord t
                         && t.event() instanceof RoutesChanged n
                         && n.routes() != null));
-        // A request that was retried: explained by its id as its client knows it.
+        // A request that was retried is found by the id that its client sent.
         AttemptEnded retriedAttempt = entries.stream()
                 .filter(e -> e instanceof CaptureEntry.EventRecord t
                         && t.event() instanceof AttemptEnded a
@@ -155,7 +156,7 @@
         replay(captureDirectory, explanation);
         assertTrue(explanation.text().contains("attempt 1 goes to " + retriedAttempt.endpointId()), explanation.text());
         assertTrue(explanation.text().contains("is tried again"), explanation.text());
-        // The capture holds no bodies and no header that identifies a person.
+        // The capture contains neither bodies nor headers that identify a person.
         for (CaptureFiles.SegmentFile segment : CaptureFiles.segmentsIn(captureDirectory)) {
             assertFalse(Files.readString(segment.path(), java.nio.charset.StandardCharsets.ISO_8859_1)
                     .contains("cow"));
@@ -206,7 +207,7 @@
         }
     }
 
-    /** An obstacle to the capture must not affect serving: the node continues. */
+    /** A capture that can't be written must not affect the requests. */
     @Test
     void unwritableDirectoryCostsNoRequest() throws Exception {
         try (TestCluster cluster = new TestCluster("")) {
@@ -228,7 +229,7 @@
             cluster.reload();
             Replayer player = replay(cluster.captureDirectory, null);
             assertEquals(List.of(), player.divergences());
-            assertTrue(player.droppedEvents() > 30, player.droppedEvents() + " said to be missing");
+            assertTrue(player.droppedEvents() > 30, player.droppedEvents() + " events reported as dropped");
         }
     }
 }
--- a/node/src/test/java/weldhitch/node/ClassListGenerator.java
+++ b/node/src/test/java/weldhitch/node/ClassListGenerator.java
@@ -1,9 +1,9 @@
 package weldhitch.node;
 
 /**
- * Writes the list of classes for the build's class-data archive; run by hand whenever classes have changed. The
- * list holds what a node has loaded from its start through its first second to its shutdown. The command stands
- * in docs/restarts-and-releases.md.
+ * Writes the list of classes for the class-data archive of the build; run by hand whenever classes have changed. The
+ * list contains the classes that a node loads from its start, through its first second, to its shutdown.
+ * docs/restarts-and-releases.md contains the command.
  */
 final class ClassListGenerator {
     private ClassListGenerator() {}
--- a/node/src/test/java/weldhitch/node/ClientConnectionTest.java
+++ b/node/src/test/java/weldhitch/node/ClientConnectionTest.java
@@ -12,7 +12,7 @@
 import weldhitch.testkit.ScriptedServer;
 import weldhitch.testkit.TestConnection;
 
-/** The requests that clients send, valid and invalid, and how the node answers them. */
+/** Tests the responses of the node to valid and invalid requests of clients. */
 class ClientConnectionTest {
     private static int status(NodeHarness harness, String request) throws Exception {
         return harness.send(request).status();
@@ -139,7 +139,7 @@
             TestConnection attempt = server.nextConnection();
             seen.await();
             client.close();
-            assertTrue(attempt.isClosedByPeer(), "nobody waits for the attempt's answer");
+            assertTrue(attempt.isClosedByPeer(), "the attempt was not cancelled although its client had disconnected");
         }
     }
 
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Regression: leaving clients in the backlog when more arrive than the node has connections for, and
-     * evicting as idle those whose first request has been written but not read.
+     * Regression: clients were left in the backlog when more arrived than the node has connections for, and clients
+     * whose first request had been written but not read were evicted as idle.
      */
     @Test
     void clientsBeyondTheLimitAreAllAnswered() throws Exception {
@@ -207,12 +207,12 @@
                 rejected += status == 503 ? 1 : 0;
                 client.close();
             }
-            assertTrue(rejected > 0, "no client was refused");
+            assertTrue(rejected > 0, "no client was rejected");
             assertEquals(200, status(harness, get("after")));
         }
     }
 
-    /** Regression: waves of connections that are opened and never used, which once kept every client out. */
+    /** Regression: many connections that were opened and never used kept out all other clients. */
     @Test
     void unusedConnectionsAreEvictedForOthers() throws Exception {
         try (NodeHarness harness = NodeHarness.start(100, ScriptedServer.respondingWith(m -> ok("x")))) {
@@ -221,13 +221,13 @@
                 unused[i] = harness.client();
             }
             assertEquals(200, status(harness, get("1")));
-            assertTrue(unused[0].isClosedByPeer(), "the oldest is closed");
+            assertTrue(unused[0].isClosedByPeer(), "the oldest unused connection was not closed");
         }
     }
 
     /**
-     * The body would smuggle a request of its own: where the first one ends is unknown, so none of it is
-     * forwarded.
+     * Guards against request smuggling: the end of the first request is ambiguous and its body may contain a second
+     * request, so none of the bytes may be forwarded.
      */
     @Test
     void requestWithConflictingFramingIsRejectedWithWhatFollows() throws Exception {
@@ -246,7 +246,7 @@
         }
     }
 
-    /** Regression: clients that stall within a request, or send nothing, and occupy their connection. */
+    /** Regression: clients that stalled within a request, or sent nothing, occupied their connections. */
     @Test
     void stalledRequestsTimeOutAndSilentConnectionsAreClosed() throws Exception {
         try (NodeHarness harness = NodeHarness.start(ScriptedServer.respondingWith(m -> ok("x")))) {
@@ -256,8 +256,7 @@
             head.write("GET /read HTTP/1.1\r\nX-Tr");
             body.write(post("1", "half").replace("Length: 4", "Length: 400"));
             for (TestConnection wire : new TestConnection[] {silent, head, body}) {
-                // Within the 3 s that the protocol allows, plus room for a slow machine; the old limits were 60
-                // s and 3 s.
+                // The protocol allows 3 s; the rest is tolerance for a slow machine.
                 wire.socket.setSoTimeout(10_000);
             }
             assertTrue(silent.isClosedByPeer());
--- a/node/src/test/java/weldhitch/node/ClientRequestParserTest.java
+++ b/node/src/test/java/weldhitch/node/ClientRequestParserTest.java
@@ -15,7 +15,7 @@
 import weldhitch.decision.settings.Idempotency;
 import weldhitch.decision.settings.RequestClass;
 
-/** Request heads and the status or the values that {@link ClientRequestParser} derives from them. */
+/** Tests the status or the values that {@link ClientRequestParser} derives from request heads. */
 class ClientRequestParserTest {
     private static final long DEADLINE = 2_000_000_000L;
     private static final RequestClass ROOMS = requestClass("rooms");
--- a/node/src/test/java/weldhitch/node/ClientResponseWriterTest.java
+++ b/node/src/test/java/weldhitch/node/ClientResponseWriterTest.java
@@ -17,7 +17,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import org.junit.jupiter.api.Test;
 
-/** The responses that {@link ClientResponseWriter} writes, and how often it evaluates its condition to close. */
+/** Tests the responses that {@link ClientResponseWriter} writes, and how often it evaluates its close condition. */
 class ClientResponseWriterTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final Clock clock = new Clock();
--- a/node/src/test/java/weldhitch/node/ConnectionDeadlinesTest.java
+++ b/node/src/test/java/weldhitch/node/ConnectionDeadlinesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.node.ConnectionDeadlines.Expiry;
 
-/** Each timeout of {@link ConnectionDeadlines}, on its boundary. */
+/** Tests each timeout of {@link ConnectionDeadlines} at its boundary. */
 class ConnectionDeadlinesTest {
     private static final long START = 1_000_000_000_000L;
 
--- a/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
+++ b/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
@@ -25,8 +25,8 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * The users' requirements on rare situations that only a process of its own shows: exhausted descriptors, and
- * the time to readiness.
+ * Tests requirements on rare situations that need a separate process: exhausted file descriptors, and the time to
+ * readiness.
  */
 class DescriptorExhaustionIT {
     private static final int DESCRIPTORS = 256;
@@ -34,8 +34,8 @@
     private static final String READY = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /**
-     * Opens an idle connection, which the node may close unread: there are more than the process has
-     * descriptors for.
+     * Opens an idle connection. The node may close it without reading, because more connections are opened than the
+     * process has descriptors for.
      */
     private static TestConnection idle(int port, int number) throws IOException {
         TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
@@ -44,15 +44,15 @@
                 wire.write(get("idle" + number));
                 wire.readMessage();
             } catch (IOException e) {
-                // closed by the node to free a descriptor
+                // Closed by the node to free a descriptor.
             }
         }
         return wire;
     }
 
     /**
-     * Idle clients exhaust the descriptors while discovery is down; it recovers with a drain update, which the
-     * node receives and applies all the same.
+     * Idle clients exhaust the descriptors while discovery is unavailable. Discovery then recovers with a drain update,
+     * which the node must receive and apply.
      */
     @Test
     void exhaustedDescriptorsDoNotBlockDrainUpdates() throws Exception {
@@ -76,7 +76,7 @@
                 long notifiedAt = discovery.awaitNotified();
                 assertTrue(
                         notifiedAt - reachableAt < 6_000_000_000L,
-                        "told " + (notifiedAt - reachableAt) / 1_000_000 + " ms after it could be reached");
+                        "notified " + (notifiedAt - reachableAt) / 1_000_000 + " ms after discovery resumed");
                 for (int i = 0; System.nanoTime() - notifiedAt < GRACE + 300_000_000L; i++) {
                     checker.send("after" + i, true, post("after" + i, "b"));
                 }
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Ten nodes start simultaneously, as after a step of a rolling restart: nine are ready, and serve, within
+     * Ten nodes start simultaneously, as in a step of a rolling restart. Nine of them must be ready, and serve, within
      * 10 s.
      */
     @Test
--- a/node/src/test/java/weldhitch/node/DiscoveryTest.java
+++ b/node/src/test/java/weldhitch/node/DiscoveryTest.java
@@ -24,7 +24,7 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** The endpoint list: long-polled, polled on demand, and robust against failures of discovery. */
+/** Tests that the endpoint list is long-polled or polled on demand, and withstands failures of discovery. */
 class DiscoveryTest {
     private static final String GET_ALL = "GET /v1/endpoints HTTP/1.1";
 
@@ -66,14 +66,14 @@
             discovery.enqueueList(2, false, host("a", a.address(), "draining"));
             discovery.awaitCall();
             assertEquals(1, a.requests.size());
-            // The server's reading thread ends with the connection.
+            // The handler of the server's connection returns when the connection closes.
             while (a.activeHandlers() > 0) {
                 Thread.onSpinWait();
             }
         }
     }
 
-    /** A draining server has few connections left, and nothing will be sent on this one any more. */
+    /** A draining server should have few connections left, and no further request is sent on this one. */
     @Test
     void connectionReleasedToADrainingServerIsClosed() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -88,7 +88,7 @@
             closed.countDown();
         });
         ScriptedDiscovery discovery = new ScriptedDiscovery();
-        // Keep-alive long enough that its age alone would not close it.
+        // The keep-alive time is so long that the age of the connection does not close it.
         byte[] config = new String(
                         NodeHarness.config(discovery.server.address(), host("a", a.address()), 1024, ""),
                         StandardCharsets.UTF_8)
@@ -105,7 +105,7 @@
             discovery.awaitCall();
             answer.countDown();
             assertEquals(200, client.readMessage().status());
-            assertTrue(closed.await(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS), "kept for nothing");
+            assertTrue(closed.await(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS), "the connection was not closed");
         }
     }
 
@@ -120,8 +120,8 @@
                 assertTrue(discovery.awaitCall().contains("after=0&"));
                 discovery.responses.add(failure);
             }
-            // The current list is valid, so the same poll repairs a malformed list, or changes relative to
-            // another list; the full list, which is expensive, is requested only if that did not help.
+            // The current list is valid. The node repeats the same poll after a malformed list, or after changes to a
+            // list that it does not have, and requests the expensive full list only if that did not help.
             for (int i = 0; i < 2; i++) {
                 assertTrue(discovery.awaitCall().contains("after=0&"));
                 discovery.responses.add(ok("{\"seq\":3,\"whole\":true,\"hosts\":[{\"host\":5}]}"));
@@ -129,7 +129,7 @@
             assertEquals(GET_ALL, discovery.awaitCall());
             assertServedBy(harness, "1", "a");
             discovery.enqueueList(4, true, host("a", a.address()));
-            // Neither older changes nor an older full list replace the current one, even though the full one is
+            // Neither older changes nor an older full list replace the current list, even though the full list is
             // empty.
             assertTrue(discovery.awaitCall().contains("after=4&"));
             discovery.enqueueList(2, false, "");
@@ -151,13 +151,13 @@
             discovery.responses.add("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             discovery.awaitCall();
             discovery.enqueueList(2, true, host("a", a.address()));
-            assertTrue(discovery.awaitCall().contains("after=2&"), "the watch goes on");
+            assertTrue(discovery.awaitCall().contains("after=2&"), "the long poll did not continue");
         }
     }
 
     /**
-     * Nothing closes a long poll that has become silent: the node has to detect it and open another connection.
-     * What a shared service fails to send counts as sent two seconds after the wait that was requested.
+     * No event closes a long poll that has become silent; the node has to detect it and open another connection. Where
+     * discovery is shared, a response counts as missing two seconds after the requested wait.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -174,20 +174,20 @@
             discovery.enqueueList(4, true, host("a", a.address()));
             assertTrue(discovery.awaitCall().contains("after=4&wait_ms=2000"));
             long silentSince = System.nanoTime();
-            // This poll is never answered on the first connection. The next requests no wait: what was missed
-            // arrives at once.
+            // This poll gets no response on the first connection. The next one requests no wait, so that missed
+            // changes arrive at once.
             assertTrue(discovery.awaitCall().contains("after=4&wait_ms=0"));
             long after = (System.nanoTime() - silentSince) / 1_000_000;
-            // Half a second of it allows for a noisy machine.
-            assertTrue(after >= 2000 && after < (shared ? 4500 : 6000), "opened anew after " + after + " ms");
-            assertTrue(discovery.server.connections.size() >= 2, "on a connection of its own");
+            // Half a second of the limit is tolerance for a busy machine.
+            assertTrue(after >= 2000 && after < (shared ? 4500 : 6000), "polled again after " + after + " ms");
+            assertTrue(discovery.server.connections.size() >= 2, "not polled on a new connection");
             assertServedBy(harness, "2", "a");
         }
     }
 
     /**
-     * A long poll becomes silent, the next poll too, and the one after is rejected: each is legal alone, their
-     * sum is what matters.
+     * A long poll becomes silent, the next poll too, and the one after it is rejected. Each failure alone is within the
+     * limits; their sum must meet the update deadline.
      */
     @Test
     void consecutiveFailuresStayWithinTheUpdateDeadline() throws Exception {
@@ -216,7 +216,7 @@
             assertServedBy(harness, "1", "a");
             assertTrue(changeSent.await(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             long elapsedMillis = (System.nanoTime() - silentSince.get()) / 1_000_000;
-            assertTrue(elapsedMillis < 5000, "heard " + elapsedMillis + " ms after the watch fell silent");
+            assertTrue(elapsedMillis < 5000, "updated " + elapsedMillis + " ms after the long poll became silent");
         }
     }
 
@@ -230,14 +230,14 @@
             long rejectedAt = System.nanoTime();
             discovery.responses.add("HTTP/1.1 503 Busy\r\nRetry-After: 0.7\r\nContent-Length: 0\r\n\r\n");
             discovery.awaitCall();
-            assertTrue(System.nanoTime() - rejectedAt >= 700_000_000L, "asked again too soon");
+            assertTrue(System.nanoTime() - rejectedAt >= 700_000_000L, "polled again before Retry-After had passed");
             assertServedBy(harness, "1", "a");
         }
     }
 
     /**
-     * Regression: a node that keeps polling the discovery address of its start for good, or drops its list
-     * because of an invalid file.
+     * Regression: a node kept polling the discovery address with which it had started, or dropped its list because
+     * of an invalid file.
      */
     @Test
     void reloadMovesTheWatchAndAnInvalidFileChangesNothing() throws Exception {
@@ -257,8 +257,8 @@
             Files.write(file, NodeHarness.config(newDiscovery.server.address(), "", 1024, ""));
             harness.node.reload(environment);
             assertEquals(
-                    GET_ALL, newDiscovery.awaitCall(), "the whole list, as versions of another discovery say nothing");
-            assertTrue(oldDiscovery.server.nextConnection().isClosedByPeer(), "the old watch goes on");
+                    GET_ALL, newDiscovery.awaitCall(), "versions of another discovery service are not comparable");
+            assertTrue(oldDiscovery.server.nextConnection().isClosedByPeer(), "the old long poll continues");
             assertServedBy(harness, "2", "a");
             newDiscovery.enqueueList(3, true, host("b", b.address()));
             assertTrue(newDiscovery.awaitCall().contains("after=3&"));
--- a/node/src/test/java/weldhitch/node/FleetIT.java
+++ b/node/src/test/java/weldhitch/node/FleetIT.java
@@ -20,21 +20,21 @@
 import weldhitch.testkit.fleet.NodeFleet;
 
 /**
- * Runs many processes of the packaged node with faults between them. A failed run prints its seed, fault
- * schedule and event log.
+ * Runs many processes of the packaged node with faults between them. The message of a failed run contains its seed,
+ * fault schedule and latest events.
  */
 class FleetIT {
     private static final int NODES = Integer.getInteger("weldhitch.fleet.nodes", 12);
     private static final int SERVERS = Integer.getInteger("weldhitch.fleet.servers", 6);
     private static final long SERVER_MS = 20;
     /**
-     * Requests a second that a stand-in serves once warm; far above the offered load, as the rule under test is
-     * about endpoints that are warming up.
+     * Capacity of a server once warm, in requests per second. It is far above the offered load, because the tested rule
+     * concerns endpoints that are warming up.
      */
     private static final double WARM_PER_SECOND = 30;
 
     /**
-     * After a power cut: all nodes start simultaneously, the servers are cold, and discovery is unavailable for
+     * Simulates a power failure: all nodes start simultaneously, the servers are cold, and discovery is unavailable for
      * the first seconds.
      */
     @Test
@@ -70,10 +70,10 @@
             List<RequestRecord> requests = fleet.loadGenerator.requests();
             System.out.println(String.format(
                     Locale.ROOT,
-                    "cold start of %d nodes, %d servers: all listen after %.2f s, list service"
-                            + " back then; all hold the list %.2f s, all ready %.2f s after; list calls %d,"
-                            + " whole lists %d, peak %d in 100 ms;"
-                            + " most dials to a server in 100 ms %d; asked %d, served %d, refused %d, lost 0",
+                    "cold start of %d nodes, %d servers: all nodes listen after %.2f s, then discovery"
+                            + " resumes; all have the list %.2f s, all are ready %.2f s later; discovery calls %d,"
+                            + " complete lists %d, peak %d calls in 100 ms; peak connections"
+                            + " to a server in 100 ms %d; requests %d, served %d, rejected %d, lost 0",
                     NODES,
                     SERVERS,
                     listeningAt / 1e9,
@@ -91,14 +91,14 @@
                     requests.stream().filter(RequestRecord::isRejected).count()));
             assertTrue(
                     allListedAt - serviceBackAt < 10_000_000_000L && allReadyAt - serviceBackAt < 10_000_000_000L,
-                    "held after " + (allListedAt - serviceBackAt));
-            assertTrue(fullLists <= NODES, "whole lists: " + fullLists);
+                    "time until all nodes had the list, ns: " + (allListedAt - serviceBackAt));
+            assertTrue(fullLists <= NODES, "complete lists requested: " + fullLists);
         }
     }
 
     /**
-     * Seeded faults on nodes and on every link, with a drain among them, and clients that give up early; the
-     * invariants hold, and all nodes recover.
+     * Injects faults drawn from a seed into nodes and links, with a drain among them and with clients that disconnect
+     * early. The invariants must hold, and all nodes must recover.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
@@ -124,12 +124,12 @@
             fleet.faultInjector.runSchedule(schedule);
             drain.join(20_000);
             long healed = fleet.eventLog.elapsedNanos();
-            // Full recovery: every node serves its clients again.
+            // The fleet has recovered when every node serves its clients again.
             TestSupport.await(() -> recoveredNodes(fleet, healed).size() == fleet.nodes.size());
             assertEquals(List.of(), fleet.stopAndCheckInvariants(true), description + "\n" + fleet.eventLog.tail(60));
             Map<Completion, Integer> ends = new HashMap<>();
             fleet.loadGenerator.requests().forEach(a -> ends.merge(a.completion(), 1, Integer::sum));
-            System.out.println("seed " + seed + ": " + schedule.size() + " faults, requests by end " + ends);
+            System.out.println("seed " + seed + ": " + schedule.size() + " faults, requests by completion " + ends);
         }
     }
 
--- a/node/src/test/java/weldhitch/node/InFlightRequestsTest.java
+++ b/node/src/test/java/weldhitch/node/InFlightRequestsTest.java
@@ -15,7 +15,7 @@
 import weldhitch.decision.settings.Idempotency;
 import weldhitch.decision.settings.RequestClass;
 
-/** The life of a request in {@link InFlightRequests}. */
+/** Tests the life cycle of a request in {@link InFlightRequests}. */
 class InFlightRequestsTest {
     private final ResourceLimits limits = new ResourceLimits(1024, 64L << 20);
     private final InFlightRequests requests = new InFlightRequests();
--- a/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
@@ -25,8 +25,7 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * The four invariants, with servers and links that fail by a script, checked by a client that counts
- * executions.
+ * Tests the invariants on a node whose servers and links fail by a script, with a client that counts executions.
  */
 class InvariantsOnSocketsTest {
     private static final long GRACE = 2_000_000_000L;
@@ -111,11 +110,11 @@
                 while (System.nanoTime() - notifiedAt < GRACE + TimeUnit.MILLISECONDS.toNanos(300)) {
                     client.send("after" + late, true, post("after" + late++, "b"));
                 }
-                assertTrue(late > 10, late + " asked");
+                assertTrue(late > 10, late + " requests sent after the drain");
                 assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE));
                 assertEquals(List.of(), client.violations(List.of(stays, drains)));
                 assertTrue(
-                        client.completedRequests().stream().allMatch(a -> a.status() == 200), "a drain cost a request");
+                        client.completedRequests().stream().allMatch(a -> a.status() == 200), "a request failed");
             }
         }
     }
--- a/node/src/test/java/weldhitch/node/NodeConfigTest.java
+++ b/node/src/test/java/weldhitch/node/NodeConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import weldhitch.decision.settings.Idempotency;
 
-/** Parsing of the node's configuration, and the error messages for an invalid one. */
+/** Tests the parsing of the node's configuration and the error messages for an invalid one. */
 class NodeConfigTest {
     private static final String VALID = new String(
             NodeHarness.config("127.0.0.1:9", NodeHarness.host("s", "127.0.0.1:8"), 500, ""), StandardCharsets.UTF_8);
@@ -67,7 +67,7 @@
         assertThrows(InvalidConfigException.class, () -> NodeConfig.load(Map.of("GW_CONFIG", "/nowhere/at/all")));
     }
 
-    /** One line that names file, key, found and expected value, and the exit code for configuration errors. */
+    /** Each message is a single line with the file, the key, the value found and the value expected. */
     @Test
     void invalidSettingsAreReportedWithFileKeyFoundAndExpected(@TempDir Path dir) throws Exception {
         String[][] invalidCases = {
@@ -103,6 +103,6 @@
         assertEquals(1_700_000_000_123_000_000L, Clock.ofMillis(1_700_000_000_123L));
         long before = System.currentTimeMillis();
         long now = new Clock().now() / 1_000_000;
-        assertTrue(now >= before && now <= System.currentTimeMillis(), "the clock is not Unix time");
+        assertTrue(now >= before && now <= System.currentTimeMillis(), "the clock does not return Unix time");
     }
 }
--- a/node/src/test/java/weldhitch/node/NodeHarness.java
+++ b/node/src/test/java/weldhitch/node/NodeHarness.java
@@ -13,8 +13,8 @@
 import weldhitch.testkit.TestConnection;
 
 /**
- * A node in the test's own process, between scripted servers on ephemeral loopback ports. Used by one test
- * thread; {@link #close} stops the node and everything it opened.
+ * Runs a node in the test's own process, between scripted servers on ephemeral loopback ports. Used by one test
+ * thread; {@link #close} stops the node and closes everything that the harness opened.
  */
 final class NodeHarness implements Closeable {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -30,7 +30,7 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A discovery service that responds with the given list and to later polls with no changes. */
+    /** Creates a discovery service that sends the given list and reports no changes to later polls. */
     static ScriptedServer discovery(String hosts) throws IOException {
         return new ScriptedServer(wire -> {
             for (RawHttpMessage m = wire.readMessage(); m != null; m = wire.readMessage()) {
@@ -40,7 +40,7 @@
         });
     }
 
-    /** Starts a node whose cached endpoint list names the servers s0, s1 and so on. */
+    /** Starts a node whose cached endpoint list contains the servers as s0, s1 and so on. */
     static NodeHarness start(ScriptedServer... servers) throws Exception {
         return start(1024, servers);
     }
@@ -88,6 +88,7 @@
         return NodeFixtures.getRequest(id);
     }
 
+    /** Returns a GET request of a class whose responses the node streams. */
     static String feed(String id) {
         return NodeFixtures.streamedGetRequest(id);
     }
@@ -96,7 +97,7 @@
         return NodeFixtures.postRequest(id, body);
     }
 
-    /** Sends one request on a connection of its own and returns the response. */
+    /** Sends one request on a new connection and returns the response. */
     RawHttpMessage send(String request) throws IOException {
         TestConnection wire = client();
         wire.write(request);
--- a/node/src/test/java/weldhitch/node/NodeProcess.java
+++ b/node/src/test/java/weldhitch/node/NodeProcess.java
@@ -20,8 +20,8 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * The packaged node as a process, with one server that responds as the request path says and one that nobody
- * listens on. Used by one test thread; {@link #close} kills the process.
+ * Runs the packaged node as a process, with one server that responds as the request path requests and one endpoint
+ * on whose port nothing listens. Used by one test thread; {@link #close} kills the process.
  */
 final class NodeProcess implements Closeable {
     final Process process;
@@ -30,10 +30,14 @@
     private final Path config;
     private final ScriptedServer server;
     private final ScriptedServer discovery;
-    /** A reserved port that nobody listens on. */
+    /** A reserved port on which nothing listens. */
     private final ReservedPort closedPort = new ReservedPort();
 
-    /** @param change transforms the command that the deploy file names */
+    /**
+     * Starts a node with the server and a discovery service of this object.
+     *
+     * @param change transforms the command in the deploy file
+     */
     NodeProcess(UnaryOperator<String> change) throws Exception {
         server = ScriptedServer.respondingWith(NodeProcess::answer);
         String hosts = NodeHarness.host("s", server.address()) + "," + NodeHarness.host("gone", closedPort.address());
@@ -45,7 +49,7 @@
         port = port();
     }
 
-    /** Starts a node between servers and a discovery service of the test's own, which outlive it. */
+    /** Starts a node with the given configuration, whose servers and discovery service the caller owns. */
     NodeProcess(UnaryOperator<String> change, byte[] configuration) throws Exception {
         server = null;
         discovery = null;
@@ -68,7 +72,7 @@
         Matcher listens = Pattern.compile("listens on /127\\.0\\.0\\.1:(\\d+)").matcher(String.valueOf(first));
         if (!listens.find()) {
             close();
-            throw new IOException("it does not listen: " + first);
+            throw new IOException("the first log line does not name a port to listen on: " + first);
         }
         return Integer.parseInt(listens.group(1));
     }
@@ -81,7 +85,7 @@
         return line.contains("broken") ? "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n" : NodeHarness.ok("hello");
     }
 
-    /** The next line of the node's log; blocks until there is one. */
+    /** Returns the next line of the node's log; blocks until there is one. */
     String logLine() throws IOException {
         return log.readLine();
     }
@@ -99,22 +103,22 @@
                         .start()
                         .waitFor()
                 != 0) {
-            throw new IOException("no such process");
+            throw new IOException("the signal could not be sent");
         }
     }
 
-    /** Suspends the process by SIGSTOP; returns once all of it stands still. */
+    /** Suspends the process with SIGSTOP and returns once all its threads have stopped. */
     void suspend() throws Exception {
         signal(process, "STOP");
         TestSupport.await(this::isSuspended);
     }
 
-    /** Sends SIGTERM; a suspended process handles it once it goes on. */
+    /** Sends SIGTERM; a suspended process handles it once it is resumed. */
     void terminate() throws Exception {
         signal(process, "TERM");
     }
 
-    /** Lets a suspended process go on. */
+    /** Resumes a suspended process. */
     void resume() throws Exception {
         signal(process, "CONT");
     }
@@ -127,7 +131,7 @@
         }
     }
 
-    /** Whether a thread's state in {@code /proc} is T: stopped by a signal. */
+    /** Returns whether the state of a thread in {@code /proc} is T, stopped by a signal. */
     private static boolean isStopped(Path thread) {
         try {
             String status = Files.readString(thread.resolve("stat"));
@@ -144,8 +148,8 @@
     }
 
     /**
-     * Exercises what a node meets in its first second, and its graceful shutdown; returns once the process has
-     * ended.
+     * Sends the kinds of requests that a node receives in its first second, reloads the configuration and shuts the
+     * node down gracefully; returns once the process has ended.
      */
     void exercise() throws Exception {
         send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
--- a/node/src/test/java/weldhitch/node/NodeShutdownTest.java
+++ b/node/src/test/java/weldhitch/node/NodeShutdownTest.java
@@ -16,7 +16,7 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** Graceful shutdown: received requests are answered, late ones too, and then the node ends by itself. */
+/** Tests graceful shutdown: all received requests, late ones too, are answered, and then the node ends. */
 class NodeShutdownTest {
     @Test
     void acceptedRequestsAreAnsweredAndEveryConnectionCloses() throws Exception {
@@ -40,22 +40,23 @@
                 Thread.onSpinWait();
             }
             late.write(get("2"));
-            assertTrue(idle.isClosedByPeer(), "an idle connection is closed");
+            assertTrue(idle.isClosedByPeer(), "the idle connection was not closed");
             answer.countDown();
             for (TestConnection wire : new TestConnection[] {busy, late}) {
                 RawHttpMessage m = wire.readMessage();
                 assertEquals(200, m.status());
-                assertTrue(wire.isClosedByPeer(), "what is not told to go in an answer is closed in its turn");
+                assertTrue(wire.isClosedByPeer(), "the connection was not closed after its response");
                 wire.close();
             }
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
-            assertTrue(!drain.isAlive(), "the node does not end by itself");
+            assertTrue(!drain.isAlive(), "the shutdown did not complete");
         }
     }
 
     /**
-     * Rolling restarts overlap: while the node restarted before is still away, the connections of this one are
-     * all that its clients have. Closing them at once left whole seconds of requests with nowhere to go.
+     * During a rolling restart the previously restarted node may still be down, so the existing connections to this
+     * node are all that its clients have. Closing them at the start of the shutdown left clients without a node for
+     * whole seconds.
      */
     @Test
     void servesExistingConnectionsAndRejectsLateRequests() throws Exception {
@@ -69,8 +70,7 @@
             while (harness.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) {
                 Thread.onSpinWait();
             }
-            // This class has no latency objective, so less time than its full deadline of 8 s is of no use to
-            // it.
+            // This class has no latency objective, so requests are rejected unless their full deadline of 8 s remains.
             int lateRequests = 0;
             RawHttpMessage m;
             do {
@@ -89,16 +89,16 @@
                 m = existing.readMessage();
                 assertEquals(200, m.status());
             } while (!"close".equals(m.header("connection")));
-            assertTrue(served > 1, "told to go at once");
+            assertTrue(served > 1, "the existing connection was closed at the start of the shutdown");
             assertTrue(existing.isClosedByPeer());
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
-            assertTrue(!drain.isAlive(), "the node does not end by itself");
+            assertTrue(!drain.isAlive(), "the shutdown did not complete");
         }
     }
 
     /**
-     * Its deadline is 8 s, and the platform kills the process 3.7 s after the signal: the client would get only
-     * a reset.
+     * The request has a deadline of 8 s, but the platform kills the process 3.7 s after the signal. Without an earlier
+     * response the client would get only a reset.
      */
     @Test
     void inFlightRequestIsAnsweredBeforeThePlatformKillsTheProcess() throws Exception {
@@ -115,16 +115,16 @@
             long shutdownStartedAt = System.nanoTime();
             Thread drain = TestSupport.startDaemon(harness.node::drain);
             RawHttpMessage m = waits.readMessage();
-            assertEquals(504, m.status(), "not known not to have run, so not refused");
-            assertTrue(System.nanoTime() - shutdownStartedAt < 7_000_000_000L, "only by its own deadline");
+            assertEquals(504, m.status(), "the request may have been executed, so it must not be rejected");
+            assertTrue(System.nanoTime() - shutdownStartedAt < 7_000_000_000L, "answered only at its own deadline");
             assertTrue(waits.isClosedByPeer());
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
-            assertTrue(!drain.isAlive(), "the node does not end by itself");
-            assertEquals(0, requestsReceived.availablePermits(), "written again");
+            assertTrue(!drain.isAlive(), "the shutdown did not complete");
+            assertEquals(0, requestsReceived.availablePermits(), "the request was sent a second time");
         }
     }
 
-    /** None of it was forwarded, as there is no server to take it, so that its client may retry elsewhere. */
+    /** The request is never forwarded, because the only server is draining, so its client may retry it elsewhere. */
     @Test
     void neverSentRequestIsRejectedAtTheEnd() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("x"));
@@ -135,7 +135,7 @@
                 NodeHarness harness = NodeHarness.start(NodeHarness.config(discovery.address(), draining, 1024, ""));
                 TestConnection waits = harness.client()) {
             waits.write(post("1", "b"));
-            // It has certainly been received: a second request with its id is rejected.
+            // The request has been received as soon as a second request with its id is rejected.
             while (harness.send(post("1", "b")).status() != 400) {
                 Thread.onSpinWait();
             }
@@ -143,14 +143,14 @@
             assertEquals(503, waits.readMessage().status());
             assertTrue(waits.isClosedByPeer());
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
-            assertTrue(!drain.isAlive(), "the node does not end by itself");
+            assertTrue(!drain.isAlive(), "the shutdown did not complete");
             assertEquals(0, server.requests.size());
         }
     }
 
     /**
-     * Regression: a client that never closes its side delayed the end by 2 s, past the time at which the
-     * platform kills the node.
+     * Regression: a client that never closes its side delayed the end of the node by 2 s, beyond the time at which the
+     * platform kills the process.
      */
     @Test
     void endsAfterAllDeadlinesThoughAClientStaysConnected() throws Exception {
@@ -171,9 +171,9 @@
                 lastWriteAt = System.nanoTime();
             } while (!"close".equals(stays.readMessage().header("connection")));
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
-            assertTrue(!drain.isAlive(), "the node does not end by itself");
-            // Planned are 0.7 s; the timeout for such a client alone would make it at least 2 s.
-            assertTrue(System.nanoTime() - lastWriteAt < 1_900_000_000L, "kept by a client that does not close");
+            assertTrue(!drain.isAlive(), "the shutdown did not complete");
+            // 0.7 s are planned; the timeout for such a client alone would make it at least 2 s.
+            assertTrue(System.nanoTime() - lastWriteAt < 1_900_000_000L, "delayed by a client that does not close");
         }
     }
 
@@ -187,7 +187,7 @@
     }
 
     /**
-     * A stream has started within its deadline and may continue past all of them: it is forwarded completely.
+     * A stream that started within its deadline may continue past all deadlines and is forwarded completely.
      */
     @Test
     void startedStreamOutlastsEveryDeadline() throws Exception {
@@ -218,8 +218,7 @@
             do {
                 stays.write(get("n" + requestCount++));
             } while (!"close".equals(stays.readMessage().header("connection")));
-            // The connection that lingers is closed once every deadline has passed: only then does a write
-            // fail.
+            // The lingering connection is closed after every deadline has passed; writes fail only then.
             assertThrows(java.io.IOException.class, () -> {
                 while (true) {
                     stays.write("x");
@@ -228,13 +227,13 @@
             last.countDown();
             assertEquals("b".repeat(30_000), new String(stream.readBytes(30_000), StandardCharsets.UTF_8));
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
-            assertTrue(!drain.isAlive(), "the node does not end by itself");
+            assertTrue(!drain.isAlive(), "the shutdown did not complete");
         }
     }
 
     /**
-     * Regression: connections that the system had accepted for the listener and the node had not were reset as
-     * the listener closed, requests and all: a busy loop accepts sixteen connections per iteration.
+     * Regression: connections that the kernel had accepted for the listener, but the node had not, were reset together
+     * with their requests when the listener closed. A busy event loop accepts sixteen connections per iteration.
      */
     @Test
     void backlogIsAnsweredWhenTheListenerCloses() throws Exception {
@@ -257,8 +256,8 @@
                 waiting[i] = harness.client();
                 waiting[i].write(get("w" + i));
             }
-            // The longest latency objective counts as 1.5 s here, so clients are asked to close, and the
-            // listener closes, 1.6 s after the signal.
+            // The longest latency objective counts as 1.5 s here, so 1.6 s after the signal clients are asked to close
+            // their connections and the listener closes.
             TestSupport.await(() -> System.nanoTime() - shutdownStartedAt > 1_700_000_000L);
             busy.countDown();
             for (TestConnection wire : waiting) {
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -22,9 +22,9 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** Each row of the protocol's table of outcomes, recognised by whether a non-idempotent request is retried. */
+/** Tests how the outcome of each attempt is classified, observed by whether a non-idempotent request is retried. */
 class OutcomeTest {
-    /** Two servers that share a script: whichever is used first follows it, the next request is served. */
+    /** Sends a request to two servers that share a handler: it handles the first attempt, and later ones are served. */
     private static RawHttpMessage sendToScriptedServers(ConnectionHandler first, AtomicInteger attempts)
             throws Exception {
         ConnectionHandler both = wire -> {
@@ -52,7 +52,7 @@
                     }
                 },
                 attempts);
-        assertEquals(1, attempts.get(), "an unsafe request that may have run was sent again");
+        assertEquals(1, attempts.get(), "a non-idempotent request that may have been executed was retried");
         assertEquals(502, m.status());
     }
 
@@ -77,9 +77,9 @@
             assertEquals("hello", received.bodyText());
             assertEquals("k7", received.header("idempotency-key"));
             assertEquals("a1", received.header("x-trace-id"));
-            assertNull(received.header("x-hop"), "a header of the client's connection alone was passed on");
+            assertNull(received.header("x-hop"), "a hop-by-hop header of the client's connection was forwarded");
             double left = Double.parseDouble(received.header("x-expires-in"));
-            assertTrue(left > 0 && left <= 8, "time left " + left);
+            assertTrue(left > 0 && left <= 8, "remaining time " + left);
         }
     }
 
@@ -114,8 +114,9 @@
     }
 
     /**
-     * A response with neither length nor chunks ends with its connection, but not with a reset: the decoder
-     * takes a reset for the end all the same, and a truncated response was served as complete.
+     * A response with neither a length nor chunks ends with the close of its connection, but not with a reset. The
+     * decoder treats a reset like a close, so without a check of its own the node would serve a truncated response as
+     * complete.
      */
     @ParameterizedTest
     @ValueSource(
@@ -136,7 +137,7 @@
                     wire.reset();
                 },
                 attempts);
-        assertEquals(1, attempts.get(), "an unsafe request that may have run was sent again");
+        assertEquals(1, attempts.get(), "a non-idempotent request that may have been executed was retried");
         assertEquals(502, m.status());
     }
 
@@ -153,9 +154,9 @@
     }
 
     /**
-     * Regression: a body just under 64 KiB fills the write buffer together with its head. When the buffer
-     * became writable again, the body was written a second time, which failed the write, and a request that its
-     * server had received completely counted as not executed.
+     * Regression: a body just under 64 KiB fills the write buffer together with its head. When the buffer became
+     * writable again, the body was written a second time, and that write failed. A request that the server had received
+     * completely then counted as not executed.
      */
     @ParameterizedTest
     @ValueSource(ints = {65_000, 65_388, 65_535, 65_536, 65_537, 131_072, 200_000})
@@ -172,8 +173,8 @@
     }
 
     /**
-     * The write fails with the reset, and the close after it is no end of the response either; the request was
-     * not executed.
+     * The reset fails the write of the request. The close that follows must not count as the end of the response; the
+     * request has not been executed and may be retried.
      */
     @Test
     void responseResetBeforeTheRequestIsWrittenIsRetriedElsewhere() throws Exception {
@@ -203,8 +204,8 @@
     }
 
     /**
-     * The decoder accepts a header line without a colon; such a response would be served although no server
-     * sent it.
+     * The decoder accepts a header line without a colon. Without a check the node would serve such a response although
+     * no valid server sent it.
      */
     @Test
     void responseWithAnInvalidHeaderLineMayHaveRunAndIsNotServed() throws Exception {
@@ -214,8 +215,8 @@
     }
 
     /**
-     * No body is longer than 64 KiB: one that claims to be would keep its client waiting for an end that never
-     * comes.
+     * A response that is not streamed may have at most 64 KiB. A longer one is not forwarded, because its client
+     * could wait for an end that never comes.
      */
     @Test
     void oversizedResponseMayHaveRunAndIsNotForwarded() throws Exception {
@@ -235,7 +236,7 @@
         }
     }
 
-    /** Regression: taking the bytes after a response for the response to the next request. */
+    /** Regression: bytes after a response were taken for the response to the next request. */
     @Test
     void bytesAfterAResponseCloseItsConnection() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok(m.header("x-trace-id")) + ok("not yours"));
@@ -300,14 +301,14 @@
             assertEquals(504, m.status());
             TestConnection wire = server.nextConnection();
             wire.readBytes(1);
-            assertTrue(wire.isClosedByPeer(), "the connection of an attempt that timed out stays open");
+            assertTrue(wire.isClosedByPeer(), "the connection of an attempt that timed out was not closed");
         }
     }
 
     /**
-     * Regression: losing non-idempotent requests to connections that a server closes, or lets die, while they
-     * are idle: what is written to such a connection may have been executed. Only a connection used a moment
-     * ago is reused.
+     * Regression: non-idempotent requests failed on idle connections that the server had closed or lost, because a
+     * request written to such a connection may have been executed and can't be retried. Only a connection that was used
+     * a moment ago is reused.
      */
     @Test
     void unsafeRequestIsNotWrittenToALongIdleConnection() throws Exception {
@@ -323,7 +324,8 @@
     }
 
     /**
-     * Nodes of a large fleet use each server so seldom that they opened a connection for nearly every booking.
+     * Guards against a connection for nearly every non-idempotent request: in a large fleet, each node uses each server
+     * too seldom to find a recently used connection.
      */
     @Test
     void unsafeRequestReusesAnIdleConnectionOnceSafeOnesSucceededOnOlderOnes() throws Exception {
@@ -335,7 +337,7 @@
             TimeUnit.NANOSECONDS.sleep(2 * ConnectionReusePolicy.DEFAULT_MAX_IDLE);
             harness.send(post("s3", "x"));
             server.nextConnection();
-            assertTrue(server.connections.isEmpty(), "dialled beside a connection that is known to be good");
+            assertTrue(server.connections.isEmpty(), "a new connection was opened although a reusable one was idle");
             assertEquals(3, server.requests.size());
         }
     }
@@ -348,13 +350,13 @@
                 assertEquals(200, harness.send(get("f" + i)).status());
             }
             server.nextConnection();
-            assertTrue(server.connections.isEmpty(), "a connection for each request");
+            assertTrue(server.connections.isEmpty(), "the idle connection was not reused");
         }
     }
 
     /**
-     * Regression: servers that drop a connection as soon as it is reused, however short it was idle: once that
-     * is detected, requests that must not be repeated use new connections.
+     * Guards against servers that close a connection as soon as it is reused, however short it was idle. Once the node
+     * has detected that, non-idempotent requests use new connections.
      */
     @Test
     void unsafeRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
@@ -365,16 +367,16 @@
             wire.close();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            // A break counts as one of reuse only within 10 ms, and on a busy machine one may come later: three
-            // connections break, which leaves retry tokens for an attempt that times out.
+            // A connection counts as broken by its reuse only if it breaks within 10 ms, and on a busy machine it may
+            // break later. At most three connections break, which leaves retry tokens for an attempt that times out.
             for (int i = 0; i < 4; i++) {
-                assertEquals(200, harness.send(get("g" + i)).status(), "retried on a new connection");
+                assertEquals(200, harness.send(get("g" + i)).status(), "not retried on a new connection");
             }
             assertEquals(200, harness.send(post("last", "x")).status());
         }
     }
 
-    /** Regression: a node with a limit of twelve upstream connections failed all connects after the twelfth. */
+    /** Regression: a node with a limit of twelve upstream connections failed every connect after the twelfth. */
     @Test
     void closedConnectionsReleaseTheirDescriptors() throws Exception {
         ScriptedServer server =
--- a/node/src/test/java/weldhitch/node/PackagedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/PackagedNodeIT.java
@@ -15,7 +15,7 @@
 import weldhitch.testkit.ScriptedServer;
 import weldhitch.testkit.TestSupport;
 
-/** Starts the packaged node by the command in the deploy file. */
+/** Tests the packaged node, started by the command in the deploy file. */
 class PackagedNodeIT {
     static ProcessBuilder run() throws Exception {
         String command = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
@@ -53,7 +53,7 @@
                 NodeProcess.hangUp(process);
                 assertEquals("discovery moved address=/127.0.0.1:9", log.readLine());
                 process.destroy();
-                // Connections that still arrive are answered, with Connection: close.
+                // Connections that still arrive are answered with Connection: close.
                 assertEquals(200, NodeProcess.send(port, NodeHarness.get("2")).status());
                 assertEquals(128 + 15, process.waitFor());
             } finally {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * With a class list that was out of date, 160 classes were read from the jar or generated in a node's first
-     * second, 20 of them before it listened: on a busy machine half of the time to readiness.
+     * Guards against an outdated class list: with one, 160 classes were read from the jar or generated in a node's
+     * first second, 20 of them before it listened, which took half of the time to readiness on a busy machine.
      */
     @Test
     void loadsItsOwnClassesFromItsArchive() throws Exception {
@@ -80,15 +80,15 @@
                     .filter(l ->
                             l.startsWith("weldhitch.") || l.startsWith("io.netty.") || l.startsWith("com.fasterxml."))
                     .toList();
-            assertTrue(elsewhere.size() <= 5, "run ClassList anew: " + elsewhere);
+            assertTrue(elsewhere.size() <= 5, "not in the archive, run ClassListGenerator again: " + elsewhere);
         } finally {
             Files.delete(loaded);
         }
     }
 
     /**
-     * The jar contains what parsing the file needs, and the signal activates a new file, or keeps the last
-     * valid one.
+     * The jar contains the classes that parse the file. SIGHUP activates a valid new file and keeps the last valid one
+     * otherwise.
      */
     @Test
     void readsItsOperatorFileAtStartAndOnSighup() throws Exception {
@@ -108,7 +108,7 @@
             node.hangUp();
             logLine = node.logLine();
             assertTrue(logLine.startsWith("route config active file=") && logLine.endsWith(" routes=1"), logLine);
-            // The limit is so low that nothing is admitted: the new rules are active.
+            // The limit is so low that no request is admitted, which shows that the new rules are active.
             TestSupport.await(() -> status(node) == 503);
         } finally {
             Files.delete(file);
--- a/node/src/test/java/weldhitch/node/PipelinedInputTest.java
+++ b/node/src/test/java/weldhitch/node/PipelinedInputTest.java
@@ -14,7 +14,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.junit.jupiter.api.Test;
 
-/** The limits of {@link PipelinedInput} and the release of what it reserves. */
+/** Tests the limits of {@link PipelinedInput} and the release of the memory that it reserves. */
 class PipelinedInputTest {
     private static final long ARRIVED_AT = 7;
 
--- a/node/src/test/java/weldhitch/node/RaceConditionTest.java
+++ b/node/src/test/java/weldhitch/node/RaceConditionTest.java
@@ -23,11 +23,11 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * Events between two steps of a request: a list update, a close or the end of a window, each while a connect is
- * pending or a request waits.
+ * Tests events that occur between two steps of a request: a list update, a disconnect or the end of the
+ * deduplication window, while a connect is pending or a request waits.
  */
 class RaceConditionTest {
-    /** Attempts may last as long as their requests, and connects nearly so. */
+    /** Returns a configuration in which an attempt may last as long as its request, and a connect nearly as long. */
     private static byte[] config(ScriptedDiscovery discovery, String known, String from, String to) {
         String config = new String(
                         NodeHarness.config(discovery.server.address(), known, 1024, ""), StandardCharsets.UTF_8)
@@ -42,11 +42,11 @@
     }
 
     /**
-     * The connect was started under a list that has been replaced when it succeeds: nothing is written, another
-     * server gets the request.
+     * The list under which the connect was started is replaced before the connect succeeds. The request must not be
+     * written to that server but sent to another one.
      */
     @ParameterizedTest
-    @ValueSource(strings = {"drains", "is gone", "is left out of a whole list", "starts anew", "moves"})
+    @ValueSource(strings = {"is draining", "is removed", "is not in a complete list", "restarted", "has moved"})
     void listChangesDuringADial(String change) throws Exception {
         try (ScriptedDiscovery discovery = new ScriptedDiscovery();
                 StalledListener stalledDial = new StalledListener();
@@ -58,25 +58,25 @@
             client.write(post("1", "body"));
             stalledDial.awaitConnectAttempt();
             String changed = switch (change) {
-                case "drains" -> host("held", stalledDial.address(), "draining") + ",";
-                case "is gone" -> host("held", stalledDial.address(), "gone") + ",";
-                case "starts anew" ->
+                case "is draining" -> host("held", stalledDial.address(), "draining") + ",";
+                case "is removed" -> host("held", stalledDial.address(), "gone") + ",";
+                case "restarted" ->
                     host("held", stalledDial.address())
                                     .replace("\"born_ms\":0", "\"born_ms\":" + System.currentTimeMillis())
                             + ",";
-                case "moves" -> host("held", other.address()) + ",";
+                case "has moved" -> host("held", other.address()) + ",";
                 default -> "";
             };
             discovery.applyList(2, changed.isEmpty(), changed + host("other", other.address()));
             TestConnection lateConnection = stalledDial.release();
-            assertTrue(lateConnection.isClosedByPeer(), "a request was sent to a server that " + change);
+            assertTrue(lateConnection.isClosedByPeer(), "the request was sent to a server that " + change);
             assertEquals("other", client.readMessage().bodyText());
         }
     }
 
     /**
-     * Where the settings do not allow cancelling, an attempt that has not started when its client disconnects
-     * must not start afterwards.
+     * An attempt that has not started when its client disconnects must not start afterwards, even where the settings do
+     * not allow cancelling attempts.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -103,16 +103,16 @@
             long released = System.nanoTime();
             bystander.write(get("2"));
             assertEquals("stays", bystander.readMessage().bodyText());
-            // The system retries the first connect a second after its start, if it is still pending.
+            // The kernel retransmits the SYN of the first connect one second after its start, if it is still pending.
             TestSupport.await(() -> System.nanoTime() - released > 1_500_000_000L);
             assertTrue(heads.poll().contains("X-Trace-Id: 2"));
-            assertTrue(heads.isEmpty(), () -> "sent for a caller that has gone: " + heads);
+            assertTrue(heads.isEmpty(), () -> "sent for a client that had disconnected: " + heads);
         }
     }
 
     /**
-     * Servers forget a key after the deduplication window: a repeat that a slow connect delayed beyond it would
-     * be executed a second time.
+     * Servers forget a key after the deduplication window. A retry that a slow connect delays beyond the window
+     * would be executed a second time.
      */
     @Test
     void deduplicationWindowEndsDuringADial() throws Exception {
@@ -142,14 +142,14 @@
             listed.countDown();
             stalledDial.awaitConnectAttempt();
             TestConnection lateConnection = stalledDial.release();
-            assertTrue(lateConnection.isClosedByPeer(), "repeated after its servers forgot it");
+            assertTrue(lateConnection.isClosedByPeer(), "retried after the deduplication window");
             assertTrue(client.readMessage().status() >= 500);
         }
     }
 
     /**
-     * Regression: a client with pipelined input was no longer read, so that its disconnect went unnoticed: its
-     * request was forwarded, and after it the pipelined ones.
+     * Regression: the node stopped reading from a client with pipelined input and so did not notice its disconnect. It
+     * forwarded the client's request and then the pipelined ones.
      */
     @ParameterizedTest
     @CsvSource({"1, false", "1, true", "400, false", "400, true", "20000, false"})
@@ -175,14 +175,14 @@
             assertEquals(
                     1,
                     server.receivedRequests().size(),
-                    "sent on for a caller that has gone: " + server.receivedRequests());
+                    "forwarded for a client that had disconnected: " + server.receivedRequests());
         }
     }
 
     /**
-     * Pipelined input is bounded; the requests that were queued are answered, and the connection closes after
-     * them. One attempt a request: on a busy machine a slow one would be hedged or retried, as it may, and a
-     * second execution would say nothing of the queue.
+     * Pipelined input is limited. The queued requests are answered, and the connection closes after them. Each
+     * request gets one attempt only: on a busy machine a slow attempt may be hedged or retried, and a second
+     * execution would not show a fault of the queue.
      */
     @Test
     void excessivePipeliningIsAnsweredUpToItsLimitWithoutDuplicates() throws Exception {
@@ -207,15 +207,15 @@
             while (more) {
                 RawHttpMessage m = client.readMessage();
                 more = !"close".equals(m.header("connection"));
-                // The last request queued may be incomplete: it has not been executed, and may be retried.
+                // The last queued request may be incomplete; it has not been executed and may be retried.
                 assertTrue(m.status() == 200 || m.status() == 503 && !more, "status " + m.status() + " of " + answered);
                 assertEquals(m.status() == 200 ? 1 : 0, server.executionCount(Integer.toString(answered)));
                 served += m.status() == 200 ? 1 : 0;
                 answered++;
             }
             assertTrue(answered > 128 && answered < sent, answered + " answered");
-            assertEquals(served, server.receivedRequests().size(), "sent on and not answered");
-            assertEquals(0, client.readToEnd().length, "something behind the last answer");
+            assertEquals(served, server.receivedRequests().size(), "forwarded but not answered");
+            assertEquals(0, client.readToEnd().length, "bytes after the last response");
         }
     }
 }
--- a/node/src/test/java/weldhitch/node/RequestWriterTest.java
+++ b/node/src/test/java/weldhitch/node/RequestWriterTest.java
@@ -19,7 +19,7 @@
 import weldhitch.decision.settings.Idempotency;
 import weldhitch.decision.settings.RequestClass;
 
-/** How {@link RequestWriter} writes small and large requests, and when an attempt counts as written. */
+/** Tests how {@link RequestWriter} writes small and large requests, and when an attempt counts as written. */
 class RequestWriterTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final ResourceLimits limits = new ResourceLimits(1024, 64L << 20);
--- a/node/src/test/java/weldhitch/node/ResponseBufferTest.java
+++ b/node/src/test/java/weldhitch/node/ResponseBufferTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.node.ResponseBuffer.Disposition;
 
-/** When {@link ResponseBuffer} buffers, forwards and gives up a response. */
+/** Tests when {@link ResponseBuffer} buffers a response, forwards it, or reports it as unusable. */
 class ResponseBufferTest {
     private final ResourceLimits limits = new ResourceLimits(1024, 64L << 20);
 
@@ -38,7 +38,7 @@
         assertEquals(Disposition.BUFFERED, unsized.add(bytes(ResponseBuffer.MAX_BUFFERED_UNSIZED_BYTES), true));
         ByteBuf next = bytes(1);
         assertEquals(Disposition.FORWARD, unsized.add(next, true));
-        assertEquals(1, next.readableBytes(), "what is forwarded must not have been consumed");
+        assertEquals(1, next.readableBytes(), "the forwarded bytes were consumed");
     }
 
     @Test
--- a/node/src/test/java/weldhitch/node/RestartBenchmark.java
+++ b/node/src/test/java/weldhitch/node/RestartBenchmark.java
@@ -15,16 +15,16 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * Measures planned restarts of the packaged node, by hand: start to ready, SIGTERM to the listener's close and
- * to the process's end, while a client keeps sending on one connection and without load. The command stands in
- * docs/restarts-and-releases.md.
+ * Measures planned restarts of the packaged node; run by hand. Measures the time from start to readiness, and from
+ * SIGTERM to the close of the listener and to the end of the process, with a client that keeps sending on one
+ * connection and without load. docs/restarts-and-releases.md contains the command.
  */
 final class RestartBenchmark {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private RestartBenchmark() {}
 
-    /** Runs the measurement and prints its figures. */
+    /** Runs the measurement and prints the results; the argument is the number of restarts. */
     public static void main(String[] args) throws Exception {
         int restarts = args.length > 0 ? Integer.parseInt(args[0]) : 20;
         for (boolean underLoad : new boolean[] {true, false}) {
@@ -35,10 +35,10 @@
             for (int i = 0; i < restarts; i++) {
                 answered += restart(underLoad, ready, closed, ended);
             }
-            System.out.println((underLoad ? "one client asking" : "no client") + ", " + restarts
+            System.out.println((underLoad ? "one client sending" : "no client") + ", " + restarts
                     + " restarts, ms: start to ready "
-                    + spread(ready) + ", SIGTERM to closed listener " + spread(closed) + ", to the end " + spread(ended)
-                    + (underLoad ? ", answered after SIGTERM " + answered / restarts + " a restart" : ""));
+                    + spread(ready) + ", SIGTERM to closed listener " + spread(closed) + ", to exit " + spread(ended)
+                    + (underLoad ? ", responses after SIGTERM " + answered / restarts + " per restart" : ""));
         }
     }
 
@@ -51,8 +51,7 @@
         String hosts = NodeHarness.host("s", server.address());
         try (reservedPort;
                 ScriptedServer discovery = NodeHarness.discovery(hosts)) {
-            // The classes of the service it was built for: deadlines of at most 3 s, latency objectives of 1.2
-            // s.
+            // As for the service that the node was built for: deadlines of at most 3 s, latency objectives of 1.2 s.
             String json = new String(NodeHarness.config(discovery.address(), hosts, 1024, ""), StandardCharsets.UTF_8)
                     .replace("127.0.0.1:0", reservedPort.address())
                     .replace("\"aimS\":4.0", "\"aimS\":1.2")
@@ -118,7 +117,8 @@
     }
 
     /**
-     * Whether the listener exists, by the kernel's table: a connection attempt would keep the node listening.
+     * Returns whether the kernel's socket table contains the listener. A connection attempt instead would keep the node
+     * listening.
      */
     private static boolean listens(int port) throws IOException {
         String listening = "(?s).*:" + String.format("%04X", port) + " 0+:0000 0A.*";
--- a/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
@@ -29,7 +29,7 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** The route configuration on a live node: each rule as servers and clients observe it. */
+/** Tests each setting of the route configuration on a live node, as servers and clients observe it. */
 class RouteConfigOnSocketsTest {
     private static final String TENANTS =
             ",\"customers\":[{\"name\":\"clinic-a\",\"quotaPerS\":5}," + "{\"name\":\"clinic-b\",\"quotaPerS\":5}]";
@@ -64,7 +64,7 @@
             Files.writeString(file, "version = 1\n" + rules + "\n# end\n");
         }
 
-        /** Does what SIGHUP does; returns once the rules it read are active. */
+        /** Reloads the configuration as SIGHUP does, and returns once it is active. */
         void reload() throws Exception {
             Path platform = directory.resolve("platform.json");
             Files.write(platform, config);
@@ -82,7 +82,7 @@
             return servers.stream().mapToInt(s -> s.receivedRequests().size()).sum();
         }
 
-        /** Nanoseconds between the first two attempts of a request. */
+        /** Returns the nanoseconds between the first two attempts of a request. */
         long gap(String id) {
             long[] at = servers.stream()
                     .flatMap(s -> s.receivedRequests().stream())
@@ -115,13 +115,13 @@
                 [class.book]
                 retry-on = ["connect-failed"]
                 """, 4, reject())) {
-            // Every server rejects: all attempts that the class allows are made.
+            // Every server rejects, so all attempts that the class allows are made.
             cluster.node.send(get("three").replace("/read/x", "/read/x/y"));
             assertEquals(3, cluster.attempts("three"));
             cluster.node.send(get("one"));
             assertEquals(1, cluster.attempts("one"));
             assertEquals(503, cluster.node.send(post("book", "b")).status());
-            assertEquals(1, cluster.attempts("book"), "full is not among what is tried again");
+            assertEquals(1, cluster.attempts("book"), "retried although retry-on does not contain a rejection");
         }
     }
 
@@ -131,11 +131,11 @@
                 new TestCluster("[class.book]\ndeadline = \"300ms\"\n[class.read]\ndeadline = \"300ms\"", 2, hang())) {
             long startedAt = System.nanoTime();
             assertEquals(504, cluster.node.send(post("b", "b")).status());
-            assertEquals(503, cluster.node.send(get("r")).status(), "a safe one may be asked again");
+            assertEquals(503, cluster.node.send(get("r")).status(), "a client may retry an idempotent one");
             long elapsedNanos = System.nanoTime() - startedAt;
             assertTrue(
                     elapsedNanos >= 590_000_000L && elapsedNanos < TimeUnit.SECONDS.toNanos(6),
-                    elapsedNanos + " ns for both, 8 s each without");
+                    elapsedNanos + " ns for both requests; the default deadline is 8 s for each");
             assertEquals(1, cluster.attempts("b"));
         }
     }
@@ -146,8 +146,7 @@
                 "[class.read]\nattempts = 2\nattempt-timeout = \"200ms\"\nhedge = \"off\"", 2, respond("x"))) {
             cluster.servers.forEach(s -> s.enqueue(hang()));
             cluster.node.send(get("a"));
-            // Both servers may hang: then the request fails after two timeouts, else the second attempt is
-            // answered.
+            // If both servers hang, the request fails after two timeouts; otherwise the second attempt is answered.
             assertEquals(2, cluster.attempts("a"));
             assertTrue(cluster.gap("a") >= 195_000_000L, cluster.gap("a") + " ns");
         }
@@ -194,8 +193,8 @@
                 minGap = Math.min(minGap, cluster.gap("r" + i));
                 maxGap = Math.max(maxGap, cluster.gap("r" + i));
             }
-            // Six delays with full jitter lie within 20 ms of each other twice in a million runs; fixed delays
-            // always do.
+            // Six delays with full jitter lie within 20 ms of each other twice in a million runs; fixed delays always
+            // do.
             assertTrue(maxGap - minGap > 20_000_000L && maxGap < TimeUnit.SECONDS.toNanos(3), minGap + " to " + maxGap);
         }
     }
@@ -216,7 +215,7 @@
                     assertTrue(seconds >= 0.3 && seconds <= 1, seconds + " s");
                 }
             }
-            assertTrue(rejected >= 1, "six at once, two a second");
+            assertTrue(rejected >= 1, "no request rejected, although six exceed the limit of two per second");
             assertEquals(
                     200,
                     cluster.node
@@ -226,7 +225,7 @@
     }
 
     /**
-     * Checked by behaviour: the valid file allows one attempt, and every invalid one would have allowed more or
+     * Verified by the number of attempts: the valid file allows one attempt, and every invalid file would allow more or
      * none.
      */
     @Test
--- a/node/src/test/java/weldhitch/node/ScriptedDiscovery.java
+++ b/node/src/test/java/weldhitch/node/ScriptedDiscovery.java
@@ -12,8 +12,8 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * A discovery service whose polls a test answers one by one. The queues are thread-safe; the test thread and
- * the server's threads share them.
+ * A discovery service whose polls the test answers one by one. The queues are thread-safe; the test thread and the
+ * server's threads share them.
  */
 final class ScriptedDiscovery implements AutoCloseable {
     final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
@@ -34,7 +34,7 @@
 
     String awaitCall() throws InterruptedException {
         String call = calls.poll(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertTrue(call != null, "no call came");
+        assertTrue(call != null, "no poll arrived within the timeout");
         return call;
     }
 
@@ -42,7 +42,7 @@
         responses.add(ok("{\"seq\":" + seq + ",\"whole\":" + full + ",\"hosts\":[" + hosts + "]}"));
     }
 
-    /** Answers the pending poll with this list, and returns once the node has applied it. */
+    /** Answers the pending poll with this list and returns once the node has applied it. */
     void applyList(int seq, boolean full, String hosts) throws InterruptedException {
         enqueueList(seq, full, hosts);
         awaitCall();
--- a/node/src/test/java/weldhitch/node/SignalsTest.java
+++ b/node/src/test/java/weldhitch/node/SignalsTest.java
@@ -23,7 +23,7 @@
 import weldhitch.testkit.ScriptedServer;
 import weldhitch.testkit.TestSupport;
 
-/** Signals at moments when a node is not ready for them, raised by the test. */
+/** Tests signals that arrive while a node is not yet ready for them; the test raises the signals. */
 class SignalsTest {
     @TempDir
     Path dir;
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Signals that a test raises; immediately where it says so, as if they had arrived in the first moment
-     * after their handler was installed.
+     * Signals that the test raises, optionally as soon as their handler is installed, as if they had arrived in that
+     * moment.
      */
     private static final class ManualSignals implements Signals {
         Runnable reload;
@@ -84,8 +84,8 @@
     }
 
     /**
-     * A signal that arrived between the opening of the listener and the installation of its handler ended the
-     * process, and lost the requests received.
+     * Regression: a signal that arrived after the listener was opened and before its handler was installed ended the
+     * process, and the received requests were lost.
      */
     @Test
     void handlersAreInstalledBeforeAnybodyCanConnect() throws Exception {
@@ -97,7 +97,7 @@
                     dir.resolve("config"),
                     NodeHarness.config(discovery.address(), host("s", server.address()), 1024, ""));
             Node node = new NodeService(environment(config, signals.port), signals).start(null);
-            assertFalse(signals.connectable, "it listened before it heard signals");
+            assertFalse(signals.connectable, "the node listened before its signal handlers were installed");
             assertTrue(signals.connects());
             node.stop();
         }
@@ -136,8 +136,8 @@
     }
 
     /**
-     * Two files, the older one slow to read: when each signal read its file on a thread of its own, the older
-     * file was applied last.
+     * Regression: when each signal read the file on its own thread, an older file that was slow to read was applied
+     * last.
      */
     @Test
     void newestConfigurationIsAppliedLast() throws Exception {
@@ -148,7 +148,7 @@
             Path config = Files.write(dir.resolve("config"), NodeHarness.config("127.0.0.1:9", "", 1024, ""));
             Node node = new NodeService(environment(config, signals.port), signals).start(null);
             Files.delete(config);
-            // Reading from a pipe blocks until somebody writes to it.
+            // Reading from a pipe blocks until another process or thread writes to it.
             assertEquals(
                     0, new ProcessBuilder("mkfifo", config.toString()).start().waitFor());
             Thread first = TestSupport.startDaemon(() -> signals.reload.run());
--- a/node/src/test/java/weldhitch/node/StartupBenchmark.java
+++ b/node/src/test/java/weldhitch/node/StartupBenchmark.java
@@ -8,14 +8,14 @@
 import weldhitch.testkit.TestConnection;
 
 /**
- * Measures, by hand, the processor time of a packaged node: until it listens, for its first 300 requests and
- * for the next 2,000. The arguments are the options of the virtual machine to try. The command stands in
- * docs/restarts-and-releases.md.
+ * Measures the CPU time of a packaged node until it listens, for its first 300 requests and for the next 2,000; run by
+ * hand. The arguments are the options of the virtual machine to try. docs/restarts-and-releases.md contains the
+ * command.
  */
 final class StartupBenchmark {
     private StartupBenchmark() {}
 
-    /** Runs the measurement with the options given and prints its figures. */
+    /** Runs the measurement with the given options and prints the results. */
     public static void main(String[] args) throws Exception {
         String options = String.join(" ", args);
         List<List<Long>> samples = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
@@ -32,7 +32,7 @@
             }
         }
         samples.forEach(Collections::sort);
-        System.out.println("processor ms, median of 7: until it listens "
+        System.out.println("CPU time in ms, median of 7: until the node listens "
                 + samples.get(0).get(3) + ", first 300 requests "
                 + samples.get(1).get(3) + ", next 2000 " + samples.get(2).get(3) + "  " + options);
     }
--- a/node/src/test/java/weldhitch/node/StreamTest.java
+++ b/node/src/test/java/weldhitch/node/StreamTest.java
@@ -17,7 +17,7 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** Long bodies: streamed within memory bounds, and never made to look complete when truncated. */
+/** Tests that long bodies are streamed within memory bounds, and that a truncated body never looks complete. */
 class StreamTest {
     private static byte[] randomBytes(int size) {
         byte[] bytes = new byte[size];
@@ -76,11 +76,11 @@
             assertEquals("1000000", RawHttpMessage.header(wire.readHead(), "content-length"));
             assertEquals(1000, wire.readBytes(1000).length);
             seen.countDown();
-            assertThrows(IOException.class, wire::readToEnd, "a reset, as the stream's framing may not show its end");
+            assertThrows(IOException.class, wire::readToEnd, "no reset, though the framing may hide the truncation");
         }
     }
 
-    /** Regression: buffering a long response of unstated length until its client's timeout has expired. */
+    /** Regression: a long response of unknown length was buffered until its client's timeout had expired. */
     @Test
     void slowResponseOfUnknownLengthIsStreamedBeforeItIsComplete() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
@@ -100,7 +100,7 @@
         }
     }
 
-    /** A client that does not read applies backpressure to the server and does not fill the node's memory. */
+    /** A client that does not read must slow the server down rather than fill the node's memory. */
     @Test
     void slowReaderAppliesBackpressureToTheServer() throws Exception {
         AtomicLong sent = new AtomicLong();
@@ -119,9 +119,9 @@
             TestConnection wire = harness.client();
             wire.write(feed("1"));
             wire.readHead();
-            // Blocked: nothing more could be written for 300 ms.
+            // The server is blocked once it has not been able to write for 300 ms.
             TestSupport.await(() -> sent.get() > 0 && System.nanoTime() - sentAt.get() > 300_000_000L);
-            assertTrue(sent.get() < body.length, "the node took all of it in for a client that reads nothing");
+            assertTrue(sent.get() < body.length, "the node read all of it for a client that does not read");
             assertArrayEquals(body, wire.readBytes(body.length));
         }
     }
@@ -145,8 +145,8 @@
     }
 
     /**
-     * A request whose last byte has not left the node has not been executed: it is rejected, so that it may be
-     * retried.
+     * A request whose last byte has not been written has not been executed. It is rejected, so that its client may
+     * retry it.
      */
     @Test
     void requestNotFullyWrittenInTimeIsRejected() throws Exception {
@@ -167,7 +167,7 @@
     }
 
     /**
-     * Regression: ending a body twice if writing one chunk makes the channel writable again within the write.
+     * Regression: a body was ended twice if writing one chunk made the channel writable again within the write.
      */
     @Test
     void bodyOfAFewChunksIsEndedOnce() throws Exception {
@@ -186,9 +186,9 @@
         ResourceLimits limits = new ResourceLimits(1024, 2 << 20);
         BufferedBody big = new BufferedBody(limits, -1);
         io.netty.buffer.ByteBuf more = io.netty.buffer.Unpooled.wrappedBuffer(new byte[1 << 20]);
-        assertTrue(!big.add(more), "a body took more than the budget has for long ones");
+        assertTrue(!big.add(more), "a long body reserved more than its share of the memory limit");
         BufferedBody small = new BufferedBody(limits, 100);
-        assertTrue(small.add(io.netty.buffer.Unpooled.wrappedBuffer(new byte[100])), "no room kept for small ones");
+        assertTrue(small.add(io.netty.buffer.Unpooled.wrappedBuffer(new byte[100])), "no memory left for short bodies");
         big.release();
         small.release();
         assertEquals(0, limits.reservedBytes());
--- a/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
@@ -27,31 +27,28 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * Incident of 2 December 2026: requests were forwarded after their clients had disconnected.
+ * Tests that a node that was suspended does not act on outdated socket state or count time from late reads.
  *
- * <p>Seen: within the first second of a node's traffic, clients that wait about 200 ms sent requests and closed
- * their connections; 356 to 831 ms after the requests the node forwarded them, some twice.
- *
- * <p>How it came about: the node did not run for that long. A request and the close behind it waited in the
- * socket; one read returned the request alone, and it was forwarded before the next poll showed the close. Its
- * deadline, counted from the read, lay ahead.
- *
- * <p>Cause: the node acted on what it had last seen of a socket, at times it had read late. Proof: in 24 of 25
- * recorded requests the forwarding is later than twice the client's wait after the sending, so the read that
- * began the deadline came after the close; the second attempt of the 25th shows the same. Here the node is
- * suspended across the close, and the same happens each time.
+ * <p>Guards against this failure: clients that wait about 200 ms sent requests and closed their connections, and the
+ * node forwarded the requests 356 to 831 ms after they were sent, some of them twice. The node had not run for that
+ * long. A request and the close behind it were both waiting in the socket; one read returned the request alone, and
+ * the node forwarded it before the next poll reported the close. The deadline, counted from the read, had not passed.
+ * The tests suspend the node across the close, which reproduces the failure each time.
  */
 class SuspendedNodeIT {
     private static final long CLIENT_TIMEOUT_MILLIS = 200;
-    /** Longer than a client may be ahead of the node's view of it: the invariant allows 100 ms. */
+    /**
+     * How long the node stays suspended after the client has disconnected, in milliseconds. Longer than the 100 ms by
+     * which the invariant allows the node's view of a client to lag.
+     */
     private static final long SUSPENDED_AFTER_DEPARTURE_MILLIS = 300;
 
     private static final long SETTLE_MILLIS = 300;
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    /** By how much the remaining time that a server is told may exceed what the client has left. */
+    /** Tolerance by which the remaining time that a server is sent may exceed what the client has left. */
     private static final double STATED_TIMEOUT_SLACK_SECONDS = 0.15;
 
-    /** How a peer ends a connection. */
+    /** Ways in which a peer ends a connection. */
     enum Ending {
         CLOSE,
         RESET;
@@ -95,7 +92,7 @@
         return ids;
     }
 
-    /** The incident: on new connections and on reused ones, safe requests and unsafe ones, closes and resets. */
+    /** Covers new and reused connections, idempotent and non-idempotent requests, and closes and resets. */
     @ParameterizedTest
     @CsvSource({"false, CLOSE", "false, RESET", "true, CLOSE", "true, RESET"})
     void requestOfADisconnectedClientIsNotForwarded(boolean reusedConnections, Ending ending) throws Exception {
@@ -129,8 +126,8 @@
     }
 
     /**
-     * A server rejects the first attempt, and then the client disconnects, both while the node is suspended. An
-     * idle connection to the other server is at hand.
+     * A server rejects the first attempt, and then the client disconnects, both while the node is suspended. An idle
+     * connection to the other server is available.
      */
     @ParameterizedTest
     @EnumSource(Ending.class)
@@ -154,7 +151,7 @@
                 client.write(get("left"));
                 TestSupport.await(() -> !receivedIds("left", first, second).isEmpty());
                 node.suspend();
-                // The rejection arrives first, so that the node sees it before the close.
+                // The rejection arrives first, so that the node reads it before the close.
                 elapse(CLIENT_TIMEOUT_MILLIS);
                 ending.apply(client);
                 elapse(SUSPENDED_AFTER_DEPARTURE_MILLIS);
@@ -165,7 +162,7 @@
         }
     }
 
-    /** A connect succeeds, and the client disconnects, both while the node is suspended. */
+    /** A connect succeeds and then the client disconnects, both while the node is suspended. */
     @Test
     void connectThatSucceedsAfterItsClientDisconnectedCarriesNoRequest() throws Exception {
         try (StalledListener stalled = new StalledListener();
@@ -187,8 +184,8 @@
     }
 
     /**
-     * The same cause, another rule: what a server is told of the remaining time is what the client has left,
-     * whenever the request was read.
+     * The remaining time that a server is sent must not exceed what the client has left, however late the node read the
+     * request.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -215,14 +212,14 @@
             assertEquals(200, client.readMessage().status());
             assertTrue(
                     statedExpiry.get("patient") <= clientWaitsUntil + STATED_TIMEOUT_SLACK_SECONDS,
-                    "told " + (statedExpiry.get("patient") - clientWaitsUntil) + " s more than the client waits");
+                    "stated " + (statedExpiry.get("patient") - clientWaitsUntil) + " s more than the client waits");
         }
     }
 
     /**
-     * The same cause, another rule: the process is killed 3.7 s after SIGTERM was sent, whenever the node handles
-     * it, and has answered by then. Half a second more is granted to a noisy machine; suspended for longer than that,
-     * a node that counts from when it handles the signal is later.
+     * The process is killed 3.7 s after SIGTERM was sent, however late the node handles the signal, so the node must
+     * have answered by then. The test allows half a second more for a busy machine. The node is suspended for longer
+     * than that, so a node that counts from the handling of the signal answers too late.
      */
     @Test
     void shutdownCountsFromWhenTheSignalWasSent() throws Exception {
@@ -243,7 +240,7 @@
         }
     }
 
-    /** A pipelined request waits behind the one before it, and its client's time passes meanwhile. */
+    /** A pipelined request waits behind the previous one, and its client's timeout runs meanwhile. */
     @Test
     void remainingTimeOfAPipelinedRequestCountsFromItsArrival() throws Exception {
         Map<String, Double> statedExpiry = new ConcurrentHashMap<>();
@@ -264,13 +261,13 @@
             assertEquals(200, client.readMessage().status());
             assertTrue(
                     statedExpiry.get("second") <= clientWaitsUntil + STATED_TIMEOUT_SLACK_SECONDS,
-                    "told " + (statedExpiry.get("second") - clientWaitsUntil) + " s more than the client waits");
+                    "stated " + (statedExpiry.get("second") - clientWaitsUntil) + " s more than the client waits");
         }
     }
 
     /**
-     * The same cause, upstream: an idle server connection ended while the node was suspended, or carries bytes
-     * that answer nothing. The request that comes next is served on another connection.
+     * An idle server connection was closed while the node was suspended, or received bytes that belong to no
+     * request. The next request must be served on another connection.
      */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset", "stray response"})
@@ -284,7 +281,7 @@
             assertEquals(200, client.readMessage().status());
             TestConnection idle = server.nextConnection();
             node.suspend();
-            // The request arrives first, so that the node sees it before the change.
+            // The request arrives first, so that the node reads it before the change.
             client.write(post("next", "body"));
             switch (change) {
                 case "close" -> idle.close();
