--- a/node/src/test/java/weldhitch/adapter/AdapterTest.java
+++ b/node/src/test/java/weldhitch/adapter/AdapterTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void listNumberMeansItsLatestListWhereItIsUsed() throws IOException {
+    void listNumberRefersToItsLatestListAtTheTimeOfUse() throws IOException {
         String reply = answer(
                 "BATCH 5 1",
                 "BEGIN 1 3 " + SETTINGS,
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void invalidSettingsAreTheInstancesFault() throws IOException {
+    void invalidSettingsAreReportedForTheirInstance() throws IOException {
         String reply = answer("BATCH 1 1", "BEGIN 6 1 " + SETTINGS.replace("siblings=2", "siblings=0"), "COMMIT");
         assertTrue(reply.matches("GIVE_IN 6 .*siblings: found 0, expected 1 or more\nYIELD 1\n"), reply);
     }
--- a/node/src/test/java/weldhitch/node/CaptureBenchmark.java
+++ b/node/src/test/java/weldhitch/node/CaptureBenchmark.java
@@ -52,10 +52,10 @@
         }
         printMedians("off", off);
         printMedians("on ", on);
-        Replayer player = new Replayer(null, false);
+        Replayer replayer = new Replayer(null, false);
         long startedAt = System.nanoTime();
         List<Path> last = List.of(captureDirectory.resolve("round-" + (rounds - 1)));
-        CaptureFiles.read(last, player);
+        CaptureFiles.read(last, replayer);
         double elapsedSeconds = (System.nanoTime() - startedAt) / 1e9;
         long bytes = CaptureFiles.segmentsIn(last.get(0)).stream()
                 .mapToLong(s -> s.path().toFile().length())
@@ -64,12 +64,12 @@
                 Locale.ROOT,
                 "last capture: %d events, %d dropped, %d divergences, %.1f bytes per request;"
                         + " replayed in %.2f s, %.0f times as fast as recorded%n",
-                player.replayedEvents(),
-                player.droppedEvents(),
-                player.divergences().size(),
+                replayer.replayedEvents(),
+                replayer.droppedEvents(),
+                replayer.divergences().size(),
                 (double) bytes / on.get(rounds - 1).requests,
                 elapsedSeconds,
-                player.duration() / 1e9 / elapsedSeconds);
+                replayer.duration() / 1e9 / elapsedSeconds);
     }
 
     private static void printMedians(String label, List<Measurement> rounds) {
--- a/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
@@ -97,12 +97,12 @@
     }
 
     private static Replayer replay(Path captureDirectory, DecisionExplainer explanation) throws IOException {
-        Replayer player = new Replayer(
+        Replayer replayer = new Replayer(
                 explanation,
                 false,
                 explanation == null ? new Replayer.Listener[0] : new Replayer.Listener[] {explanation});
-        CaptureFiles.read(List.of(captureDirectory), player);
-        return player;
+        CaptureFiles.read(List.of(captureDirectory), replayer);
+        return replayer;
     }
 
     @Test
@@ -127,19 +127,19 @@
             requestsSent = cluster.requestsSent;
         }
         assertFalse(captureThreadRuns());
-        Replayer player = replay(captureDirectory, null);
-        assertEquals(List.of(), player.divergences());
-        assertEquals(0, player.droppedEvents() + player.skippedEvents() + player.corruptions());
-        assertEquals(1, player.restores());
-        CaptureVerifier verify = new CaptureVerifier();
+        Replayer replayer = replay(captureDirectory, null);
+        assertEquals(List.of(), replayer.divergences());
+        assertEquals(0, replayer.droppedEvents() + replayer.skippedEvents() + replayer.corruptions());
+        assertEquals(1, replayer.restores());
+        CaptureVerifier verifier = new CaptureVerifier();
         List<CaptureEntry> entries = new ArrayList<>();
         CaptureFiles.read(List.of(captureDirectory), e -> {
-            verify.accept(e);
+            verifier.accept(e);
             entries.add(e);
         });
-        assertEquals(List.of(), verify.checker.violations());
-        assertEquals(requestsSent, verify.checker.answered());
-        assertEquals(0, verify.checker.openRequests());
+        assertEquals(List.of(), verifier.checker.violations());
+        assertEquals(requestsSent, verifier.checker.answered());
+        assertEquals(0, verifier.checker.openRequests());
         assertTrue(entries.stream()
                 .anyMatch(e -> e instanceof CaptureEntry.EventRecord t
                         && t.event() instanceof RoutesChanged n
@@ -200,16 +200,16 @@
             cluster.write("", 2);
             cluster.reload();
             TestSupport.await(() -> !captureThreadRuns());
-            Replayer player = replay(cluster.captureDirectory, null);
-            assertEquals(List.of(), player.divergences());
-            assertEquals(2, player.restores());
-            assertTrue(player.replayedEvents() >= 3 * 20 * 2, player.replayedEvents() + " events");
+            Replayer replayer = replay(cluster.captureDirectory, null);
+            assertEquals(List.of(), replayer.divergences());
+            assertEquals(2, replayer.restores());
+            assertTrue(replayer.replayedEvents() >= 3 * 20 * 2, replayer.replayedEvents() + " events");
         }
     }
 
     /** A capture that can't be written must not affect the requests. */
     @Test
-    void unwritableDirectoryCostsNoRequest() throws Exception {
+    void unwritableDirectoryFailsNoRequest() throws Exception {
         try (TestCluster cluster = new TestCluster("")) {
             Files.writeString(cluster.captureDirectory, "in the way");
             cluster.write(cluster.captureSection(true), 2);
@@ -227,9 +227,9 @@
             });
             cluster.write("", 2);
             cluster.reload();
-            Replayer player = replay(cluster.captureDirectory, null);
-            assertEquals(List.of(), player.divergences());
-            assertTrue(player.droppedEvents() > 30, player.droppedEvents() + " events reported as dropped");
+            Replayer replayer = replay(cluster.captureDirectory, null);
+            assertEquals(List.of(), replayer.divergences());
+            assertTrue(replayer.droppedEvents() > 30, replayer.droppedEvents() + " events reported as dropped");
         }
     }
 }
--- a/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
@@ -40,7 +40,7 @@
     };
 
     @Test
-    void requestsAreAnsweredOnceAndUnsafeOnesNeverRunTwice() throws Exception {
+    void requestsAreAnsweredOnceAndNonIdempotentOnesNeverRunTwice() throws Exception {
         List<ScriptedHttpServer> servers =
                 List.of(new ScriptedHttpServer("s0"), new ScriptedHttpServer("s1"), new ScriptedHttpServer("s2"));
         SplittableRandom random = new SplittableRandom(11);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void nothingNewGoesToAServerThatDrains() throws Exception {
+    void noNewRequestIsSentToADrainingServer() throws Exception {
         try (ScriptedHttpServer stays = new ScriptedHttpServer("stays");
                 ScriptedHttpServer drains = new ScriptedHttpServer("drains");
                 FakeDiscovery discovery = new FakeDiscovery()) {
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -84,22 +84,22 @@
     }
 
     @Test
-    void errorMayHaveRun() throws Exception {
+    void requestWithAnErrorResponseMayHaveRun() throws Exception {
         assertFailsWithoutRetry("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false);
     }
 
     @Test
-    void bareUnavailableMayHaveRunAndIsNoRejection() throws Exception {
+    void unavailableWithoutTheNeverRanHeaderIsNoRejection() throws Exception {
         assertFailsWithoutRetry("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false);
     }
 
     @Test
-    void unknownMarkOnUnavailableProvesNothing() throws Exception {
+    void unavailableWithAnUnknownNeverRanValueIsNoRejection() throws Exception {
         assertFailsWithoutRetry("HTTP/1.1 503 Busy\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", false);
     }
 
     @Test
-    void connectionThatEndsUnansweredMayHaveRun() throws Exception {
+    void requestMayHaveRunWhenItsConnectionClosesWithoutAResponse() throws Exception {
         assertFailsWithoutRetry("", true);
     }
 
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void garbageMayHaveRun() throws Exception {
+    void requestWithAnInvalidResponseMayHaveRun() throws Exception {
         assertFailsWithoutRetry("?!\0 not http at all\r\n\r\n", true);
     }
 
@@ -263,9 +263,10 @@
     @Test
     void failedConnectIsRetriedElsewhere() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("done"));
-        ReservedPort nobody = new ReservedPort();
-        String hosts = NodeHarness.host("dead", nobody.address()) + "," + NodeHarness.host("live", server.address());
-        try (nobody;
+        ReservedPort closedPort = new ReservedPort();
+        String hosts =
+                NodeHarness.host("dead", closedPort.address()) + "," + NodeHarness.host("live", server.address());
+        try (closedPort;
                 ScriptedServer discovery = NodeHarness.discovery(hosts);
                 NodeHarness harness = NodeHarness.start(NodeHarness.config(discovery.address(), hosts, 1024, ""))) {
             for (int i = 0; i < 10; i++) {
@@ -276,7 +277,7 @@
     }
 
     @Test
-    void truncatedResponseToASafeRequestIsRetriedAndServedCompletely() throws Exception {
+    void truncatedResponseToAnIdempotentRequestIsRetriedAndServedCompletely() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         ConnectionHandler half = wire -> {
             while (wire.readHead() != null) {
@@ -311,7 +312,7 @@
      * a moment ago is reused.
      */
     @Test
-    void unsafeRequestIsNotWrittenToALongIdleConnection() throws Exception {
+    void nonIdempotentRequestIsNotWrittenToALongIdleConnection() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("x"));
         try (NodeHarness harness = NodeHarness.start(server)) {
             harness.send(post("e1", "x"));
@@ -328,7 +329,7 @@
      * too seldom to find a recently used connection.
      */
     @Test
-    void unsafeRequestReusesAnIdleConnectionOnceSafeOnesSucceededOnOlderOnes() throws Exception {
+    void nonIdempotentRequestReusesAnIdleConnectionOnceIdempotentOnesSucceededOnOlderOnes() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("x"));
         try (NodeHarness harness = NodeHarness.start(server)) {
             harness.send(get("s1"));
@@ -343,7 +344,7 @@
     }
 
     @Test
-    void safeRequestReusesAnIdleConnection() throws Exception {
+    void idempotentRequestReusesAnIdleConnection() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("x"));
         try (NodeHarness harness = NodeHarness.start(server)) {
             for (int i = 0; i < 5; i++) {
@@ -359,7 +360,7 @@
      * has detected that, non-idempotent requests use new connections.
      */
     @Test
-    void unsafeRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
+    void nonIdempotentRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
         ScriptedServer server = new ScriptedServer(wire -> {
             wire.readHead();
             wire.write(ok("x"));
@@ -389,7 +390,7 @@
     }
 
     @Test
-    void failedDialsReleaseTheirDescriptors() throws Exception {
+    void failedConnectsReleaseTheirDescriptors() throws Exception {
         ReservedPort port = new ReservedPort();
         String hosts = NodeHarness.host("s", port.address());
         try (port;
--- a/node/src/test/java/weldhitch/node/RaceConditionTest.java
+++ b/node/src/test/java/weldhitch/node/RaceConditionTest.java
@@ -47,28 +47,28 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"is draining", "is removed", "is not in a complete list", "restarted", "has moved"})
-    void listChangesDuringADial(String change) throws Exception {
+    void listChangesDuringAConnect(String change) throws Exception {
         try (ScriptedDiscovery discovery = new ScriptedDiscovery();
-                StalledListener stalledDial = new StalledListener();
+                StalledListener stalledListener = new StalledListener();
                 ScriptedServer other = ScriptedServer.respondingWith(m -> ok("other"));
-                NodeHarness harness = NodeHarness.start(config(discovery, host("held", stalledDial.address())));
+                NodeHarness harness = NodeHarness.start(config(discovery, host("held", stalledListener.address())));
                 TestConnection client = harness.client()) {
             discovery.awaitCall();
-            discovery.applyList(1, true, host("held", stalledDial.address()));
+            discovery.applyList(1, true, host("held", stalledListener.address()));
             client.write(post("1", "body"));
-            stalledDial.awaitConnectAttempt();
+            stalledListener.awaitConnectAttempt();
             String changed = switch (change) {
-                case "is draining" -> host("held", stalledDial.address(), "draining") + ",";
-                case "is removed" -> host("held", stalledDial.address(), "gone") + ",";
+                case "is draining" -> host("held", stalledListener.address(), "draining") + ",";
+                case "is removed" -> host("held", stalledListener.address(), "gone") + ",";
                 case "restarted" ->
-                    host("held", stalledDial.address())
+                    host("held", stalledListener.address())
                                     .replace("\"born_ms\":0", "\"born_ms\":" + System.currentTimeMillis())
                             + ",";
                 case "has moved" -> host("held", other.address()) + ",";
                 default -> "";
             };
             discovery.applyList(2, changed.isEmpty(), changed + host("other", other.address()));
-            TestConnection lateConnection = stalledDial.release();
+            TestConnection lateConnection = stalledListener.release();
             assertTrue(lateConnection.isClosedByPeer(), "the request was sent to a server that " + change);
             assertEquals("other", client.readMessage().bodyText());
         }
@@ -80,21 +80,21 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void clientDisconnectsDuringADial(boolean cancel) throws Exception {
+    void clientDisconnectsDuringAConnect(boolean cancel) throws Exception {
         try (ScriptedDiscovery discovery = new ScriptedDiscovery();
-                StalledListener stalledDial = new StalledListener();
+                StalledListener stalledListener = new StalledListener();
                 NodeHarness harness = NodeHarness.start(config(
-                        discovery, host("held", stalledDial.address()), "\"cancel\":true", "\"cancel\":" + cancel));
+                        discovery, host("held", stalledListener.address()), "\"cancel\":true", "\"cancel\":" + cancel));
                 TestConnection client = harness.client();
                 TestConnection bystander = harness.client()) {
             discovery.awaitCall();
-            discovery.applyList(1, true, host("held", stalledDial.address()));
+            discovery.applyList(1, true, host("held", stalledListener.address()));
             client.write(post("1", "body"));
-            stalledDial.awaitConnectAttempt();
+            stalledListener.awaitConnectAttempt();
             client.socket.close();
             TestSupport.await(() -> harness.node.openConnections() == 1);
             BlockingQueue<String> heads = new LinkedBlockingQueue<>();
-            stalledDial.release(wire -> {
+            stalledListener.release(wire -> {
                 for (String head = wire.readHead(); head != null; head = wire.readHead()) {
                     heads.add(head);
                     wire.write(ok("stays"));
@@ -115,7 +115,7 @@
      * would be executed a second time.
      */
     @Test
-    void deduplicationWindowEndsDuringADial() throws Exception {
+    void deduplicationWindowEndsDuringAConnect() throws Exception {
         CountDownLatch requestReceived = new CountDownLatch(1);
         CountDownLatch listed = new CountDownLatch(1);
         ScriptedServer first = new ScriptedServer(wire -> {
@@ -127,7 +127,7 @@
         });
         try (first;
                 ScriptedDiscovery discovery = new ScriptedDiscovery();
-                StalledListener stalledDial = new StalledListener();
+                StalledListener stalledListener = new StalledListener();
                 NodeHarness harness = NodeHarness.start(config(
                         discovery,
                         host("first", first.address()),
@@ -138,10 +138,10 @@
             discovery.applyList(1, true, host("first", first.address()));
             client.write(post("1", "body").replace("Host:", "Idempotency-Key: k\r\nHost:"));
             requestReceived.await();
-            discovery.applyList(2, true, host("held", stalledDial.address()));
+            discovery.applyList(2, true, host("held", stalledListener.address()));
             listed.countDown();
-            stalledDial.awaitConnectAttempt();
-            TestConnection lateConnection = stalledDial.release();
+            stalledListener.awaitConnectAttempt();
+            TestConnection lateConnection = stalledListener.release();
             assertTrue(lateConnection.isClosedByPeer(), "retried after the deduplication window");
             assertTrue(client.readMessage().status() >= 500);
         }
--- a/node/src/test/java/weldhitch/node/RequestWriterTest.java
+++ b/node/src/test/java/weldhitch/node/RequestWriterTest.java
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void writeAttemptThatEndedMeanwhileIsNotWrittenOn() {
+    void writeStopsForAnAttemptThatHasEnded() {
         Attempt ended = attempt(200_000);
         writer.reset();
         writer.write(ended, new DefaultHttpHeaders());
--- a/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void onlySafeRequestsAreHedged() throws Exception {
+    void onlyIdempotentRequestsAreHedged() throws Exception {
         try (TestCluster cluster =
                 new TestCluster("[class.read]\nhedge = { after = \"100ms\" }", 3, delayed(600, respond("x")))) {
             assertEquals(200, cluster.node.send(get("r")).status());
