--- a/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
@@ -60,11 +60,11 @@
             }
         }
 
-        private void serve(TestConnection wire) throws Exception {
-            while (wire.readMessage() != null) {
+        private void serve(TestConnection connection) throws Exception {
+            while (connection.readMessage() != null) {
                 Mode now = mode;
                 if (now == Mode.FULL) {
-                    wire.write(FULL);
+                    connection.write(FULL);
                     continue;
                 }
                 maxInService.accumulateAndGet(inService.incrementAndGet(), Math::max);
@@ -75,7 +75,7 @@
                 (now == Mode.HOLD ? release : neverReleased)
                         .await(now == Mode.HOLD ? TestSupport.TIMEOUT_SECONDS * 1000 : 100, TimeUnit.MILLISECONDS);
                 inService.decrementAndGet();
-                wire.write(ok("x"));
+                connection.write(ok("x"));
             }
         }
 
@@ -107,11 +107,11 @@
             stopped = false;
             List<Thread> threads = new ArrayList<>();
             for (int i = 0; i < clients; i++) {
-                TestConnection wire = node.client();
+                TestConnection connection = node.client();
                 threads.add(TestSupport.startDaemon(() -> {
                     while (!stopped) {
-                        wire.write(post("r" + ids.incrementAndGet(), "b"));
-                        RawHttpMessage m = wire.readMessage();
+                        connection.write(post("r" + ids.incrementAndGet(), "b"));
+                        RawHttpMessage m = connection.readMessage();
                         (m.status() == 200 ? served : rejected).incrementAndGet();
                     }
                 }));
@@ -131,10 +131,10 @@
             mode = Mode.HOLD;
             int before = rejected.get();
             for (int i = 0; i < CLIENTS; i++) {
-                TestConnection wire = node.client();
+                TestConnection connection = node.client();
                 TestSupport.startDaemon(() -> {
-                    wire.write(post("h" + ids.incrementAndGet(), "b"));
-                    (wire.readMessage().status() == 200 ? served : rejected).incrementAndGet();
+                    connection.write(post("h" + ids.incrementAndGet(), "b"));
+                    (connection.readMessage().status() == 200 ? served : rejected).incrementAndGet();
                 });
             }
             TestSupport.await(() -> inService.get() + rejected.get() - before == CLIENTS);
@@ -203,19 +203,19 @@
         CountDownLatch listApplied = new CountDownLatch(1);
         CountDownLatch drain = new CountDownLatch(1);
         try (TestCluster cluster = new TestCluster(4)) {
-            ScriptedServer discovery = new ScriptedServer(wire -> {
-                for (RawHttpMessage m = wire.readMessage(); m != null; m = wire.readMessage()) {
+            ScriptedServer discovery = new ScriptedServer(connection -> {
+                for (RawHttpMessage m = connection.readMessage(); m != null; m = connection.readMessage()) {
                     if (!m.firstLine().contains("after=1&") && !m.firstLine().contains("after=2&")) {
-                        wire.write(ok("{\"seq\":1,\"whole\":true,\"hosts\":[" + cluster.hosts() + "]}"));
+                        connection.write(ok("{\"seq\":1,\"whole\":true,\"hosts\":[" + cluster.hosts() + "]}"));
                     } else if (m.firstLine().contains("after=1&")) {
                         drain.await();
-                        wire.write(ok("{\"seq\":2,\"whole\":false,\"hosts\":["
+                        connection.write(ok("{\"seq\":2,\"whole\":false,\"hosts\":["
                                 + host("s0", cluster.servers.get(0).address(), "draining") + ","
                                 + host("s1", cluster.servers.get(1).address(), "draining") + ","
                                 + host("s2", cluster.servers.get(2).address(), "draining") + "]}"));
                     } else {
                         listApplied.countDown();
-                        wire.write(ok("{\"seq\":2,\"whole\":false,\"hosts\":[]}"));
+                        connection.write(ok("{\"seq\":2,\"whole\":false,\"hosts\":[]}"));
                     }
                 }
             });
--- a/node/src/test/java/weldhitch/node/CaptureBenchmark.java
+++ b/node/src/test/java/weldhitch/node/CaptureBenchmark.java
@@ -165,12 +165,13 @@
         for (int i = 0; i < callers; i++) {
             Thread thread = new Thread(() -> {
                 Histogram own = new Histogram(60_000_000_000L, 3);
-                try (TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
+                try (TestConnection connection =
+                        new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
                     while (System.nanoTime() < end) {
                         long startedAt = System.nanoTime();
-                        wire.write(
+                        connection.write(
                                 NodeHarness.get(String.format("%016x", ids.incrementAndGet() * 0x9E3779B97F4A7C15L)));
-                        if (wire.readMessage() == null) {
+                        if (connection.readMessage() == null) {
                             throw new IOException("connection closed without a response");
                         }
                         own.recordValue(System.nanoTime() - startedAt);
--- a/node/src/test/java/weldhitch/node/ClientConnectionTest.java
+++ b/node/src/test/java/weldhitch/node/ClientConnectionTest.java
@@ -21,62 +21,62 @@
     @Test
     void connectionStaysOpenForSubsequentRequests() throws Exception {
         try (NodeHarness harness = NodeHarness.start(ScriptedServer.respondingWith(m -> ok(m.header("x-trace-id"))))) {
-            TestConnection wire = harness.client();
+            TestConnection connection = harness.client();
             for (String id : new String[] {"1", "2", "3"}) {
-                wire.write(get(id));
-                assertEquals(id, wire.readMessage().bodyText());
+                connection.write(get(id));
+                assertEquals(id, connection.readMessage().bodyText());
             }
-            wire.write(get("4").replace("Host", "Connection: close\r\nHost"));
-            RawHttpMessage last = wire.readMessage();
+            connection.write(get("4").replace("Host", "Connection: close\r\nHost"));
+            RawHttpMessage last = connection.readMessage();
             assertEquals("close", last.header("connection"));
-            assertTrue(wire.isClosedByPeer());
+            assertTrue(connection.isClosedByPeer());
         }
     }
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         try (NodeHarness harness = NodeHarness.start(ScriptedServer.respondingWith(m -> ok(m.header("x-trace-id"))))) {
-            TestConnection wire = harness.client();
-            wire.write(get("1") + post("2", "abc") + get("3") + "GET /read HTTP/1.1\r\nX-Tr");
-            assertEquals("1", wire.readMessage().bodyText());
-            assertEquals("2", wire.readMessage().bodyText());
-            assertEquals("3", wire.readMessage().bodyText());
-            wire.write("ace-Id: 4\r\n\r\n");
-            assertEquals("4", wire.readMessage().bodyText());
+            TestConnection connection = harness.client();
+            connection.write(get("1") + post("2", "abc") + get("3") + "GET /read HTTP/1.1\r\nX-Tr");
+            assertEquals("1", connection.readMessage().bodyText());
+            assertEquals("2", connection.readMessage().bodyText());
+            assertEquals("3", connection.readMessage().bodyText());
+            connection.write("ace-Id: 4\r\n\r\n");
+            assertEquals("4", connection.readMessage().bodyText());
         }
     }
 
     @Test
     void requestSentByteByByteIsServed() throws Exception {
         try (NodeHarness harness = NodeHarness.start(ScriptedServer.respondingWith(m -> ok(m.bodyText())))) {
-            TestConnection wire = harness.client();
+            TestConnection connection = harness.client();
             for (byte b : post("1", "slow body").getBytes()) {
-                wire.write(new byte[] {b});
+                connection.write(new byte[] {b});
             }
-            assertEquals("slow body", wire.readMessage().bodyText());
+            assertEquals("slow body", connection.readMessage().bodyText());
         }
     }
 
     @Test
     void chunkedBodyIsForwardedCompletely() throws Exception {
         try (NodeHarness harness = NodeHarness.start(ScriptedServer.respondingWith(m -> ok(m.bodyText())))) {
-            TestConnection wire = harness.client();
-            wire.write(post("1", "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
-            wire.write("5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n");
-            assertEquals("hello world", wire.readMessage().bodyText());
+            TestConnection connection = harness.client();
+            connection.write(post("1", "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+            connection.write("5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n");
+            assertEquals("hello world", connection.readMessage().bodyText());
         }
     }
 
     @Test
     void expectContinueIsAnsweredBeforeTheBody() throws Exception {
         try (NodeHarness harness = NodeHarness.start(ScriptedServer.respondingWith(m -> ok(m.bodyText())))) {
-            TestConnection wire = harness.client();
-            wire.write(post("1", "body")
+            TestConnection connection = harness.client();
+            connection.write(post("1", "body")
                     .replace("Host", "Expect: 100-continue\r\nHost")
                     .replace("\r\n\r\nbody", "\r\n\r\n"));
-            assertEquals(100, wire.readMessage().status());
-            wire.write("body");
-            assertEquals("body", wire.readMessage().bodyText());
+            assertEquals(100, connection.readMessage().status());
+            connection.write("body");
+            assertEquals("body", connection.readMessage().bodyText());
         }
     }
 
@@ -111,10 +111,10 @@
     @Test
     void duplicateInFlightIdIsRejected() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
             answer.await();
-            wire.write(ok("first"));
+            connection.write(ok("first"));
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
             TestConnection first = harness.client();
@@ -129,8 +129,8 @@
     @Test
     void clientDisconnectEndsItsAttempt() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
             seen.countDown();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
@@ -160,10 +160,10 @@
     void readyOnceEndpointsAreKnown() throws Exception {
         CountDownLatch releaseList = new CountDownLatch(1);
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("x"));
-        ScriptedServer discovery = new ScriptedServer(wire -> {
-            for (String head = wire.readHead(); head != null; head = wire.readHead()) {
+        ScriptedServer discovery = new ScriptedServer(connection -> {
+            for (String head = connection.readHead(); head != null; head = connection.readHead()) {
                 releaseList.await();
-                wire.write(
+                connection.write(
                         ok("{\"seq\":5,\"whole\":true,\"hosts\":[" + NodeHarness.host("s", server.address()) + "]}"));
             }
         });
@@ -187,10 +187,10 @@
     @Test
     void clientsBeyondTheLimitAreAllAnswered() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            while (wire.readHead() != null) {
+        ScriptedServer server = new ScriptedServer(connection -> {
+            while (connection.readHead() != null) {
                 answer.await();
-                wire.write(ok("x"));
+                connection.write(ok("x"));
             }
         });
         try (NodeHarness harness = NodeHarness.start(100, server)) {
@@ -234,13 +234,13 @@
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("x"));
         try (NodeHarness harness = NodeHarness.start(server)) {
             for (String version : new String[] {"HTTP/1.1", "HTTP/1.0"}) {
-                TestConnection wire = harness.client();
-                wire.write(post("1", "")
+                TestConnection connection = harness.client();
+                connection.write(post("1", "")
                                 .replace("HTTP/1.1", version)
                                 .replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked")
                         + "0\r\n\r\n" + post("2", "hidden"));
-                assertEquals(400, wire.readMessage().status());
-                assertTrue(wire.isClosedByPeer());
+                assertEquals(400, connection.readMessage().status());
+                assertTrue(connection.isClosedByPeer());
             }
             assertEquals(0, server.requests.size());
         }
@@ -255,9 +255,9 @@
             TestConnection body = harness.client();
             head.write("GET /read HTTP/1.1\r\nX-Tr");
             body.write(post("1", "half").replace("Length: 4", "Length: 400"));
-            for (TestConnection wire : new TestConnection[] {silent, head, body}) {
+            for (TestConnection connection : new TestConnection[] {silent, head, body}) {
                 // The protocol allows 3 s; the rest is tolerance for a slow machine.
-                wire.socket.setSoTimeout(10_000);
+                connection.socket.setSoTimeout(10_000);
             }
             assertTrue(silent.isClosedByPeer());
             assertEquals(408, head.readMessage().status());
--- a/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
+++ b/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
@@ -38,16 +38,16 @@
      * process has descriptors for.
      */
     private static TestConnection idle(int port, int number) throws IOException {
-        TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
+        TestConnection connection = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
         if (number % 2 == 0) {
             try {
-                wire.write(get("idle" + number));
-                wire.readMessage();
+                connection.write(get("idle" + number));
+                connection.readMessage();
             } catch (IOException e) {
                 // Closed by the node to free a descriptor.
             }
         }
-        return wire;
+        return connection;
     }
 
     /**
--- a/node/src/test/java/weldhitch/node/DiscoveryTest.java
+++ b/node/src/test/java/weldhitch/node/DiscoveryTest.java
@@ -79,11 +79,11 @@
         CountDownLatch answer = new CountDownLatch(1);
         CountDownLatch requestReceived = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
-        ScriptedServer a = new ScriptedServer(wire -> {
-            while (wire.readHead() != null) {
+        ScriptedServer a = new ScriptedServer(connection -> {
+            while (connection.readHead() != null) {
                 requestReceived.countDown();
                 answer.await();
-                wire.write(ok("a"));
+                connection.write(ok("a"));
             }
             closed.countDown();
         });
@@ -195,18 +195,19 @@
         AtomicLong silentSince = new AtomicLong();
         CountDownLatch changeSent = new CountDownLatch(1);
         try (ScriptedServer a = ScriptedServer.respondingWith(m -> ok("a"));
-                ScriptedServer discovery = new ScriptedServer(wire -> {
+                ScriptedServer discovery = new ScriptedServer(connection -> {
                     int number = connections.incrementAndGet();
-                    for (RawHttpMessage m = wire.readMessage(); m != null; m = wire.readMessage()) {
+                    for (RawHttpMessage m = connection.readMessage(); m != null; m = connection.readMessage()) {
                         if (number == 1 && m.firstLine().contains("after=0&")) {
-                            wire.write(ok("{\"seq\":4,\"whole\":true,\"hosts\":[" + host("a", a.address()) + "]}"));
+                            connection.write(
+                                    ok("{\"seq\":4,\"whole\":true,\"hosts\":[" + host("a", a.address()) + "]}"));
                         } else if (number == 1) {
                             silentSince.set(System.nanoTime());
                         } else if (number == 3) {
-                            wire.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+                            connection.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
                         } else if (number > 3) {
-                            wire.write(ok("{\"seq\":5,\"whole\":false,\"hosts\":[" + host("a", a.address(), "draining")
-                                    + "]}"));
+                            connection.write(ok("{\"seq\":5,\"whole\":false,\"hosts\":["
+                                    + host("a", a.address(), "draining") + "]}"));
                             changeSent.countDown();
                         }
                     }
--- a/node/src/test/java/weldhitch/node/NodeHarness.java
+++ b/node/src/test/java/weldhitch/node/NodeHarness.java
@@ -32,10 +32,10 @@
 
     /** Creates a discovery service that sends the given list and reports no changes to later polls. */
     static ScriptedServer discovery(String hosts) throws IOException {
-        return new ScriptedServer(wire -> {
-            for (RawHttpMessage m = wire.readMessage(); m != null; m = wire.readMessage()) {
+        return new ScriptedServer(connection -> {
+            for (RawHttpMessage m = connection.readMessage(); m != null; m = connection.readMessage()) {
                 boolean known = m.firstLine().contains("after=1&");
-                wire.write(ok("{\"seq\":1,\"whole\":" + !known + ",\"hosts\":[" + (known ? "" : hosts) + "]}"));
+                connection.write(ok("{\"seq\":1,\"whole\":" + !known + ",\"hosts\":[" + (known ? "" : hosts) + "]}"));
             }
         });
     }
@@ -66,10 +66,10 @@
     }
 
     TestConnection client() throws IOException {
-        TestConnection wire =
+        TestConnection connection =
                 new TestConnection(new Socket(LOOPBACK, node.address().getPort()));
-        open.add(wire);
-        return wire;
+        open.add(connection);
+        return connection;
     }
 
     static String host(String name, String address) {
@@ -99,9 +99,9 @@
 
     /** Sends one request on a new connection and returns the response. */
     RawHttpMessage send(String request) throws IOException {
-        TestConnection wire = client();
-        wire.write(request);
-        return wire.readMessage();
+        TestConnection connection = client();
+        connection.write(request);
+        return connection.readMessage();
     }
 
     @Override
--- a/node/src/test/java/weldhitch/node/NodeProcess.java
+++ b/node/src/test/java/weldhitch/node/NodeProcess.java
@@ -176,9 +176,9 @@
     }
 
     static RawHttpMessage send(int port, String request) throws IOException {
-        try (TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
-            wire.write(request);
-            return wire.readMessage();
+        try (TestConnection connection = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
+            connection.write(request);
+            return connection.readMessage();
         }
     }
 
--- a/node/src/test/java/weldhitch/node/NodeShutdownTest.java
+++ b/node/src/test/java/weldhitch/node/NodeShutdownTest.java
@@ -22,11 +22,11 @@
     void acceptedRequestsAreAnsweredAndEveryConnectionCloses() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         CountDownLatch requestReceived = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            while (wire.readHead() != null) {
+        ScriptedServer server = new ScriptedServer(connection -> {
+            while (connection.readHead() != null) {
                 requestReceived.countDown();
                 answer.await();
-                wire.write(ok("x"));
+                connection.write(ok("x"));
             }
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
@@ -42,11 +42,11 @@
             late.write(get("2"));
             assertTrue(idle.isClosedByPeer(), "the idle connection was not closed");
             answer.countDown();
-            for (TestConnection wire : new TestConnection[] {busy, late}) {
-                RawHttpMessage m = wire.readMessage();
+            for (TestConnection connection : new TestConnection[] {busy, late}) {
+                RawHttpMessage m = connection.readMessage();
                 assertEquals(200, m.status());
-                assertTrue(wire.isClosedByPeer(), "the connection was not closed after its response");
-                wire.close();
+                assertTrue(connection.isClosedByPeer(), "the connection was not closed after its response");
+                connection.close();
             }
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
             assertTrue(!drain.isAlive(), "the shutdown did not complete");
@@ -103,8 +103,8 @@
     @Test
     void inFlightRequestIsAnsweredBeforeThePlatformKillsTheProcess() throws Exception {
         Semaphore requestsReceived = new Semaphore(0);
-        ScriptedServer silent = new ScriptedServer(wire -> {
-            while (wire.readHead() != null) {
+        ScriptedServer silent = new ScriptedServer(connection -> {
+            while (connection.readHead() != null) {
                 requestsReceived.release();
             }
         });
@@ -192,14 +192,14 @@
     @Test
     void startedStreamOutlastsEveryDeadline() throws Exception {
         CountDownLatch last = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            for (String head = wire.readHead(); head != null; head = wire.readHead()) {
+        ScriptedServer server = new ScriptedServer(connection -> {
+            for (String head = connection.readHead(); head != null; head = connection.readHead()) {
                 if (head.startsWith("GET /feed")) {
-                    wire.write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + "a".repeat(70_000));
+                    connection.write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + "a".repeat(70_000));
                     last.await();
-                    wire.write("b".repeat(30_000));
+                    connection.write("b".repeat(30_000));
                 } else {
-                    wire.write(ok("x"));
+                    connection.write(ok("x"));
                 }
             }
         });
@@ -260,10 +260,10 @@
             // their connections and the listener closes.
             TestSupport.await(() -> System.nanoTime() - shutdownStartedAt > 1_700_000_000L);
             busy.countDown();
-            for (TestConnection wire : waiting) {
-                int status = wire.readMessage().status();
+            for (TestConnection connection : waiting) {
+                int status = connection.readMessage().status();
                 assertTrue(status == 200 || status == 503, "status " + status);
-                wire.close();
+                connection.close();
             }
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
         }
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -27,13 +27,13 @@
     /** Sends a request to two servers that share a handler: it handles the first attempt, and later ones are served. */
     private static RawHttpMessage sendToScriptedServers(ConnectionHandler first, AtomicInteger attempts)
             throws Exception {
-        ConnectionHandler both = wire -> {
-            for (String head = wire.readHead(); head != null; head = wire.readHead()) {
-                wire.readBytes(4);
+        ConnectionHandler both = connection -> {
+            for (String head = connection.readHead(); head != null; head = connection.readHead()) {
+                connection.readBytes(4);
                 if (attempts.incrementAndGet() == 1) {
-                    first.handle(wire);
+                    first.handle(connection);
                 } else {
-                    wire.write(ok("done"));
+                    connection.write(ok("done"));
                 }
             }
         };
@@ -45,10 +45,10 @@
     private static void assertFailsWithoutRetry(String answer, boolean close) throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         RawHttpMessage m = sendToScriptedServers(
-                wire -> {
-                    wire.write(answer);
+                connection -> {
+                    connection.write(answer);
                     if (close) {
-                        wire.close();
+                        connection.close();
                     }
                 },
                 attempts);
@@ -132,9 +132,9 @@
     void responseCutByAResetMayHaveRunAndIsNotServed(String begun) throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         RawHttpMessage m = sendToScriptedServers(
-                wire -> {
-                    wire.write(begun);
-                    wire.reset();
+                connection -> {
+                    connection.write(begun);
+                    connection.reset();
                 },
                 attempts);
         assertEquals(1, attempts.get(), "a non-idempotent request that may have been executed was retried");
@@ -144,9 +144,9 @@
     @Test
     void responseEndedByItsConnectionIsComplete() throws Exception {
         RawHttpMessage m = sendToScriptedServers(
-                wire -> {
-                    wire.write("HTTP/1.1 200 OK\r\n\r\nwhole");
-                    wire.close();
+                connection -> {
+                    connection.write("HTTP/1.1 200 OK\r\n\r\nwhole");
+                    connection.close();
                 },
                 new AtomicInteger());
         assertEquals(200, m.status());
@@ -180,16 +180,16 @@
     void responseResetBeforeTheRequestIsWrittenIsRetriedElsewhere() throws Exception {
         String body = "b".repeat(8 << 20);
         AtomicInteger attempts = new AtomicInteger();
-        ConnectionHandler both = wire -> {
-            for (String head = wire.readHead(); head != null; head = wire.readHead()) {
+        ConnectionHandler both = connection -> {
+            for (String head = connection.readHead(); head != null; head = connection.readHead()) {
                 if (attempts.incrementAndGet() == 1) {
-                    wire.write("HTTP/1.1 200 OK\r\n\r\nhalf");
-                    wire.readBytes(1);
-                    wire.reset();
+                    connection.write("HTTP/1.1 200 OK\r\n\r\nhalf");
+                    connection.readBytes(1);
+                    connection.reset();
                     return;
                 }
-                wire.readBytes(body.length());
-                wire.write(ok("done"));
+                connection.readBytes(body.length());
+                connection.write(ok("done"));
             }
         };
         try (NodeHarness harness = NodeHarness.start(new ScriptedServer(both), new ScriptedServer(both))) {
@@ -253,7 +253,8 @@
         for (String status : new String[] {"503 Full", "504 Over"}) {
             AtomicInteger attempts = new AtomicInteger();
             RawHttpMessage m = sendToScriptedServers(
-                    wire -> wire.write("HTTP/1.1 " + status + "\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"),
+                    connection -> connection.write(
+                            "HTTP/1.1 " + status + "\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"),
                     attempts);
             assertEquals(2, attempts.get());
             assertEquals("done", m.bodyText());
@@ -279,13 +280,13 @@
     @Test
     void truncatedResponseToAnIdempotentRequestIsRetriedAndServedCompletely() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
-        ConnectionHandler half = wire -> {
-            while (wire.readHead() != null) {
+        ConnectionHandler half = connection -> {
+            while (connection.readHead() != null) {
                 if (attempts.incrementAndGet() == 1) {
-                    wire.write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf");
-                    wire.close();
+                    connection.write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf");
+                    connection.close();
                 } else {
-                    wire.write(ok("whole"));
+                    connection.write(ok("whole"));
                 }
             }
         };
@@ -296,13 +297,13 @@
 
     @Test
     void silentServerTimesOutAtTheDeadlineAndItsConnectionIsClosed() throws Exception {
-        ScriptedServer server = new ScriptedServer(wire -> wire.readHead());
+        ScriptedServer server = new ScriptedServer(connection -> connection.readHead());
         try (NodeHarness harness = NodeHarness.start(server)) {
             RawHttpMessage m = harness.send(post("d1", "x").replace("8.000", "0.300"));
             assertEquals(504, m.status());
-            TestConnection wire = server.nextConnection();
-            wire.readBytes(1);
-            assertTrue(wire.isClosedByPeer(), "the connection of an attempt that timed out was not closed");
+            TestConnection connection = server.nextConnection();
+            connection.readBytes(1);
+            assertTrue(connection.isClosedByPeer(), "the connection of an attempt that timed out was not closed");
         }
     }
 
@@ -361,11 +362,11 @@
      */
     @Test
     void nonIdempotentRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            wire.write(ok("x"));
-            wire.readHead();
-            wire.close();
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            connection.write(ok("x"));
+            connection.readHead();
+            connection.close();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
             // A connection counts as broken by its reuse only if it breaks within 10 ms, and on a busy machine it may
--- a/node/src/test/java/weldhitch/node/RaceConditionTest.java
+++ b/node/src/test/java/weldhitch/node/RaceConditionTest.java
@@ -94,10 +94,10 @@
             client.socket.close();
             TestSupport.await(() -> harness.node.openConnections() == 1);
             BlockingQueue<String> heads = new LinkedBlockingQueue<>();
-            stalledListener.release(wire -> {
-                for (String head = wire.readHead(); head != null; head = wire.readHead()) {
+            stalledListener.release(connection -> {
+                for (String head = connection.readHead(); head != null; head = connection.readHead()) {
                     heads.add(head);
-                    wire.write(ok("stays"));
+                    connection.write(ok("stays"));
                 }
             });
             long released = System.nanoTime();
@@ -118,12 +118,12 @@
     void deduplicationWindowEndsDuringAConnect() throws Exception {
         CountDownLatch requestReceived = new CountDownLatch(1);
         CountDownLatch listed = new CountDownLatch(1);
-        ScriptedServer first = new ScriptedServer(wire -> {
-            wire.readHead();
-            wire.readBytes(4);
+        ScriptedServer first = new ScriptedServer(connection -> {
+            connection.readHead();
+            connection.readBytes(4);
             requestReceived.countDown();
             listed.await();
-            wire.reset();
+            connection.reset();
         });
         try (first;
                 ScriptedDiscovery discovery = new ScriptedDiscovery();
--- a/node/src/test/java/weldhitch/node/RestartBenchmark.java
+++ b/node/src/test/java/weldhitch/node/RestartBenchmark.java
@@ -68,12 +68,12 @@
                 }
                 ready.add(since(start));
                 int answered = 0;
-                TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
+                TestConnection connection = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
                 try {
-                    wire.write(NodeHarness.get("0"));
-                    wire.readMessage();
+                    connection.write(NodeHarness.get("0"));
+                    connection.readMessage();
                     if (!underLoad) {
-                        wire.close();
+                        connection.close();
                     }
                     long terminatedAt = System.nanoTime();
                     process.destroy();
@@ -84,14 +84,14 @@
                         closed.add(since(terminatedAt));
                     });
                     for (String close = null; underLoad && close == null; answered++) {
-                        wire.write(NodeHarness.get("n" + answered));
-                        close = wire.readMessage().header("connection");
+                        connection.write(NodeHarness.get("n" + answered));
+                        close = connection.readMessage().header("connection");
                     }
                     process.waitFor();
                     ended.add(since(terminatedAt));
                     watch.join();
                 } finally {
-                    wire.close();
+                    connection.close();
                 }
                 return answered;
             } finally {
@@ -108,9 +108,9 @@
     }
 
     private static boolean isReady(int port) {
-        try (TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
-            wire.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-            return wire.readMessage().status() == 200;
+        try (TestConnection connection = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
+            connection.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            return connection.readMessage().status() == 200;
         } catch (IOException e) {
             return false;
         }
--- a/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
@@ -168,11 +168,11 @@
     void retriesStayWithinTheBudgetWhileAllServersFail() throws Exception {
         try (TestCluster cluster =
                 new TestCluster("[class.read]\nbudget = { share = 0.2 }\nhedge = \"off\"", 3, respondWithStatus(500))) {
-            TestConnection wire = cluster.node.client();
+            TestConnection connection = cluster.node.client();
             int requests = 150;
             for (int i = 0; i < requests; i++) {
-                wire.write(get("r" + i));
-                wire.readMessage();
+                connection.write(get("r" + i));
+                connection.readMessage();
             }
             assertTrue(
                     cluster.attempts() <= 1.2 * requests && cluster.attempts() > 1.1 * requests,
@@ -271,13 +271,13 @@
                 "[class.read]\nattempts = 2\nhedge = \"off\"\nattempt-timeout = \"1s\"",
                 2,
                 delayed(300, resetAfterLastByte()))) {
-            TestConnection wire = cluster.node.client();
-            wire.write(get("under-way"));
+            TestConnection connection = cluster.node.client();
+            connection.write(get("under-way"));
             TestSupport.await(() -> cluster.attempts("under-way") == 1);
             cluster.write("[class.read]\nattempts = 1");
             cluster.reload();
             cluster.node.send(get("new"));
-            wire.readMessage();
+            connection.readMessage();
             assertEquals(2, cluster.attempts("under-way"));
             assertEquals(1, cluster.attempts("new"));
         }
--- a/node/src/test/java/weldhitch/node/ScriptedDiscovery.java
+++ b/node/src/test/java/weldhitch/node/ScriptedDiscovery.java
@@ -18,14 +18,14 @@
 final class ScriptedDiscovery implements AutoCloseable {
     final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
     final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
-    final ScriptedServer server = new ScriptedServer(wire -> {
-        for (RawHttpMessage m = wire.readMessage(); m != null; m = wire.readMessage()) {
+    final ScriptedServer server = new ScriptedServer(connection -> {
+        for (RawHttpMessage m = connection.readMessage(); m != null; m = connection.readMessage()) {
             calls.add(m.firstLine());
             String response = responses.take();
             if (response.equals("reset")) {
-                wire.reset();
+                connection.reset();
             } else {
-                wire.write(response);
+                connection.write(response);
             }
         }
     });
--- a/node/src/test/java/weldhitch/node/StartupBenchmark.java
+++ b/node/src/test/java/weldhitch/node/StartupBenchmark.java
@@ -21,11 +21,12 @@
         List<List<Long>> samples = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         for (int i = 0; i < 7; i++) {
             try (NodeProcess node = new NodeProcess(run -> run.replaceFirst("-jar", options + " -jar"));
-                    TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), node.port))) {
+                    TestConnection connection =
+                            new TestConnection(new Socket(InetAddress.getLoopbackAddress(), node.port))) {
                 long start = cpuMillis(node);
-                sendRequests(wire, 300, "a");
+                sendRequests(connection, 300, "a");
                 long first = cpuMillis(node);
-                sendRequests(wire, 2000, "b");
+                sendRequests(connection, 2000, "b");
                 samples.get(0).add(start);
                 samples.get(1).add(first - start);
                 samples.get(2).add(cpuMillis(node) - first);
@@ -37,10 +38,10 @@
                 + samples.get(1).get(3) + ", next 2000 " + samples.get(2).get(3) + "  " + options);
     }
 
-    private static void sendRequests(TestConnection wire, int count, String idPrefix) throws Exception {
+    private static void sendRequests(TestConnection connection, int count, String idPrefix) throws Exception {
         for (int i = 0; i < count; i++) {
-            wire.write(i % 2 == 0 ? NodeHarness.get(idPrefix + i) : NodeHarness.post(idPrefix + i, "body"));
-            wire.readMessage();
+            connection.write(i % 2 == 0 ? NodeHarness.get(idPrefix + i) : NodeHarness.post(idPrefix + i, "body"));
+            connection.readMessage();
         }
     }
 
--- a/node/src/test/java/weldhitch/node/StreamTest.java
+++ b/node/src/test/java/weldhitch/node/StreamTest.java
@@ -26,17 +26,17 @@
     }
 
     private static void assertServed(String head, byte[] sent, byte[] expected) throws Exception {
-        ScriptedServer server = new ScriptedServer(wire -> {
-            while (wire.readHead() != null) {
-                wire.write(head);
-                wire.write(sent);
+        ScriptedServer server = new ScriptedServer(connection -> {
+            while (connection.readHead() != null) {
+                connection.write(head);
+                connection.write(sent);
             }
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(feed("1").replace("HTTP/1.1", "HTTP/1.0"));
-            wire.readHead();
-            assertArrayEquals(expected, wire.readToEnd());
+            TestConnection connection = harness.client();
+            connection.write(feed("1").replace("HTTP/1.1", "HTTP/1.0"));
+            connection.readHead();
+            assertArrayEquals(expected, connection.readToEnd());
         }
     }
 
@@ -63,20 +63,20 @@
     @Test
     void brokenStreamResetsTheClient() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            wire.write("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
-            wire.write(randomBytes(100_000));
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
+            connection.write(randomBytes(100_000));
             seen.await();
-            wire.reset();
+            connection.reset();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(feed("1"));
-            assertEquals("1000000", RawHttpMessage.header(wire.readHead(), "content-length"));
-            assertEquals(1000, wire.readBytes(1000).length);
+            TestConnection connection = harness.client();
+            connection.write(feed("1"));
+            assertEquals("1000000", RawHttpMessage.header(connection.readHead(), "content-length"));
+            assertEquals(1000, connection.readBytes(1000).length);
             seen.countDown();
-            assertThrows(IOException.class, wire::readToEnd, "no reset, though the framing may hide the truncation");
+            assertThrows(IOException.class, connection::readToEnd, "the truncated stream did not end with a reset");
         }
     }
 
@@ -84,19 +84,19 @@
     @Test
     void slowResponseOfUnknownLengthIsStreamedBeforeItIsComplete() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
             seen.await();
-            wire.write("4\r\nlast\r\n0\r\n\r\n");
+            connection.write("4\r\nlast\r\n0\r\n\r\n");
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(feed("1"));
-            assertEquals("chunked", RawHttpMessage.header(wire.readHead(), "transfer-encoding"));
-            assertEquals("5\r\nfirst\r\n", new String(wire.readBytes(10)));
+            TestConnection connection = harness.client();
+            connection.write(feed("1"));
+            assertEquals("chunked", RawHttpMessage.header(connection.readHead(), "transfer-encoding"));
+            assertEquals("5\r\nfirst\r\n", new String(connection.readBytes(10)));
             seen.countDown();
-            assertEquals("4\r\nlast\r\n0\r\n\r\n", new String(wire.readBytes(14)));
+            assertEquals("4\r\nlast\r\n0\r\n\r\n", new String(connection.readBytes(14)));
         }
     }
 
@@ -106,23 +106,23 @@
         AtomicLong sent = new AtomicLong();
         AtomicLong sentAt = new AtomicLong();
         byte[] body = randomBytes(32 << 20);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            wire.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
             for (int at = 0; at < body.length; at += 8192) {
-                wire.write(java.util.Arrays.copyOfRange(body, at, Math.min(body.length, at + 8192)));
+                connection.write(java.util.Arrays.copyOfRange(body, at, Math.min(body.length, at + 8192)));
                 sentAt.set(System.nanoTime());
                 sent.addAndGet(8192);
             }
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(feed("1"));
-            wire.readHead();
+            TestConnection connection = harness.client();
+            connection.write(feed("1"));
+            connection.readHead();
             // The server is blocked once it has not been able to write for 300 ms.
             TestSupport.await(() -> sent.get() > 0 && System.nanoTime() - sentAt.get() > 300_000_000L);
             assertTrue(sent.get() < body.length, "the node read all of it for a client that does not read");
-            assertArrayEquals(body, wire.readBytes(body.length));
+            assertArrayEquals(body, connection.readBytes(body.length));
         }
     }
 
@@ -130,16 +130,16 @@
     void longRequestBodyReachesTheServerCompletely() throws Exception {
         byte[] body = randomBytes(3_000_000);
         java.util.concurrent.BlockingQueue<byte[]> received = new java.util.concurrent.LinkedBlockingQueue<>();
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            received.add(wire.readBytes(body.length));
-            wire.write(NodeHarness.ok("got"));
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            received.add(connection.readBytes(body.length));
+            connection.write(NodeHarness.ok("got"));
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(post("1", "").replace("Length: 0", "Length: " + body.length));
-            wire.write(body);
-            assertEquals("got", wire.readMessage().bodyText());
+            TestConnection connection = harness.client();
+            connection.write(post("1", "").replace("Length: 0", "Length: " + body.length));
+            connection.write(body);
+            assertEquals("got", connection.readMessage().bodyText());
             assertArrayEquals(body, received.take());
         }
     }
@@ -152,16 +152,16 @@
     void requestNotFullyWrittenInTimeIsRejected() throws Exception {
         byte[] body = randomBytes(24 << 20);
         CountDownLatch finished = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
             finished.await();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(
+            TestConnection connection = harness.client();
+            connection.write(
                     post("1", "").replace("Length: 0", "Length: " + body.length).replace("8.000", "0.500"));
-            wire.write(body);
-            assertEquals(503, wire.readMessage().status());
+            connection.write(body);
+            assertEquals(503, connection.readMessage().status());
             finished.countDown();
         }
     }
