--- a/node/src/test/java/weldhitch/node/CaptureBenchmark.java
+++ b/node/src/test/java/weldhitch/node/CaptureBenchmark.java
@@ -41,13 +41,13 @@
     public static void main(String[] args) throws Exception {
         int rounds = args.length > 0 ? Integer.parseInt(args[0]) : 5;
         int seconds = args.length > 1 ? Integer.parseInt(args[1]) : 8;
-        int callers = args.length > 2 ? Integer.parseInt(args[2]) : 16;
+        int clients = args.length > 2 ? Integer.parseInt(args[2]) : 16;
         Path captureDirectory = Files.createTempDirectory("capture-measure");
         List<Measurement> off = new ArrayList<>();
         List<Measurement> on = new ArrayList<>();
         for (int i = 0; i < rounds; i++) {
-            off.add(measure(null, seconds, callers));
-            on.add(measure(captureDirectory.resolve("round-" + i), seconds, callers));
+            off.add(measure(null, seconds, clients));
+            on.add(measure(captureDirectory.resolve("round-" + i), seconds, clients));
             System.out.printf(Locale.ROOT, "round %d  off %s  on %s%n", i, off.get(i), on.get(i));
         }
         printMedians("off", off);
@@ -91,7 +91,7 @@
         return sorted.get(sorted.size() / 2);
     }
 
-    private static Measurement measure(Path captureDirectory, int seconds, int callers) throws Exception {
+    private static Measurement measure(Path captureDirectory, int seconds, int clients) throws Exception {
         Path config = Files.createTempFile("capture", ".json");
         Path operator = Files.createTempFile("capture", ".toml");
         List<ScriptedServer> servers = new ArrayList<>();
@@ -125,9 +125,9 @@
                 while (!open(port)) {
                     Thread.onSpinWait();
                 }
-                load(port, WARM_UP_S, callers, 1);
+                load(port, WARM_UP_S, clients, 1);
                 long cpu = cpuTicks(node.pid());
-                Histogram latency = load(port, seconds, callers, 2);
+                Histogram latency = load(port, seconds, clients, 2);
                 double micros = (cpuTicks(node.pid()) - cpu) * 10_000.0 / latency.getTotalCount();
                 return new Measurement(
                         (double) latency.getTotalCount() / seconds,
@@ -157,12 +157,12 @@
         }
     }
 
-    private static Histogram load(int port, int seconds, int callers, int phase) throws Exception {
+    private static Histogram load(int port, int seconds, int clients, int phase) throws Exception {
         Histogram all = new Histogram(60_000_000_000L, 3);
         AtomicLong ids = new AtomicLong(phase * 0x1000_0000_0000L);
         List<Thread> threads = new ArrayList<>();
         long end = System.nanoTime() + seconds * 1_000_000_000L;
-        for (int i = 0; i < callers; i++) {
+        for (int i = 0; i < clients; i++) {
             Thread thread = new Thread(() -> {
                 Histogram own = new Histogram(60_000_000_000L, 3);
                 try (TestConnection connection =
--- a/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
+++ b/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
@@ -56,7 +56,7 @@
      */
     @Test
     void exhaustedDescriptorsDoNotBlockDrainUpdates() throws Exception {
-        List<TestConnection> callers = new ArrayList<>();
+        List<TestConnection> idleClients = new ArrayList<>();
         try (ScriptedHttpServer stays = new ScriptedHttpServer("stays");
                 ScriptedHttpServer drains = new ScriptedHttpServer("drains");
                 FakeDiscovery discovery = new FakeDiscovery()) {
@@ -69,7 +69,7 @@
                 discovery.awaitNotified();
                 discovery.pause();
                 for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-                    callers.add(idle(node.port, i));
+                    idleClients.add(idle(node.port, i));
                 }
                 discovery.drain("drains").resume();
                 long reachableAt = System.nanoTime();
@@ -88,8 +88,8 @@
                         > 0.9 * checker.completedRequests().size());
             }
         } finally {
-            for (TestConnection caller : callers) {
-                caller.close();
+            for (TestConnection idleClient : idleClients) {
+                idleClient.close();
             }
         }
     }
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -115,7 +115,7 @@
 
     /**
      * A response with neither a length nor chunks ends with the close of its connection, but not with a reset. The
-     * decoder treats a reset like a close, so without a check of its own the node would serve a truncated response as
+     * decoder treats a reset like a close, so without a separate check the node would serve a truncated response as
      * complete.
      */
     @ParameterizedTest
--- a/testkit/src/main/java/weldhitch/testkit/ReservedPort.java
+++ b/testkit/src/main/java/weldhitch/testkit/ReservedPort.java
@@ -17,7 +17,7 @@
 
     /** Reserves a free port. */
     public ReservedPort() throws IOException {
-        // Both sockets need SO_REUSEADDR; Java sets it on server sockets by default.
+        // Both sockets need SO_REUSEADDR; Java sets it on server channels by default.
         reservingSocket.setReuseAddress(true);
         reservingSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
