--- a/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
@@ -26,10 +26,13 @@
     private static final int CLIENTS = 60;
     private static final String FULL = "HTTP/1.1 503 x\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
-    /** Longer than half of a latency objective of one second, and far below the objective itself, in milliseconds. */
+    /**
+     * Additional service time of a slow request, in milliseconds. Longer than half of a latency objective of one second
+     * and below the objective itself.
+     */
     private static final int SLOW_MS = 600;
 
-    /** How the servers respond: serve after 100 ms, reject, or block until released. */
+    /** The way in which the servers respond: they serve after 100 ms, reject, or block until released. */
     private enum Mode {
         ANSWER_SOON,
         FULL,
--- a/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
@@ -29,8 +29,8 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * Tests the capture of a live node whose servers reject, fail and reset requests: it is replayed, explained and
- * checked against the invariants.
+ * Tests captures of a live node whose servers reject, fail and reset requests. The captures are replayed, explained
+ * and checked against the invariants.
  */
 class CaptureOnSocketsTest {
     @TempDir
--- a/node/src/test/java/weldhitch/node/ClientConnectionTest.java
+++ b/node/src/test/java/weldhitch/node/ClientConnectionTest.java
@@ -246,7 +246,7 @@
         }
     }
 
-    /** Regression: clients that stalled within a request, or sent nothing, occupied their connections. */
+    /** Regression: clients that stalled within a request, or sent nothing, kept their connections for up to 60 s. */
     @Test
     void stalledRequestsTimeOutAndSilentConnectionsAreClosed() throws Exception {
         try (NodeHarness harness = NodeHarness.start(ScriptedServer.respondingWith(m -> ok("x")))) {
--- a/node/src/test/java/weldhitch/node/DiscoveryTest.java
+++ b/node/src/test/java/weldhitch/node/DiscoveryTest.java
@@ -187,7 +187,7 @@
 
     /**
      * A long poll becomes silent, the next poll too, and the one after it is rejected. Each failure alone is within the
-     * limits; their sum must meet the update deadline.
+     * limits; all of them together must not delay the update beyond its deadline of 5 s.
      */
     @Test
     void consecutiveFailuresStayWithinTheUpdateDeadline() throws Exception {
--- a/node/src/test/java/weldhitch/node/FleetIT.java
+++ b/node/src/test/java/weldhitch/node/FleetIT.java
@@ -20,8 +20,8 @@
 import weldhitch.testkit.fleet.NodeFleet;
 
 /**
- * Runs many processes of the packaged node with faults between them. The message of a failed run contains its seed,
- * fault schedule and latest events.
+ * Runs many processes of the packaged node with faults between them. If an invariant is violated, the failure message
+ * contains the latest events, and the seed and the fault schedule if faults were injected.
  */
 class FleetIT {
     private static final int NODES = Integer.getInteger("weldhitch.fleet.nodes", 12);
@@ -34,8 +34,8 @@
     private static final double WARM_PER_SECOND = 30;
 
     /**
-     * Simulates a power failure: all nodes start simultaneously, the servers are cold, and discovery is unavailable for
-     * the first seconds.
+     * Simulates a power failure: all nodes start simultaneously, the servers have just started and are warming up, and
+     * discovery is unavailable for the first seconds.
      */
     @Test
     void simultaneousStartOverloadsNeitherDiscoveryNorServers() throws Exception {
@@ -71,7 +71,8 @@
             System.out.println(String.format(
                     Locale.ROOT,
                     "cold start of %d nodes, %d servers: all nodes listen after %.2f s, then discovery"
-                            + " resumes; all have the list %.2f s, all are ready %.2f s later; discovery calls %d,"
+                            + " resumes; time from then until all have the list %.2f s, until all are ready %.2f s;"
+                            + " discovery calls %d,"
                             + " complete lists %d, peak %d calls in 100 ms; peak connections"
                             + " to a server in 100 ms %d; requests %d, served %d, rejected %d, lost 0",
                     NODES,
--- a/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
@@ -114,7 +114,8 @@
                 assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE));
                 assertEquals(List.of(), client.violations(List.of(stays, drains)));
                 assertTrue(
-                        client.completedRequests().stream().allMatch(a -> a.status() == 200), "a request failed");
+                        client.completedRequests().stream().allMatch(a -> a.status() == 200),
+                        "a request failed during the drain");
             }
         }
     }
--- a/node/src/test/java/weldhitch/node/NodeShutdownTest.java
+++ b/node/src/test/java/weldhitch/node/NodeShutdownTest.java
@@ -70,7 +70,8 @@
             while (harness.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) {
                 Thread.onSpinWait();
             }
-            // This class has no latency objective, so requests are rejected unless their full deadline of 8 s remains.
+            // The class "whole" has no latency objective, so its requests are rejected unless their full deadline of
+            // 8 s remains.
             int lateRequests = 0;
             RawHttpMessage m;
             do {
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -24,7 +24,10 @@
 
 /** Tests how the outcome of each attempt is classified, observed by whether a non-idempotent request is retried. */
 class OutcomeTest {
-    /** Sends a request to two servers that share a handler: it handles the first attempt, and later ones are served. */
+    /**
+     * Sends a non-idempotent request to a node with two servers. The given handler answers the first attempt, whichever
+     * server receives it; later attempts are answered with status 200.
+     */
     private static RawHttpMessage sendToScriptedServers(ConnectionHandler first, AtomicInteger attempts)
             throws Exception {
         ConnectionHandler both = connection -> {
--- a/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
@@ -131,7 +131,7 @@
                 new TestCluster("[class.book]\ndeadline = \"300ms\"\n[class.read]\ndeadline = \"300ms\"", 2, hang())) {
             long startedAt = System.nanoTime();
             assertEquals(504, cluster.node.send(post("b", "b")).status());
-            assertEquals(503, cluster.node.send(get("r")).status(), "a client may retry an idempotent one");
+            assertEquals(503, cluster.node.send(get("r")).status(), "a client may retry an idempotent request");
             long elapsedNanos = System.nanoTime() - startedAt;
             assertTrue(
                     elapsedNanos >= 590_000_000L && elapsedNanos < TimeUnit.SECONDS.toNanos(6),
--- a/node/src/test/java/weldhitch/node/StreamTest.java
+++ b/node/src/test/java/weldhitch/node/StreamTest.java
@@ -76,6 +76,7 @@
             assertEquals("1000000", RawHttpMessage.header(connection.readHead(), "content-length"));
             assertEquals(1000, connection.readBytes(1000).length);
             seen.countDown();
+            // The framing of a stream may not show that it was truncated, so the connection must be reset.
             assertThrows(IOException.class, connection::readToEnd, "the truncated stream did not end with a reset");
         }
     }
--- a/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
@@ -27,7 +27,8 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * Tests that a node that was suspended does not act on outdated socket state or count time from late reads.
+ * Tests that a node that was suspended neither acts on an outdated state of its sockets nor counts deadlines from the
+ * late time at which it read a request.
  *
  * <p>Guards against this failure: clients that wait about 200 ms sent requests and closed their connections, and the
  * node forwarded the requests 356 to 831 ms after they were sent, some of them twice. The node had not run for that
--- a/testkit/src/main/java/weldhitch/testkit/FaultInjectingProxy.java
+++ b/testkit/src/main/java/weldhitch/testkit/FaultInjectingProxy.java
@@ -34,7 +34,7 @@
     private final DirectionState toClient = new DirectionState();
     private volatile boolean rejecting;
 
-    /** The active faults of one direction. Guarded by its own monitor, except the counter. */
+    /** The active faults of one direction. Guarded by its own monitor, except {@code bytesForwarded}. */
     private static final class DirectionState {
         final AtomicLong bytesForwarded = new AtomicLong();
         long delayMillis;
@@ -232,7 +232,7 @@
         return update(direction, state -> state.bytesPerSecond = bytesPerSecond);
     }
 
-    /** Reads and drops all bytes of a direction and leaves the connections open, as if a machine had failed. */
+    /** Reads and drops all bytes of a direction and leaves the connections open, as if a machine had vanished. */
     public FaultInjectingProxy drop(Direction direction) {
         return update(direction, state -> state.dropping = true);
     }
--- a/testkit/src/main/java/weldhitch/testkit/InvariantCheckingClient.java
+++ b/testkit/src/main/java/weldhitch/testkit/InvariantCheckingClient.java
@@ -120,7 +120,7 @@
                 .filter(received -> received.receivedAtNanos() - notifiedAtNanos > graceNanos)
                 .map(received -> received.id() + ": sent to " + server.name() + " "
                         + (received.receivedAtNanos() - notifiedAtNanos) / 1_000_000
-                        + " ms after the node was notified that it is draining")
+                        + " ms after the node was notified of the drain")
                 .toList();
     }
 
--- a/testkit/src/main/java/weldhitch/testkit/ScriptedHttpServer.java
+++ b/testkit/src/main/java/weldhitch/testkit/ScriptedHttpServer.java
@@ -111,7 +111,10 @@
         return new ResetAfterRequest();
     }
 
-    /** Returns a step that executes the request, sends the first half of this body and then stalls. */
+    /**
+     * Returns a step that executes the request, sends the first half of this body and then stalls with the connection
+     * open.
+     */
     public static Step stallMidResponse(String body) {
         return new StalledResponse(body);
     }
@@ -151,7 +154,7 @@
         server = new ScriptedServer(this::serve);
     }
 
-    /** Appends steps, each used for one request, to the script. */
+    /** Appends steps to the script; each is used for one request, in order, before the default step applies. */
     public synchronized ScriptedHttpServer enqueue(Step... steps) {
         script.addAll(List.of(steps));
         return this;
--- a/testkit/src/main/java/weldhitch/testkit/StalledListener.java
+++ b/testkit/src/main/java/weldhitch/testkit/StalledListener.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A listener that stalls connection attempts by a full backlog until it is released. The kernel retransmits a SYN
- * one second after the first, so a stalled attempt takes at least that long. Used by one test thread.
+ * A listener whose full backlog stalls connection attempts until {@code release} is called. The kernel retransmits a
+ * SYN one second after the first, so a stalled attempt takes at least that long. Used by one test thread.
  */
 public final class StalledListener implements Closeable {
     private static final int BACKLOG = 1;
--- a/testkit/src/main/java/weldhitch/testkit/TestConnection.java
+++ b/testkit/src/main/java/weldhitch/testkit/TestConnection.java
@@ -50,7 +50,10 @@
         return null;
     }
 
-    /** Reads a message with the body that Content-Length states (none without it); null at the end of the stream. */
+    /**
+     * Reads a message whose body has the length stated in Content-Length, or no body without that header; returns null
+     * at the end of the stream.
+     */
     public RawHttpMessage readMessage() throws IOException {
         String head = readHead();
         if (head == null) {
--- a/testkit/src/main/java/weldhitch/testkit/fleet/CapacityLimitedDiscovery.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/CapacityLimitedDiscovery.java
@@ -140,7 +140,11 @@
         eventLog.append("list service", "back");
     }
 
-    /** Adds or changes an entry in the list of every node; {@code bornMillis} is Unix time in milliseconds. */
+    /**
+     * Adds or changes an entry in the list of every node.
+     *
+     * @param bornMillis start time of the server, Unix time in milliseconds
+     */
     public synchronized void put(String server, String health, long bornMillis) {
         endpoints.put(server, new Endpoint(health, bornMillis, ++version));
         eventLog.append("list service", server + " is " + health + " in version " + version);
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
@@ -25,9 +25,9 @@
         STOP(true),
         /** Resets all open and new connections. */
         RESET(false),
-        /** Drops the bytes sent to the server and forwards those of the server. */
+        /** Drops the bytes sent to the server and forwards those sent by the server. */
         DROP_TO_SERVER(false),
-        /** Drops the bytes sent by the server and forwards those to the server. */
+        /** Drops the bytes sent by the server and forwards those sent to the server. */
         DROP_TO_CLIENT(false),
         /** Delays every chunk by the same time. */
         DELAY(false),
@@ -35,7 +35,7 @@
         JITTER(false),
         /** Limits the bandwidth of responses. */
         THROTTLE(false),
-        /** Resets the connections within a message, after a number of further bytes of responses. */
+        /** Resets the connections after a number of further bytes of responses, usually within a message. */
         RESET_MID_RESPONSE(false);
 
         private final boolean targetsProcess;
--- a/testkit/src/main/java/weldhitch/testkit/fleet/FaultInjector.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/FaultInjector.java
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Waits until the time of the schedule's next step; no other thread notifies this wait. */
+    /** Waits until the time of the schedule's next step. No other thread notifies this wait. */
     private void waitUntil(long deadline) throws InterruptedException {
         synchronized (this) {
             for (long remaining = deadline - eventLog.elapsedNanos();
@@ -99,15 +99,18 @@
         switch (fault.kind()) {
             case KILL -> processes.get(fault.target()).start();
             case STOP -> processes.get(fault.target()).signal("CONT");
-            // Bytes are missing from the streams, so their connections can't continue, as after the failure of a
-            // machine.
+            // Bytes are missing from the streams, so the connections can't continue. They are reset, as when a machine
+            // that had failed returns.
             case DROP_TO_SERVER, DROP_TO_CLIENT ->
                 links.get(fault.target()).heal().resetConnections();
             default -> links.get(fault.target()).heal();
         }
     }
 
-    /** Returns whether a fault affected the target between two times, in nanoseconds on the event log's clock. */
+    /**
+     * Returns whether a fault that has been reverted affected the target at any time between the two given times, in
+     * nanoseconds on the event log's clock.
+     */
     public boolean wasAffected(String target, long fromNanos, long toNanos) {
         synchronized (intervals) {
             return intervals.stream()
--- a/testkit/src/main/java/weldhitch/testkit/fleet/InvariantChecker.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/InvariantChecker.java
@@ -34,7 +34,8 @@
     /**
      * Returns the violations of two invariants: each request gets one final response in time, and no non-idempotent
      * request is executed twice, or rejected after it was executed. A node that was killed or suspended while the
-     * request was in flight is excused from responding, but its executions are checked all the same.
+     * request was in flight, or at most 50 ms before or after that, is excused from responding, but its executions are
+     * checked all the same.
      *
      * @param timeoutMillis the clients' timeout in milliseconds
      * @param graceMillis tolerance after the timeout for the arrival of a response, in milliseconds
@@ -109,8 +110,8 @@
                     + (receivedAt - request.sentAt()) / (double) NANOS_PER_MILLI
                     - request.timeoutMillis();
             if (excessMillis > toleranceMillis && !linkWasAffected(request, server, receivedAt)) {
-                violations.add(request.id() + ": " + server.name() + " was sent a timeout " + Math.round(excessMillis)
-                        + " ms longer than its client waits");
+                violations.add(request.id() + ": " + server.name() + " was sent a remaining time "
+                        + Math.round(excessMillis) + " ms longer than its client still waited");
             }
         });
         return violations;
@@ -139,9 +140,9 @@
     }
 
     /**
-     * Returns the requests that a server received from a node later than a grace period after the node was notified
-     * that the endpoint is draining, one line each. A request is excused if its node was affected by a fault between
-     * the notification and the receipt.
+     * Returns the requests that a server received from a node more than {@code graceMillis} after the node was notified
+     * that the endpoint is draining, one line each. A request is excused if its node was killed or suspended at any
+     * time between the notification and the receipt; a fault of a link does not excuse it.
      */
     public List<String> requestsAfterDrain(
             CapacityLimitedDiscovery discovery, List<String> nodeNames, long graceMillis) {
@@ -156,7 +157,7 @@
                         && !faultInjector.wasAffected(node, notifiedAt, receivedAt)) {
                     violations.add(received.id() + ": sent to " + server.name() + " "
                             + (receivedAt - notifiedAt) / NANOS_PER_MILLI + " ms after " + node
-                            + " was notified that it is draining");
+                            + " was notified of the drain");
                 }
             }
         }
@@ -164,9 +165,10 @@
     }
 
     /**
-     * Checks the slow-start invariant: in no window of {@code windowMillis} does the server receive more requests, from
-     * all nodes together, than {@code N + 3 sqrt(N) + 3}, where N is {@code allowedMultiple} times its capacity at the
-     * start of the window.
+     * Checks the slow-start invariant: in no window of {@code windowMillis} that starts during the slow start does the
+     * server receive more requests, from all nodes together, than {@code N + 3 sqrt(N) + 3}. N is
+     * {@code allowedMultiple} times the number of requests that the server can serve within the window at the capacity
+     * that it has at the start of the window.
      *
      * @param startedAt when the server started, in nanoseconds on the event log's clock
      * @param warmRatePerSecond the server's capacity once warm, in requests per second
@@ -202,7 +204,8 @@
             double allowedCalls = allowedMultiple * capacity * windowMillis / 1000;
             if (windowEnd - windowStart > allowedCalls + 3 * Math.sqrt(allowedCalls) + 3) {
                 return List.of(server.name() + ": " + (windowEnd - windowStart) + " requests within " + windowMillis
-                        + " ms, " + Math.round(ageMillis) + " ms after its start, allowed " + allowedCalls);
+                        + " ms, " + Math.round(ageMillis) + " ms after its start, allowed without slack: "
+                        + allowedCalls);
             }
         }
         return List.of();
--- a/testkit/src/main/java/weldhitch/testkit/fleet/LoadGenerator.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/LoadGenerator.java
@@ -21,10 +21,10 @@
  */
 public final class LoadGenerator implements Closeable {
     /**
-     * How a request completed. RESPONDED: a response arrived. STALE_CONNECTION: the reused connection was closed
-     * while the request was written. CONNECTION_BROKEN: the connection broke before a response. TIMED_OUT: no
-     * response arrived in time. EXTRA_RESPONSE: bytes followed the final response. DISCONNECTED: the client stopped
-     * waiting and closed the connection.
+     * How a request completed. RESPONDED: a response arrived. STALE_CONNECTION: a reused connection ended before a
+     * response, or the request could not be written. CONNECTION_BROKEN: a new connection ended before a response.
+     * TIMED_OUT: no response arrived in time. EXTRA_RESPONSE: bytes followed the final response. DISCONNECTED: the
+     * client stopped waiting and closed the connection.
      */
     public enum Completion {
         RESPONDED,
@@ -60,16 +60,16 @@
         }
     }
 
-    /** Builds the text of a request from its id and whether it is non-idempotent; odd request numbers are. */
+    /** Builds the text of a request from its id and whether it is non-idempotent. */
     public interface RequestFactory extends BiFunction<String, Boolean, String> {}
 
     /**
      * Defines how a client waits for its responses.
      *
      * @param requestTimeoutMillis the timeout that the requests state, in milliseconds
-     * @param readTimeoutMillis how long the client really waits, in milliseconds
-     * @param impatient whether the client disconnects at the timeout that it has stated; otherwise a request without a
-     *     response by then counts as timed out. An impatient client continues to send while its node is suspended.
+     * @param readTimeoutMillis how long the client really waits for a response, in milliseconds
+     * @param impatient whether a request without a response within {@code readTimeoutMillis} is recorded as
+     *     DISCONNECTED rather than TIMED_OUT. An impatient client continues to send while its node is suspended.
      */
     private record Behaviour(long requestTimeoutMillis, long readTimeoutMillis, boolean impatient) {}
 
--- a/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
@@ -27,7 +27,7 @@
  * link on every edge. Owns all of them and their temporary files. Used by one test thread.
  */
 public class NodeFleet implements Closeable {
-    /** How long a client waits for a response, in milliseconds. */
+    /** The timeout that requests state, in milliseconds. */
     public static final long REQUEST_TIMEOUT_MILLIS = 3000;
 
     public final EventLog eventLog = new EventLog();
