--- a/node/src/test/java/weldhitch/adapter/AdapterTest.java
+++ b/node/src/test/java/weldhitch/adapter/AdapterTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The adapter's line protocol: lists, events, actions and the reporting of errors. */
+/** Tests the adapter's line protocol: endpoint lists, events, actions and error reports. */
 class AdapterTest {
     private static final String SETTINGS = "areas=north,south az=north classes.count=1 classes.0.name=get "
             + "classes.0.effect=read_like classes.0.aimS=0.3 classes.0.deadlineS=1 quantumS=0.001 layer=0 siblings=2 "
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void listNumberMeansItsLatestListWhereItIsUsed() throws IOException {
+    void listNumberRefersToItsLatestListAtTheTimeOfUse() throws IOException {
         String reply = answer(
                 "BATCH 5 1",
                 "BEGIN 1 3 " + SETTINGS,
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void invalidSettingsAreTheInstancesFault() throws IOException {
+    void invalidSettingsAreReportedForTheirInstance() throws IOException {
         String reply = answer("BATCH 1 1", "BEGIN 6 1 " + SETTINGS.replace("siblings=2", "siblings=0"), "COMMIT");
         assertTrue(reply.matches("GIVE_IN 6 .*siblings: found 0, expected 1 or more\nYIELD 1\n"), reply);
     }
--- a/node/src/test/java/weldhitch/node/NodeHarness.java
+++ b/node/src/test/java/weldhitch/node/NodeHarness.java
@@ -13,8 +13,8 @@
 import weldhitch.testkit.TestConnection;
 
 /**
- * A node in the test's own process, between scripted servers on ephemeral loopback ports. Used by one test
- * thread; {@link #close} stops the node and everything it opened.
+ * Runs a node in the test's own process, between scripted servers on ephemeral loopback ports. Used by one test
+ * thread; {@link #close} stops the node and closes everything that the harness opened.
  */
 final class NodeHarness implements Closeable {
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -30,17 +30,17 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** A discovery service that responds with the given list and to later polls with no changes. */
+    /** Creates a discovery service that sends the given list and reports no changes to later polls. */
     static ScriptedServer discovery(String hosts) throws IOException {
-        return new ScriptedServer(wire -> {
-            for (RawHttpMessage m = wire.readMessage(); m != null; m = wire.readMessage()) {
+        return new ScriptedServer(connection -> {
+            for (RawHttpMessage m = connection.readMessage(); m != null; m = connection.readMessage()) {
                 boolean known = m.firstLine().contains("after=1&");
-                wire.write(ok("{\"seq\":1,\"whole\":" + !known + ",\"hosts\":[" + (known ? "" : hosts) + "]}"));
+                connection.write(ok("{\"seq\":1,\"whole\":" + !known + ",\"hosts\":[" + (known ? "" : hosts) + "]}"));
             }
         });
     }
 
-    /** Starts a node whose cached endpoint list names the servers s0, s1 and so on. */
+    /** Starts a node whose cached endpoint list contains the servers as s0, s1 and so on. */
     static NodeHarness start(ScriptedServer... servers) throws Exception {
         return start(1024, servers);
     }
@@ -66,10 +66,10 @@
     }
 
     TestConnection client() throws IOException {
-        TestConnection wire =
+        TestConnection connection =
                 new TestConnection(new Socket(LOOPBACK, node.address().getPort()));
-        open.add(wire);
-        return wire;
+        open.add(connection);
+        return connection;
     }
 
     static String host(String name, String address) {
@@ -88,6 +88,7 @@
         return NodeFixtures.getRequest(id);
     }
 
+    /** Returns a GET request of a class whose responses the node streams. */
     static String feed(String id) {
         return NodeFixtures.streamedGetRequest(id);
     }
@@ -96,11 +97,11 @@
         return NodeFixtures.postRequest(id, body);
     }
 
-    /** Sends one request on a connection of its own and returns the response. */
+    /** Sends one request on a new connection and returns the response. */
     RawHttpMessage send(String request) throws IOException {
-        TestConnection wire = client();
-        wire.write(request);
-        return wire.readMessage();
+        TestConnection connection = client();
+        connection.write(request);
+        return connection.readMessage();
     }
 
     @Override
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -22,18 +22,21 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** Each row of the protocol's table of outcomes, recognised by whether a non-idempotent request is retried. */
+/** Tests how the outcome of each attempt is classified, observed by whether a non-idempotent request is retried. */
 class OutcomeTest {
-    /** Two servers that share a script: whichever is used first follows it, the next request is served. */
+    /**
+     * Sends a non-idempotent request to a node with two servers. The given handler answers the first attempt, whichever
+     * server receives it; later attempts are answered with status 200.
+     */
     private static RawHttpMessage sendToScriptedServers(ConnectionHandler first, AtomicInteger attempts)
             throws Exception {
-        ConnectionHandler both = wire -> {
-            for (String head = wire.readHead(); head != null; head = wire.readHead()) {
-                wire.readBytes(4);
+        ConnectionHandler both = connection -> {
+            for (String head = connection.readHead(); head != null; head = connection.readHead()) {
+                connection.readBytes(4);
                 if (attempts.incrementAndGet() == 1) {
-                    first.handle(wire);
+                    first.handle(connection);
                 } else {
-                    wire.write(ok("done"));
+                    connection.write(ok("done"));
                 }
             }
         };
@@ -45,14 +48,14 @@
     private static void assertFailsWithoutRetry(String answer, boolean close) throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         RawHttpMessage m = sendToScriptedServers(
-                wire -> {
-                    wire.write(answer);
+                connection -> {
+                    connection.write(answer);
                     if (close) {
-                        wire.close();
+                        connection.close();
                     }
                 },
                 attempts);
-        assertEquals(1, attempts.get(), "an unsafe request that may have run was sent again");
+        assertEquals(1, attempts.get(), "a non-idempotent request that may have been executed was retried");
         assertEquals(502, m.status());
     }
 
@@ -77,29 +80,29 @@
             assertEquals("hello", received.bodyText());
             assertEquals("k7", received.header("idempotency-key"));
             assertEquals("a1", received.header("x-trace-id"));
-            assertNull(received.header("x-hop"), "a header of the client's connection alone was passed on");
+            assertNull(received.header("x-hop"), "a hop-by-hop header of the client's connection was forwarded");
             double left = Double.parseDouble(received.header("x-expires-in"));
-            assertTrue(left > 0 && left <= 8, "time left " + left);
+            assertTrue(left > 0 && left <= 8, "remaining time " + left);
         }
     }
 
     @Test
-    void errorMayHaveRun() throws Exception {
+    void requestWithAnErrorResponseMayHaveRun() throws Exception {
         assertFailsWithoutRetry("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false);
     }
 
     @Test
-    void bareUnavailableMayHaveRunAndIsNoRejection() throws Exception {
+    void unavailableWithoutTheNeverRanHeaderIsNoRejection() throws Exception {
         assertFailsWithoutRetry("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false);
     }
 
     @Test
-    void unknownMarkOnUnavailableProvesNothing() throws Exception {
+    void unavailableWithAnUnknownNeverRanValueIsNoRejection() throws Exception {
         assertFailsWithoutRetry("HTTP/1.1 503 Busy\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", false);
     }
 
     @Test
-    void connectionThatEndsUnansweredMayHaveRun() throws Exception {
+    void requestMayHaveRunWhenItsConnectionClosesWithoutAResponse() throws Exception {
         assertFailsWithoutRetry("", true);
     }
 
@@ -114,8 +117,9 @@
     }
 
     /**
-     * A response with neither length nor chunks ends with its connection, but not with a reset: the decoder
-     * takes a reset for the end all the same, and a truncated response was served as complete.
+     * A response with neither a length nor chunks ends with the close of its connection, but not with a reset. The
+     * decoder treats a reset like a close, so without a separate check the node would serve a truncated response as
+     * complete.
      */
     @ParameterizedTest
     @ValueSource(
@@ -131,21 +135,21 @@
     void responseCutByAResetMayHaveRunAndIsNotServed(String begun) throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         RawHttpMessage m = sendToScriptedServers(
-                wire -> {
-                    wire.write(begun);
-                    wire.reset();
+                connection -> {
+                    connection.write(begun);
+                    connection.reset();
                 },
                 attempts);
-        assertEquals(1, attempts.get(), "an unsafe request that may have run was sent again");
+        assertEquals(1, attempts.get(), "a non-idempotent request that may have been executed was retried");
         assertEquals(502, m.status());
     }
 
     @Test
     void responseEndedByItsConnectionIsComplete() throws Exception {
         RawHttpMessage m = sendToScriptedServers(
-                wire -> {
-                    wire.write("HTTP/1.1 200 OK\r\n\r\nwhole");
-                    wire.close();
+                connection -> {
+                    connection.write("HTTP/1.1 200 OK\r\n\r\nwhole");
+                    connection.close();
                 },
                 new AtomicInteger());
         assertEquals(200, m.status());
@@ -153,9 +157,9 @@
     }
 
     /**
-     * Regression: a body just under 64 KiB fills the write buffer together with its head. When the buffer
-     * became writable again, the body was written a second time, which failed the write, and a request that its
-     * server had received completely counted as not executed.
+     * Regression: a body just under 64 KiB fills the write buffer together with its head. When the buffer became
+     * writable again, the body was written a second time, and that write failed. A request that the server had received
+     * completely then counted as not executed.
      */
     @ParameterizedTest
     @ValueSource(ints = {65_000, 65_388, 65_535, 65_536, 65_537, 131_072, 200_000})
@@ -172,23 +176,23 @@
     }
 
     /**
-     * The write fails with the reset, and the close after it is no end of the response either; the request was
-     * not executed.
+     * The reset fails the write of the request. The close that follows must not count as the end of the response; the
+     * request has not been executed and may be retried.
      */
     @Test
     void responseResetBeforeTheRequestIsWrittenIsRetriedElsewhere() throws Exception {
         String body = "b".repeat(8 << 20);
         AtomicInteger attempts = new AtomicInteger();
-        ConnectionHandler both = wire -> {
-            for (String head = wire.readHead(); head != null; head = wire.readHead()) {
+        ConnectionHandler both = connection -> {
+            for (String head = connection.readHead(); head != null; head = connection.readHead()) {
                 if (attempts.incrementAndGet() == 1) {
-                    wire.write("HTTP/1.1 200 OK\r\n\r\nhalf");
-                    wire.readBytes(1);
-                    wire.reset();
+                    connection.write("HTTP/1.1 200 OK\r\n\r\nhalf");
+                    connection.readBytes(1);
+                    connection.reset();
                     return;
                 }
-                wire.readBytes(body.length());
-                wire.write(ok("done"));
+                connection.readBytes(body.length());
+                connection.write(ok("done"));
             }
         };
         try (NodeHarness harness = NodeHarness.start(new ScriptedServer(both), new ScriptedServer(both))) {
@@ -198,13 +202,13 @@
     }
 
     @Test
-    void garbageMayHaveRun() throws Exception {
+    void requestWithAnInvalidResponseMayHaveRun() throws Exception {
         assertFailsWithoutRetry("?!\0 not http at all\r\n\r\n", true);
     }
 
     /**
-     * The decoder accepts a header line without a colon; such a response would be served although no server
-     * sent it.
+     * The decoder accepts a header line without a colon. Without a check the node would serve such a response although
+     * no valid server sent it.
      */
     @Test
     void responseWithAnInvalidHeaderLineMayHaveRunAndIsNotServed() throws Exception {
@@ -214,8 +218,8 @@
     }
 
     /**
-     * No body is longer than 64 KiB: one that claims to be would keep its client waiting for an end that never
-     * comes.
+     * A response that is not streamed may have at most 64 KiB. A longer one is not forwarded, because its client
+     * could wait for an end that never comes.
      */
     @Test
     void oversizedResponseMayHaveRunAndIsNotForwarded() throws Exception {
@@ -235,7 +239,7 @@
         }
     }
 
-    /** Regression: taking the bytes after a response for the response to the next request. */
+    /** Regression: bytes after a response were taken for the response to the next request. */
     @Test
     void bytesAfterAResponseCloseItsConnection() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok(m.header("x-trace-id")) + ok("not yours"));
@@ -252,7 +256,8 @@
         for (String status : new String[] {"503 Full", "504 Over"}) {
             AtomicInteger attempts = new AtomicInteger();
             RawHttpMessage m = sendToScriptedServers(
-                    wire -> wire.write("HTTP/1.1 " + status + "\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"),
+                    connection -> connection.write(
+                            "HTTP/1.1 " + status + "\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"),
                     attempts);
             assertEquals(2, attempts.get());
             assertEquals("done", m.bodyText());
@@ -262,9 +267,10 @@
     @Test
     void failedConnectIsRetriedElsewhere() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("done"));
-        ReservedPort nobody = new ReservedPort();
-        String hosts = NodeHarness.host("dead", nobody.address()) + "," + NodeHarness.host("live", server.address());
-        try (nobody;
+        ReservedPort closedPort = new ReservedPort();
+        String hosts =
+                NodeHarness.host("dead", closedPort.address()) + "," + NodeHarness.host("live", server.address());
+        try (closedPort;
                 ScriptedServer discovery = NodeHarness.discovery(hosts);
                 NodeHarness harness = NodeHarness.start(NodeHarness.config(discovery.address(), hosts, 1024, ""))) {
             for (int i = 0; i < 10; i++) {
@@ -275,15 +281,15 @@
     }
 
     @Test
-    void truncatedResponseToASafeRequestIsRetriedAndServedCompletely() throws Exception {
+    void truncatedResponseToAnIdempotentRequestIsRetriedAndServedCompletely() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
-        ConnectionHandler half = wire -> {
-            while (wire.readHead() != null) {
+        ConnectionHandler half = connection -> {
+            while (connection.readHead() != null) {
                 if (attempts.incrementAndGet() == 1) {
-                    wire.write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf");
-                    wire.close();
+                    connection.write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf");
+                    connection.close();
                 } else {
-                    wire.write(ok("whole"));
+                    connection.write(ok("whole"));
                 }
             }
         };
@@ -294,23 +300,23 @@
 
     @Test
     void silentServerTimesOutAtTheDeadlineAndItsConnectionIsClosed() throws Exception {
-        ScriptedServer server = new ScriptedServer(wire -> wire.readHead());
+        ScriptedServer server = new ScriptedServer(connection -> connection.readHead());
         try (NodeHarness harness = NodeHarness.start(server)) {
             RawHttpMessage m = harness.send(post("d1", "x").replace("8.000", "0.300"));
             assertEquals(504, m.status());
-            TestConnection wire = server.nextConnection();
-            wire.readBytes(1);
-            assertTrue(wire.isClosedByPeer(), "the connection of an attempt that timed out stays open");
+            TestConnection connection = server.nextConnection();
+            connection.readBytes(1);
+            assertTrue(connection.isClosedByPeer(), "the connection of an attempt that timed out was not closed");
         }
     }
 
     /**
-     * Regression: losing non-idempotent requests to connections that a server closes, or lets die, while they
-     * are idle: what is written to such a connection may have been executed. Only a connection used a moment
-     * ago is reused.
+     * Regression: non-idempotent requests failed on idle connections that the server had closed or lost, because a
+     * request written to such a connection may have been executed and can't be retried. Only a connection that was used
+     * a moment ago is reused.
      */
     @Test
-    void unsafeRequestIsNotWrittenToALongIdleConnection() throws Exception {
+    void nonIdempotentRequestIsNotWrittenToALongIdleConnection() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("x"));
         try (NodeHarness harness = NodeHarness.start(server)) {
             harness.send(post("e1", "x"));
@@ -323,10 +329,11 @@
     }
 
     /**
-     * Nodes of a large fleet use each server so seldom that they opened a connection for nearly every booking.
+     * Guards against a connection for nearly every non-idempotent request: in a large fleet, each node uses each server
+     * too seldom to find a recently used connection.
      */
     @Test
-    void unsafeRequestReusesAnIdleConnectionOnceSafeOnesSucceededOnOlderOnes() throws Exception {
+    void nonIdempotentRequestReusesAnIdleConnectionOnceIdempotentOnesSucceededOnOlderOnes() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("x"));
         try (NodeHarness harness = NodeHarness.start(server)) {
             harness.send(get("s1"));
@@ -335,46 +342,46 @@
             TimeUnit.NANOSECONDS.sleep(2 * ConnectionReusePolicy.DEFAULT_MAX_IDLE);
             harness.send(post("s3", "x"));
             server.nextConnection();
-            assertTrue(server.connections.isEmpty(), "dialled beside a connection that is known to be good");
+            assertTrue(server.connections.isEmpty(), "a new connection was opened although a reusable one was idle");
             assertEquals(3, server.requests.size());
         }
     }
 
     @Test
-    void safeRequestReusesAnIdleConnection() throws Exception {
+    void idempotentRequestReusesAnIdleConnection() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok("x"));
         try (NodeHarness harness = NodeHarness.start(server)) {
             for (int i = 0; i < 5; i++) {
                 assertEquals(200, harness.send(get("f" + i)).status());
             }
             server.nextConnection();
-            assertTrue(server.connections.isEmpty(), "a connection for each request");
+            assertTrue(server.connections.isEmpty(), "the idle connection was not reused");
         }
     }
 
     /**
-     * Regression: servers that drop a connection as soon as it is reused, however short it was idle: once that
-     * is detected, requests that must not be repeated use new connections.
+     * Guards against servers that close a connection as soon as it is reused, however short it was idle. Once the node
+     * has detected that, non-idempotent requests use new connections.
      */
     @Test
-    void unsafeRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            wire.write(ok("x"));
-            wire.readHead();
-            wire.close();
+    void nonIdempotentRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            connection.write(ok("x"));
+            connection.readHead();
+            connection.close();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            // A break counts as one of reuse only within 10 ms, and on a busy machine one may come later: three
-            // connections break, which leaves retry tokens for an attempt that times out.
+            // A connection counts as broken by its reuse only if it breaks within 10 ms, and on a busy machine it may
+            // break later. At most three connections break, which leaves retry tokens for an attempt that times out.
             for (int i = 0; i < 4; i++) {
-                assertEquals(200, harness.send(get("g" + i)).status(), "retried on a new connection");
+                assertEquals(200, harness.send(get("g" + i)).status(), "not retried on a new connection");
             }
             assertEquals(200, harness.send(post("last", "x")).status());
         }
     }
 
-    /** Regression: a node with a limit of twelve upstream connections failed all connects after the twelfth. */
+    /** Regression: a node with a limit of twelve upstream connections failed every connect after the twelfth. */
     @Test
     void closedConnectionsReleaseTheirDescriptors() throws Exception {
         ScriptedServer server =
@@ -387,7 +394,7 @@
     }
 
     @Test
-    void failedDialsReleaseTheirDescriptors() throws Exception {
+    void failedConnectsReleaseTheirDescriptors() throws Exception {
         ReservedPort port = new ReservedPort();
         String hosts = NodeHarness.host("s", port.address());
         try (port;
--- a/testkit/src/test/java/weldhitch/testkit/InvariantCheckingClientTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/InvariantCheckingClientTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Violates each invariant on purpose: a checker that finds nothing would let every other test pass. */
+/** Tests that each violation is reported; a checker that reported none would let every other test pass. */
 class InvariantCheckingClientTest {
     private static final String UNSAFE_REQUEST = "POST /x HTTP/1.1\r\nX-Trace-Id: %s\r\nContent-Length: 0\r\n\r\n";
     private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
 
-    /** The violations found for a node that gives this answer and executes its request so often. */
+    /** Returns the violations reported for a node that responds as given and executes the request so many times. */
     private static List<String> violations(String response, int executions) throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer("s");
                 ScriptedServer node = new ScriptedServer(connection -> {
@@ -45,13 +45,15 @@
 
     @Test
     void reportsEachViolation() throws Exception {
-        assertEquals(List.of("r: no final answer"), violations("", 0));
+        assertEquals(List.of("r: no final response"), violations("", 0));
         assertEquals(
-                List.of("r: " + OK_RESPONSE.length() + " bytes behind its final answer"),
+                List.of("r: " + OK_RESPONSE.length() + " bytes after its final response"),
                 violations(OK_RESPONSE + OK_RESPONSE, 1));
-        assertEquals(List.of("r: unsafe and run 2 times"), violations(OK_RESPONSE, 2));
-        assertEquals(List.of("r: refused with 503 and run"), violations(OK_RESPONSE.replace("200 OK", "503 x"), 1));
-        assertEquals(List.of("r: served and never run"), violations(OK_RESPONSE, 0));
+        assertEquals(List.of("r: non-idempotent and executed 2 times"), violations(OK_RESPONSE, 2));
+        assertEquals(
+                List.of("r: rejected with status 503 but executed"),
+                violations(OK_RESPONSE.replace("200 OK", "503 x"), 1));
+        assertEquals(List.of("r: responded with status 200 but never executed"), violations(OK_RESPONSE, 0));
     }
 
     @Test
@@ -65,7 +67,7 @@
                 client.send("r" + i, true, UNSAFE_REQUEST.formatted("r" + i));
             }
             assertEquals(300, client.completedRequests().size());
-            // Without the closes it would be 300 or more at either end; other threads open far fewer meanwhile.
+            // Unclosed connections would make it 300 or more at either end; other threads open far fewer meanwhile.
             TestSupport.await(() -> operatingSystem.getOpenFileDescriptorCount() - descriptorsBefore < 100);
         }
     }
