--- a/bench/src/main/java/weldhitch/bench/AverageTimeBenchmark.java
+++ b/bench/src/main/java/weldhitch/bench/AverageTimeBenchmark.java
@@ -11,8 +11,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Base class with the JMH settings of all benchmarks: the mean time of an operation in nanoseconds, over
- * two forked processes. Each benchmark thread has a state of its own.
+ * Base class with the JMH settings of all benchmarks: measures the mean time of an operation in nanoseconds, over
+ * two forked processes. Each benchmark thread has its own instance of the state.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
--- a/bench/src/main/java/weldhitch/bench/CaptureEncodingBenchmark.java
+++ b/bench/src/main/java/weldhitch/bench/CaptureEncodingBenchmark.java
@@ -28,10 +28,12 @@
 import weldhitch.capture.sbe.MessageHeaderEncoder;
 
 /**
- * Benchmarks encoding the same two records of a request (arrival, end of an attempt) in three formats, into
- * a buffer of 256 KiB that is reset when full; prints bytes a request, plain and compressed by zstd, at the
- * end. Avro uses its schema at run time and Protocol Buffers a descriptor, without generated classes:
- * slower than with those, but of the same size.
+ * Measures the time to encode the two records of a request (its arrival and the end of its attempt) in SBE, Avro or
+ * Protocol Buffers. The records are appended to a buffer that is emptied once it holds 256 KiB. At the end, it prints
+ * the mean encoded size of a request in bytes, uncompressed and compressed by zstd.
+ *
+ * <p>Avro and Protocol Buffers work on a schema or descriptor built at run time, without generated classes. This is
+ * slower than generated classes, but the encoded size is the same.
  */
 public class CaptureEncodingBenchmark extends AverageTimeBenchmark {
     private static final int BLOCK_BYTES = 256 << 10;
@@ -47,20 +49,23 @@
     private RecordEncoding encoding;
     private long requestCount;
 
-    /** Encodes both records in one format; a request's end of attempt follows its arrival. Not thread-safe. */
+    /**
+     * Encodes both records of a request in one format. The record of an attempt's end follows that of the request's
+     * arrival. Not thread-safe.
+     */
     private interface RecordEncoding {
         void writeArrival(long sinceNanos, long request, int requestClass, long deadlineAfter, String target)
                 throws Exception;
 
         void writeAttemptEnded(long sinceNanos, long request, int server, int outcome, long latency) throws Exception;
 
-        /** Returns the buffer's content and resets it. */
+        /** Returns the content of the buffer and empties the buffer. */
         byte[] drain() throws Exception;
 
         int length() throws Exception;
     }
 
-    /** Simple Binary Encoding, by the encoders that captures use. */
+    /** Encodes by Simple Binary Encoding (SBE), with the encoders that captures use. */
     private static final class SbeEncoding implements RecordEncoding {
         private final ExpandableDirectByteBuffer buffer = new ExpandableDirectByteBuffer(2 * BLOCK_BYTES);
         private final MessageHeaderEncoder header = new MessageHeaderEncoder();
@@ -112,7 +117,7 @@
         }
     }
 
-    /** Avro, by generic records. */
+    /** Encodes by Avro, with generic records. */
     private static final class AvroEncoding implements RecordEncoding {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream(2 * BLOCK_BYTES);
         private final BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
@@ -168,7 +173,7 @@
         }
     }
 
-    /** Protocol Buffers, by dynamic messages. */
+    /** Encodes by Protocol Buffers, with dynamic messages. */
     private static final class ProtobufEncoding implements RecordEncoding {
         private final byte[] buffer = new byte[2 * BLOCK_BYTES];
         private CodedOutputStream out = CodedOutputStream.newInstance(buffer);
@@ -239,8 +244,8 @@
         }
     }
 
-    @Setup
     /** Creates the encoding under test. */
+    @Setup
     public void createEncoding() throws Exception {
         encoding = switch (form) {
             case "sbe" -> new SbeEncoding();
@@ -249,7 +254,7 @@
         };
     }
 
-    /** Encodes one request, with times, servers and latencies spread as in service, and random request ids. */
+    /** Encodes one request with a random request ID, and random times, servers and latencies in realistic ranges. */
     @Benchmark
     public Object request() throws Exception {
         if (encoding.length() >= BLOCK_BYTES) {
@@ -276,8 +281,8 @@
                 20_000_000L + random.nextInt(200_000_000));
     }
 
+    /** Fills one buffer and prints the mean size of a request in bytes, uncompressed and compressed. */
     @TearDown
-    /** Fills one buffer and prints the bytes a request, plain and compressed. */
     public void printSizes() throws Exception {
         encoding.drain();
         int requests = 0;
--- a/bench/src/main/java/weldhitch/bench/RequestPathBenchmark.java
+++ b/bench/src/main/java/weldhitch/bench/RequestPathBenchmark.java
@@ -27,8 +27,8 @@
 import weldhitch.routeconfig.RouteConfig;
 
 /**
- * Benchmarks the balancer's decisions for one served request, from arrival to response, with no route
- * configuration, a small one and a large one.
+ * Measures the time that the balancer takes to handle one successful request, from its arrival to its response,
+ * without a route configuration and with configurations of 1 and 1000 routes.
  */
 public class RequestPathBenchmark extends AverageTimeBenchmark {
     private static final long STEP_NANOS = 1_000_000L;
@@ -36,8 +36,8 @@
     @Param({"none", "1", "1000"})
     private String routes;
     /**
-     * Whether the fleet coordinates route versions: each request then acquires and releases its versioned
-     * table.
+     * Whether the node is in a fleet that coordinates route versions. If so, each request acquires a versioned table
+     * of routes on arrival and releases it at the end.
      */
     @Param({"no", "yes"})
     private String fleet;
@@ -47,8 +47,8 @@
     private long now = 1_000_000_000_000L;
     private long requestNumber;
 
-    @Setup
     /** Creates the balancer with eight servers and the routes. */
+    @Setup
     public void setUpBalancer() {
         BalancerSettings settings = new FlatSettingsParser(Map.of(
                         "classes.count",
@@ -94,8 +94,8 @@
                         new Table<>(1, balancer.routes()));
     }
 
-    @Benchmark
     /** Handles the arrival of one request and the end of its attempt. */
+    @Benchmark
     public Object request() {
         now += STEP_NANOS;
         String requestId = Long.toString(requestNumber++);
--- a/bench/src/main/java/weldhitch/bench/RouteMatchBenchmark.java
+++ b/bench/src/main/java/weldhitch/bench/RouteMatchBenchmark.java
@@ -10,7 +10,10 @@
 import weldhitch.decision.routing.RouteTable;
 import weldhitch.decision.routing.RouteTable.Route;
 
-/** Benchmarks finding a request's route among many, half of which are templates. */
+/**
+ * Measures the time to find the route of a request in a route table. The paths of half of the routes are templates
+ * with a wildcard segment, those of the others are prefixes.
+ */
 public class RouteMatchBenchmark extends AverageTimeBenchmark {
     @Param({"10", "100", "1000"})
     private int count;
@@ -19,8 +22,8 @@
     private String[] targets;
     private int next;
 
-    @Setup
     /** Builds the routes and 64 request targets that match them. */
+    @Setup
     public void buildRoutes() {
         List<Route> routeList = new ArrayList<>();
         targets = new String[64];
@@ -39,8 +42,8 @@
         routeTable = new RouteTable(routeList);
     }
 
+    /** Finds the route of one request. */
     @Benchmark
-    /** Matches one request. */
     public Route match() {
         return routeTable.match("book-visit", "POST", targets[next++ & 63]);
     }
--- a/bench/src/main/java/weldhitch/bench/SnapshotBenchmark.java
+++ b/bench/src/main/java/weldhitch/bench/SnapshotBenchmark.java
@@ -22,8 +22,8 @@
 import weldhitch.decision.settings.FlatSettingsParser;
 
 /**
- * Benchmarks how long a snapshot blocks the event loop, with servers whose statistics windows are full and
- * 500 open requests with one attempt each.
+ * Measures how long taking a snapshot of the balancer blocks the event loop. The servers have latency samples (4 for
+ * each server on average, at most 4000 in all), and 500 requests are open with one attempt each.
  */
 public class SnapshotBenchmark extends AverageTimeBenchmark {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -35,8 +35,8 @@
     private RatioBalancer balancer;
     private IncrementalSnapshot snapshotInProgress;
 
+    /** Creates the balancer, records the latency samples and leaves 500 requests open. */
     @Setup
-    /** Creates the balancer, fills the windows and leaves the requests open. */
     public void setUpBalancer() {
         BalancerSettings settings = new FlatSettingsParser(Map.of(
                         "classes.count",
@@ -83,13 +83,13 @@
         }
     }
 
+    /** Takes a complete snapshot in one step. */
     @Benchmark
-    /** Takes a complete snapshot at once. */
     public Object snapshot() {
         return balancer.snapshot();
     }
 
-    /** Completes the snapshot that the previous invocation began, outside the measurement. */
+    /** Completes the snapshot that the previous invocation began; not part of the measurement. */
     @Setup(Level.Invocation)
     public void finishPrevious() {
         if (snapshotInProgress != null) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Begins a snapshot and writes its first part: the cost at the event that begins one. */
+    /** Begins an incremental snapshot and saves the first 256 endpoints, which is done before a single event. */
     @Benchmark
     public Object beginSnapshot() {
         snapshotInProgress = balancer.beginSnapshot();
--- a/bench/src/main/java/weldhitch/bench/VersionSwitchBenchmark.java
+++ b/bench/src/main/java/weldhitch/bench/VersionSwitchBenchmark.java
@@ -16,8 +16,8 @@
 import weldhitch.decision.settings.FlatSettingsParser;
 
 /**
- * Benchmarks the event loop's cost of switching to another route configuration: prepared in advance, as on
- * another thread, or built during the switch.
+ * Measures how long the event loop takes to switch to another route configuration, whose state is either prepared in
+ * advance (as another thread would do) or built during the switch.
  */
 public class VersionSwitchBenchmark extends AverageTimeBenchmark {
     @Param({"10", "1000"})
@@ -28,8 +28,8 @@
     private int next;
     private RouteStates preparedRoutes;
 
-    @Setup
     /** Creates the balancer and two route configurations that differ in their deadlines. */
+    @Setup
     public void setUpBalancer() {
         balancer = new RatioBalancer(
                 new FlatSettingsParser(Map.of(
@@ -69,21 +69,21 @@
         return new RouteTable(routeList);
     }
 
+    /** Prepares the state of the next route configuration; not part of the measurement. */
     @Setup(Level.Invocation)
-    /** Prepares the next route configuration; not part of the measurement. */
     public void prepareNext() {
         next ^= 1;
         preparedRoutes = balancer.routes().prepareNext(versions[next], 1);
     }
 
-    @Benchmark
     /** Switches to the prepared route configuration. */
+    @Benchmark
     public Object switchPrepared() {
         return balancer.handle(0, new RoutesChanged(versions[next], preparedRoutes));
     }
 
+    /** Switches to a route configuration whose state is built during the switch. */
     @Benchmark
-    /** Switches to a route configuration that is built during the switch. */
     public Object switchUnprepared() {
         return balancer.handle(0, new RoutesChanged(versions[next]));
     }
--- a/bench/src/main/java/weldhitch/bench/ZoneSelectionBenchmark.java
+++ b/bench/src/main/java/weldhitch/bench/ZoneSelectionBenchmark.java
@@ -19,8 +19,8 @@
 import weldhitch.fleet.locality.ZoneSelector;
 
 /**
- * Benchmarks selecting a request's zone by a locality rule, including the bookkeeping when its attempt is
- * sent and ends. Without rules there is no such cost.
+ * Measures the time to select the zone of a request by a locality rule, including the bookkeeping when the attempt of
+ * the request is sent and when it ends. A node without locality rules does not have this cost.
  */
 public class ZoneSelectionBenchmark extends AverageTimeBenchmark {
     private static final long STEP_NANOS = 1_000_000L;
@@ -33,8 +33,8 @@
     private int next;
     private final String[] names = new String[60];
 
+    /** Creates 60 servers in three zones, and locality rules of which only the last matches the requests. */
     @Setup
-    /** Sets up 60 servers in three zones, and rules of which the last matches. */
     public void setUpZones() {
         zoneSelector = new ZoneSelector("n", "a", 10, 0.3, 5_000_000_000L, false);
         List<ZoneEndpoint> servers = new ArrayList<>();
@@ -65,8 +65,8 @@
                 new LocalityRules(new Regions(Map.of("west", Set.of("a", "b"))), 1000, localityRules), now);
     }
 
+    /** Selects the zone of one request and records that its attempt was sent and has ended. */
     @Benchmark
-    /** Selects the zone of one request and records its attempt. */
     public Object selectZone() {
         now += STEP_NANOS;
         ZoneSelection selection = zoneSelector.select("read", null, null, 0.5, now);
--- a/bench/src/main/java/weldhitch/bench/package-info.java
+++ b/bench/src/main/java/weldhitch/bench/package-info.java
@@ -1,2 +1,2 @@
-/** JMH benchmarks, run by hand; docs/route-configuration.md has the command and the results. */
+/** JMH benchmarks that are run manually; docs/route-configuration.md has the command and the results. */
 package weldhitch.bench;
