--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -311,7 +311,7 @@
                     .event();
             assertTrue(
                     abortEvent.contains("version 1 is aborted: n2: version-1.toml:3: error: class.read.attempts: 4 is "
-                            + "more than the platform's 3"),
+                            + "more than the platform's limit of 3"),
                     abortEvent);
             fleet.eventLog.awaitEntry(
                     fromEntry,
--- a/node/src/test/java/weldhitch/node/PackagedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/PackagedNodeIT.java
@@ -101,7 +101,7 @@
             String logLine = node.logLine();
             assertTrue(
                     logLine.startsWith("route config rejected, keeping last valid: " + file
-                            + ":3: error: class.read.attempts: 9 is more than the platform's 4"),
+                            + ":3: error: class.read.attempts: 9 is more than the platform's limit of 4"),
                     logLine);
             assertEquals(200, node.send(NodeHarness.get("still")).status());
             Files.writeString(file, "version = 1\n[class.read]\ntenants = { \"*\" = 0.001 }\n# end\n");
--- a/routeconfig/src/main/java/weldhitch/routeconfig/AddressParser.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/AddressParser.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses addresses in configuration files. They have to be numeric, as no names are resolved here. Stateless
+ * Parses addresses in configuration files. Only numeric addresses are accepted; host names are not resolved. Stateless
  * and thread-safe.
  */
 public final class AddressParser {
@@ -15,7 +15,7 @@
 
     private AddressParser() {}
 
-    /** Parses {@code HOST:PORT} with an IPv4 address and a port from 0 to 65535; null for anything else. */
+    /** Parses {@code HOST:PORT} with an IPv4 address and a port from 0 to 65535; returns null for anything else. */
     public static InetSocketAddress parse(String text) {
         Matcher matcher = ADDRESS_PATTERN.matcher(text);
         if (!matcher.matches() || Integer.parseInt(matcher.group(2)) > 65535) {
--- a/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
@@ -10,8 +10,8 @@
 import weldhitch.capture.policy.CaptureLimits;
 
 /**
- * Reads the section {@code [capture]}. Problems are reported to the {@link TomlValueReader}, all of them in one pass.
- * Used by {@link RouteConfigParser} for one file; not thread-safe.
+ * Reads the section {@code [capture]}. One pass reports all problems to the {@link TomlValueReader}. Used by
+ * {@link RouteConfigParser} for one file; not thread-safe.
  */
 final class CaptureSectionReader {
     private static final List<String> KNOWN_KEYS =
@@ -28,7 +28,7 @@
         this.values = values;
     }
 
-    /** The settings of the section; null if there is none, or if it has errors. */
+    /** Returns the settings of the section; null if there is no such section or it has errors. */
     CaptureSettings read(JsonNode capture) {
         if (!values.requireTable(capture, "capture")) {
             return null;
@@ -47,15 +47,15 @@
         if (queueSize != null && Integer.bitCount(queueSize) != 1) {
             values.error(
                     "capture.queue",
-                    queueSize + " is no power of two",
+                    queueSize + " is not a power of two",
                     "write " + Integer.highestOneBit(queueSize) + " or " + 2 * Integer.highestOneBit(queueSize));
             queueSize = null;
         }
         if (segmentSize != null && totalSize != null && totalSize < 2 * segmentSize) {
             values.error(
                     capture.has("total-size") ? "capture.total-size" : "capture.segment-size",
-                    "total-size is not twice segment-size",
-                    "one segment is written while older ones are kept: make it " + 2 * segmentSize / (1 << 10)
+                    "total-size is less than twice segment-size",
+                    "one segment is written while older ones are kept: write " + 2 * segmentSize / (1 << 10)
                             + "KiB or more");
             totalSize = null;
         }
@@ -86,7 +86,7 @@
         String text = values.readText(capture, "capture", "directory");
         if (text == null) {
             if (!capture.has("directory")) {
-                values.error("capture", "directory is missing", "name a directory for this node alone");
+                values.error("capture", "directory is missing", "write a directory that only this node uses");
             }
             return null;
         }
@@ -98,7 +98,7 @@
         } catch (InvalidPathException e) {
             // Reported below, together with relative paths.
         }
-        values.error("capture.directory", "\"" + text + "\" is no absolute path", "begin it with /");
+        values.error("capture.directory", "\"" + text + "\" is not an absolute path", "start it with /");
         return null;
     }
 
@@ -117,7 +117,7 @@
         if (matcher == null || !matcher.matches()) {
             values.error(
                     "capture." + name,
-                    value + " is no size",
+                    value + " is not a size",
                     "write a whole number and KiB, MiB or GiB, such as \"64MiB\"");
             return null;
         }
@@ -126,7 +126,7 @@
             values.error(
                     "capture." + name,
                     value + " is out of range",
-                    "from " + (min >> 10) + "KiB to " + (max >> 30) + "GiB");
+                    "write a size from " + (min >> 10) + "KiB to " + (max >> 30) + "GiB");
             return null;
         }
         return bytes;
--- a/routeconfig/src/main/java/weldhitch/routeconfig/FleetSectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/FleetSectionReader.java
@@ -7,8 +7,8 @@
 import weldhitch.fleet.member.FleetSettings;
 
 /**
- * Reads the section {@code [fleet]}. Problems are reported to the {@link TomlValueReader}, all of them in one pass.
- * Used by {@link RouteConfigParser} for one file; not thread-safe.
+ * Reads the section {@code [fleet]}. One pass reports all problems to the {@link TomlValueReader}. Used by
+ * {@link RouteConfigParser} for one file; not thread-safe.
  */
 final class FleetSectionReader {
     private static final List<String> KNOWN_KEYS = List.of("cluster", "stewards", "before-join", "tell-version");
@@ -20,7 +20,7 @@
         this.values = values;
     }
 
-    /** The settings of the section; null if there is none, or if it has errors. */
+    /** Returns the settings of the section; null if there is no such section or it has errors. */
     FleetSettings read(JsonNode fleet) {
         if (!values.requireTable(fleet, "fleet")) {
             return null;
@@ -28,11 +28,13 @@
         boolean valid = values.requireKnownKeys(fleet, "fleet", KNOWN_KEYS);
         String cluster = values.readText(fleet, "fleet", "cluster");
         if (cluster == null && !fleet.has("cluster")) {
-            values.error("fleet", "cluster is missing", "name the fleet as its coordinators do");
+            values.error("fleet", "cluster is missing", "write the cluster name that the coordinators use");
         } else if (cluster != null
                 && !TomlValueReader.NAME_PATTERN.matcher(cluster).matches()) {
             values.error(
-                    "fleet.cluster", "\"" + cluster + "\" is no name", "use 1 to 64 letters, digits, dots, - and _");
+                    "fleet.cluster",
+                    "\"" + cluster + "\" is not a valid name",
+                    "use 1 to 64 letters, digits, dots, - and _");
             cluster = null;
         }
         List<InetSocketAddress> coordinators = readCoordinators(fleet.get("stewards"));
@@ -47,7 +49,7 @@
         if (array == null || !array.isArray() || array.isEmpty() || array.size() > 5) {
             values.error(
                     array == null ? "fleet" : "fleet.stewards",
-                    array == null ? "stewards is missing" : array + " is no list of 1 to 5 addresses",
+                    array == null ? "stewards is missing" : array + " is not a list of 1 to 5 addresses",
                     "write stewards = [\"127.0.0.1:7101\"]");
             return null;
         }
@@ -63,8 +65,8 @@
             }
             values.error(
                     "fleet.stewards",
-                    element + " is no address of loopback",
-                    "write \"127.0.0.1:PORT\", where a coordinator or a relay to it listens");
+                    element + " is not a loopback address",
+                    "write \"127.0.0.1:PORT\", the address of a coordinator or of a relay to one");
             return null;
         }
         return addresses;
@@ -77,7 +79,7 @@
         if (value.asText().equals("serve")) {
             return Boolean.FALSE;
         }
-        values.error("fleet.before-join", value + " is not known", "write \"fence\" or \"serve\"");
+        values.error("fleet.before-join", value + " is not a known value", "write \"fence\" or \"serve\"");
         return null;
     }
 
--- a/routeconfig/src/main/java/weldhitch/routeconfig/LocalitySectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/LocalitySectionReader.java
@@ -19,9 +19,8 @@
 import weldhitch.fleet.locality.Regions;
 
 /**
- * Reads {@code [zones]} and {@code [[locality]]} and checks them against the platform. Problems are reported
- * to the {@link TomlValueReader}, all of them in one pass. Used by {@link RouteConfigParser} for one file; not
- * thread-safe.
+ * Reads {@code [zones]} and {@code [[locality]]} and checks them against the platform. One pass reports all problems
+ * to the {@link TomlValueReader}. Used by {@link RouteConfigParser} for one file; not thread-safe.
  */
 final class LocalitySectionReader {
     private static final int MAX_RULES = 200;
@@ -53,7 +52,7 @@
         platformZones = platform == null ? Set.of() : new TreeSet<>(platform.zones());
     }
 
-    /** The locality rules; null if there are none, or if they have errors. */
+    /** Returns the locality rules; null if there are none or they have errors. */
     LocalityRules read(JsonNode root) {
         JsonNode zonesTable = root.get("zones");
         JsonNode ruleTables = root.get("locality");
@@ -65,7 +64,7 @@
             error(
                     "locality",
                     "[zones] is missing",
-                    "write [zones] with rate, what a server of weight 1 bears in calls a second, and regions");
+                    "write [zones] with regions and rate, the requests a second that a server of weight 1 can serve");
         } else if (values.requireTable(zonesTable, "zones")) {
             valid &= values.requireKnownKeys(zonesTable, "zones", ZONES_KEYS);
             if (zonesTable.has("rate")) {
@@ -74,7 +73,7 @@
                 error(
                         "zones",
                         "rate is missing",
-                        "write rate = 40.0, what a server of weight 1 bears in calls a second");
+                        "write rate = 40.0, the requests a second that a server of weight 1 can serve");
             }
             readRegions(zonesTable.get("regions"));
         } else {
@@ -101,7 +100,8 @@
             if (BUILT_IN_PREFERENCES.contains(entry.getKey()) || platformZones.contains(entry.getKey())) {
                 error(
                         key,
-                        "is the name of " + (BUILT_IN_PREFERENCES.contains(entry.getKey()) ? "a step" : "a zone")
+                        "is the name of "
+                                + (BUILT_IN_PREFERENCES.contains(entry.getKey()) ? "a built-in preference" : "a zone")
                                 + " too",
                         "give the region another name");
             }
@@ -112,7 +112,7 @@
                     error(
                             key,
                             "zone " + zone + " is in region " + otherRegion + " too",
-                            "name each zone in one region");
+                            "list each zone in one region only");
                 }
                 checkZoneKnown(zone, key);
             }
@@ -125,7 +125,7 @@
 
     private void checkZoneKnown(String zone, String key) {
         if (!platformZones.isEmpty() && !platformZones.contains(zone)) {
-            error(key, "the platform knows no zone \"" + zone + "\"", SpellingSuggestions.suggest(zone, platformZones));
+            error(key, "the platform has no zone \"" + zone + "\"", SpellingSuggestions.suggest(zone, platformZones));
         }
     }
 
@@ -138,7 +138,7 @@
             error(
                     "locality",
                     ruleTables.isArray() ? "there are " + ruleTables.size() + " rules" : "is not a list of tables",
-                    ruleTables.isArray() ? "keep to " + MAX_RULES : "write [[locality]] before each rule");
+                    ruleTables.isArray() ? "write at most " + MAX_RULES : "write [[locality]] before each rule");
             return rules;
         }
         Map<String, String> keyByName = new LinkedHashMap<>();
@@ -155,14 +155,14 @@
                     error(
                             key + ".name",
                             "\"" + rule.name() + "\" is the name of another rule too",
-                            "give each rule a name of its own");
+                            "give each rule a unique name");
                 }
                 rules.stream()
                         .filter(earlier -> covers(earlier.match(), rule.match()))
                         .findFirst()
                         .ifPresent(covering -> error(
                                 key,
-                                "never holds: rule \"" + covering.name() + "\" before it takes all its requests",
+                                "never applies: rule \"" + covering.name() + "\" above it matches all its requests",
                                 "put the narrower rule first"));
                 rules.add(rule);
             }
@@ -183,8 +183,8 @@
         if (name == null || !TomlValueReader.NAME_PATTERN.matcher(name).matches()) {
             error(
                     name == null ? key : key + ".name",
-                    name == null ? "has no name" : "\"" + name + "\" is no name",
-                    "give each rule a name of its own, of letters, digits, dots, - and _");
+                    name == null ? "has no name" : "\"" + name + "\" is not a valid name",
+                    "give each rule a unique name of letters, digits, dots, - and _");
         }
         Match match = readMatch(table, key);
         List<String> preferences = readPreferences(table.get("prefer"), key);
@@ -210,14 +210,14 @@
                     match.requestClass(),
                     platform.classes().stream().map(RequestClass::name).toList(),
                     key + ".class",
-                    "the platform knows no class");
+                    "the platform has no class");
         }
         if (match.tenant() != null && platform != null && !platform.tenants().isEmpty()) {
             checkKnown(
                     match.tenant(),
                     platform.tenants().stream().map(Tenant::name).toList(),
                     key + ".tenant",
-                    "the platform knows no tenant");
+                    "the platform has no tenant");
         }
         if (match.route() != null) {
             checkKnown(match.route(), routeNames, key + ".route", "this file has no route");
@@ -234,11 +234,11 @@
         Set<String> knownNames = new LinkedHashSet<>(BUILT_IN_PREFERENCES);
         knownNames.addAll(regions.zones().keySet());
         for (String preference : readNames(value, key + ".prefer", "[\"own-zone\", \"own-region\", \"any\"]")) {
-            checkKnown(preference, knownNames, key + ".prefer", "there is no step or region");
+            checkKnown(preference, knownNames, key + ".prefer", "there is no built-in preference or region");
             if (preferences.contains(LocalityRule.ANY)) {
                 error(
                         key + ".prefer",
-                        "\"" + preference + "\" comes after \"any\", which leaves nothing",
+                        "\"" + preference + "\" comes after \"any\", which includes all other zones",
                         "put \"any\" last");
             }
             preferences.add(preference);
@@ -259,16 +259,16 @@
     }
 
     /**
-     * Reports a rule that forbids all zones to the requests of some zone: that zone would reject all of them
-     * from the start.
+     * Reports a rule that leaves the requests of some zone without a permitted zone: nodes in that zone would reject
+     * all of these requests from the start.
      */
     private void checkSomeZonePermitted(LocalityRule rule, String key) {
         for (String localZone : platformZones) {
             if (regions.priorityLevels(rule, localZone, platformZones).stream().allMatch(Set::isEmpty)) {
                 error(
                         key + ".never",
-                        "leaves requests that come in zone " + localZone + " no zone at all",
-                        "forbid fewer, or prefer further steps");
+                        "leaves requests that arrive in zone " + localZone + " without any zone",
+                        "forbid fewer zones, or add further preferences");
                 return;
             }
         }
@@ -290,7 +290,7 @@
     private Set<String> readNames(JsonNode value, String key, String example) {
         Set<String> names = new LinkedHashSet<>();
         if (!value.isArray() || value.isEmpty()) {
-            error(key, value + " is no list of names", "write " + example);
+            error(key, value + " is not a list of names", "write " + example);
             return names;
         }
         for (JsonNode element : value) {
@@ -298,9 +298,9 @@
                     || !TomlValueReader.NAME_PATTERN
                             .matcher(element.textValue())
                             .matches()) {
-                error(key, element + " is no name", "write " + example);
+                error(key, element + " is not a valid name", "write " + example);
             } else if (!names.add(element.textValue())) {
-                error(key, "\"" + element.textValue() + "\" stands twice", "name it once");
+                error(key, "\"" + element.textValue() + "\" is listed twice", "list it once");
             }
         }
         return names;
--- a/routeconfig/src/main/java/weldhitch/routeconfig/OutcomeNames.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/OutcomeNames.java
@@ -7,16 +7,16 @@
 import weldhitch.decision.endpoint.AttemptOutcome;
 import weldhitch.decision.routing.RoutePolicy;
 
-/** Converts between outcomes of attempts and their names in the file. Stateless and thread-safe. */
+/** Converts between the outcomes of attempts and their names in the file. Stateless and thread-safe. */
 final class OutcomeNames {
     private OutcomeNames() {}
 
-    /** The name of an outcome in the file. */
+    /** Returns the name of an outcome in the file. */
     static String nameOf(AttemptOutcome outcome) {
         return outcome.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The outcome with this name that may be retried, or null. */
+    /** Returns the outcome with this name; null if there is none or it may not be retried. */
     static AttemptOutcome parse(String name) {
         return RoutePolicy.RETRYABLE.stream()
                 .filter(o -> nameOf(o).equals(name))
@@ -24,12 +24,12 @@
                 .orElse(null);
     }
 
-    /** The names of all outcomes that may be retried. */
+    /** Returns the names of all outcomes that may be retried. */
     static Collection<String> retryableNames() {
         return namesOf(RoutePolicy.RETRYABLE);
     }
 
-    /** The names of these outcomes, in the order of the type. */
+    /** Returns the names of these outcomes, in the order of the enum constants. */
     static Collection<String> namesOf(Set<AttemptOutcome> outcomes) {
         return outcomes.stream().sorted().map(OutcomeNames::nameOf).collect(Collectors.toList());
     }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteCompiler.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteCompiler.java
@@ -21,8 +21,8 @@
 import weldhitch.routeconfig.RuleSection.Setting;
 
 /**
- * Compiles sections to routes with their policies. The routes are in the order of the sections, those of one
- * section by class name. Used by {@link RouteConfigParser} for one file; not thread-safe.
+ * Compiles sections to routes with their policies. The routes are in the order of the sections; the routes of one
+ * section are ordered by class name. Used by {@link RouteConfigParser} for one file; not thread-safe.
  */
 final class RouteCompiler {
     private final BalancerSettings platform;
@@ -36,26 +36,26 @@
      * Creates a compiler without routes.
      *
      * @param platform the platform's settings, or null if they are not known
-     * @param validator reports settings that contradict each other once they are merged
+     * @param validator reports merged settings that contradict each other
      */
     RouteCompiler(BalancerSettings platform, RouteConfigValidator validator) {
         this.platform = platform;
         this.validator = validator;
     }
 
-    /** The routes compiled so far. */
+    /** Returns the routes compiled so far. */
     List<Route> routes() {
         return routes;
     }
 
-    /** The settings in effect for each route, by its name. */
+    /** Returns the settings in effect for each route, by the route's name. */
     Map<String, Map<RuleKey, Setting>> settingsByRoute() {
         return settingsByRoute;
     }
 
     /**
-     * Compiles sections to routes. A route without a class becomes one for each class, as each class has
-     * defaults of its own.
+     * Compiles sections to routes. For a route without a class, one route for each class is added, because each class
+     * has its own defaults.
      */
     void compile(List<RuleSection> sections) {
         Set<RoutePattern> declaredPatterns =
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfig.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfig.java
@@ -12,11 +12,11 @@
 import weldhitch.routeconfig.RuleSection.Setting;
 
 /**
- * A route configuration as read from a file: its problems and, if there are no errors, the routes that it
- * compiles to. The schema is described in docs/route-configuration.md. Immutable.
+ * A route configuration read from a file. It holds the problems found and, if there are no errors, the compiled
+ * routes. The schema is described in docs/route-configuration.md. Immutable.
  */
 public final class RouteConfig {
-    /** The last line of every file: a truncated file does not have it. */
+    /** The last line of every file, by which a truncated file is detected. */
     public static final String END_MARKER = "# end";
 
     private final List<ConfigProblem> problems;
@@ -32,7 +32,7 @@
      * Creates a configuration.
      *
      * @param routeTable the routes; null if there are errors
-     * @param settingsByRoute the settings in effect for each route, by its name
+     * @param settingsByRoute the settings in effect for each route, by the route's name
      * @param platform the platform's settings, or null if they are not known
      */
     RouteConfig(
@@ -54,7 +54,7 @@
         this.settingsByRoute = settingsByRoute;
     }
 
-    /** A configuration that cannot be used, because of problems that prevent its sections from being read. */
+    /** Returns an unusable configuration whose problems prevent its sections from being read. */
     static RouteConfig invalid(List<ConfigProblem> problems, BalancerSettings platform) {
         return new RouteConfig(problems, null, Map.of(), platform, null, null, null);
     }
@@ -63,23 +63,23 @@
      * One setting that is in effect for a request. Immutable.
      *
      * @param key the setting's key in the file
-     * @param value the setting, formatted for people
-     * @param source the section that made the setting and its line, or {@code platform}
+     * @param value the setting's value, formatted for people
+     * @param source the section that contains the setting and its line, or {@code platform}
      */
     public record EffectiveRule(String key, String value, String source) {}
 
     /**
      * The settings in effect for a request. Immutable.
      *
-     * @param route the route that matches; null if none does
+     * @param route the matching route; null if there is none
      * @param rules the settings in effect
      */
     public record Explanation(String route, List<EffectiveRule> rules) {}
 
     /**
-     * Reads and validates a file; blocks on it.
+     * Reads and validates a file. Blocks until the file is read.
      *
-     * @param platform the platform's settings; if null, only what does not depend on them is checked
+     * @param platform the platform's settings; if null, checks that depend on them are skipped
      */
     public static RouteConfig read(Path file, BalancerSettings platform) {
         return RouteConfigParser.read(file, platform);
@@ -90,56 +90,56 @@
      *
      * @param file the name of the file in problems
      * @param bytes the text in UTF-8
-     * @param platform the platform's settings; if null, only what does not depend on them is checked
+     * @param platform the platform's settings; if null, checks that depend on them are skipped
      */
     public static RouteConfig parse(String file, byte[] bytes, BalancerSettings platform) {
         return new RouteConfigParser(file, platform).parse(bytes);
     }
 
-    /** Errors and warnings, by line; empty if there are none. */
+    /** Returns the errors and warnings, ordered by line; empty if there are none. */
     public List<ConfigProblem> problems() {
         return problems;
     }
 
-    /** The problems that prevent the file from being used. */
+    /** Returns the problems that prevent the file from being used. */
     public List<ConfigProblem> errors() {
         return problems.stream().filter(problem -> !problem.warning()).toList();
     }
 
-    /** Whether the file has no errors, so that it can be activated. */
+    /** Returns whether the file has no errors and can be activated. */
     public boolean isUsable() {
         return routeTable != null;
     }
 
     /**
-     * The routes that the file compiles to.
+     * Returns the routes that the file compiles to.
      *
      * @throws IllegalStateException if the file is not {@link #isUsable}
      */
     public RouteTable routeTable() {
         if (routeTable == null) {
-            throw new IllegalStateException("a file with errors makes no routes");
+            throw new IllegalStateException("a route configuration with errors has no routes");
         }
         return routeTable;
     }
 
-    /** The capture settings; null if the file has none, or is not {@link #isUsable}. */
+    /** Returns the capture settings; null if the file has none or is not {@link #isUsable}. */
     public CaptureSettings capture() {
         return capture;
     }
 
-    /** How the node takes part in its fleet; null if the file does not say, or is not {@link #isUsable}. */
+    /** Returns the settings of a fleet member; null if the file has none or is not {@link #isUsable}. */
     public FleetSettings fleet() {
         return fleet;
     }
 
-    /** The locality rules; null if the file has none, or is not {@link #isUsable}. */
+    /** Returns the locality rules; null if the file has none or is not {@link #isUsable}. */
     public LocalityRules locality() {
         return locality;
     }
 
     /**
-     * The route that matches a request and the settings in effect for it. The file must be {@link #isUsable}.
+     * Returns the route that matches a request and the settings in effect for it. The file must be {@link #isUsable}.
      */
     public Explanation explain(String requestClass, String method, String target) {
         Route route = routeTable().match(requestClass, method, target);
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigParser.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigParser.java
@@ -21,8 +21,8 @@
 import weldhitch.routeconfig.RuleSection.Kind;
 
 /**
- * Reads a route configuration: its encoding, end marker and TOML syntax, then its sections, which are validated and
- * compiled. Called by {@link RouteConfig}. One instance parses one text; not thread-safe.
+ * Parses a route configuration: checks its encoding, end marker and TOML syntax, then reads, validates and compiles
+ * its sections. Called by {@link RouteConfig}. One instance parses one text; not thread-safe.
  */
 final class RouteConfigParser {
     private static final int MAX_BYTES = 1 << 20;
@@ -42,23 +42,26 @@
         this.platform = platform;
     }
 
-    /** Reads and parses a file; blocks on it. */
+    /** Reads and parses a file. Blocks until the file is read. */
     static RouteConfig read(Path file, BalancerSettings platform) {
         try {
             BasicFileAttributes attributesBefore = Files.readAttributes(file, BasicFileAttributes.class);
             if (attributesBefore.size() > MAX_BYTES) {
-                return unreadable(file, 0, "holds " + attributesBefore.size() + " bytes", "keep to " + MAX_BYTES);
+                return unreadable(file, 0, "has " + attributesBefore.size() + " bytes", "the limit is " + MAX_BYTES);
             }
             byte[] bytes = Files.readAllBytes(file);
             BasicFileAttributes attributesAfter = Files.readAttributes(file, BasicFileAttributes.class);
             if (bytes.length != attributesAfter.size()
                     || !attributesBefore.lastModifiedTime().equals(attributesAfter.lastModifiedTime())) {
                 return unreadable(
-                        file, 0, "was written to while it was read", "write a file beside it and rename that");
+                        file,
+                        0,
+                        "changed while it was read",
+                        "write a temporary file in the same directory and rename it");
             }
             return new RouteConfigParser(file.toString(), platform).parse(bytes);
         } catch (IOException e) {
-            return unreadable(file, 0, "cannot be read: " + e, "name a file that this user may read");
+            return unreadable(file, 0, "cannot be read: " + e, "specify a file that this user may read");
         }
     }
 
@@ -67,7 +70,7 @@
         return RouteConfig.invalid(List.of(problem), null);
     }
 
-    /** Parses a text in UTF-8. */
+    /** Parses a text encoded in UTF-8. */
     RouteConfig parse(byte[] bytes) {
         String text;
         try {
@@ -97,7 +100,7 @@
                     lineCount,
                     "",
                     "does not end with the line \"" + RouteConfig.END_MARKER + "\"",
-                    "a truncated file is rejected: write all of it, with this line last",
+                    "truncated files are rejected: write the complete file, with this line last",
                     false));
         }
     }
@@ -113,13 +116,13 @@
                 file,
                 line,
                 "",
-                "is no TOML: " + e.getOriginalMessage().lines().findFirst().orElse(""),
-                "fix this line; what comes after it was not checked",
+                "is not valid TOML: " + e.getOriginalMessage().lines().findFirst().orElse(""),
+                "fix this line; the lines after it were not checked",
                 false));
     }
 
     private RouteConfig readSections(JsonNode root, TomlLineIndex lineIndex) {
-        // The order of these steps is that of the problems of one line.
+        // Problems on the same line are listed in the order of these steps.
         TomlValueReader values = new TomlValueReader(file, lineIndex, problems);
         List<RuleSection> sections = new RouteConfigReader(values).read(root);
         CaptureSettings capture = new CaptureSectionReader(values).read(root.get("capture"));
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigReader.java
@@ -12,8 +12,8 @@
 import weldhitch.routeconfig.RuleSection.Setting;
 
 /**
- * Reads the defaults, classes and routes of a parsed TOML document. A problem is reported and its setting left out,
- * so that one pass finds all problems. Used by {@link RouteConfigParser} for one file; not thread-safe.
+ * Reads the defaults, classes and routes of a parsed TOML document. An invalid setting is reported and skipped, so
+ * that one pass finds all problems. Used by {@link RouteConfigParser} for one file; not thread-safe.
  */
 final class RouteConfigReader {
     static final int MAX_ROUTES = 5000;
@@ -29,7 +29,7 @@
     private final RuleSettingsReader settingsReader;
     private final RoutePatternReader patterns;
 
-    /** Creates a reader that reads and reports by {@code values}. */
+    /** Creates a reader that uses {@code values} to read values and report problems. */
     RouteConfigReader(TomlValueReader values) {
         this.values = values;
         settingsReader = new RuleSettingsReader(values);
@@ -51,7 +51,7 @@
         if (version == null) {
             values.error("version", "is missing", "write version = 1 at the top");
         } else if (!version.isInt() || version.intValue() != 1) {
-            values.error("version", "is " + version + ", which this program does not know", "write version = 1");
+            values.error("version", "is " + version + ", which this program does not support", "write version = 1");
         }
     }
 
@@ -93,7 +93,7 @@
             return;
         }
         if (routes.size() > MAX_ROUTES) {
-            values.error("route", "there are " + routes.size() + " routes", "keep to " + MAX_ROUTES);
+            values.error("route", "there are " + routes.size() + " routes", "write at most " + MAX_ROUTES);
             return;
         }
         Map<String, Integer> lineByName = new HashMap<>();
@@ -114,21 +114,24 @@
     }
 
     /**
-     * The route's name; null if it has none. A name that is invalid or taken by another route is reported.
+     * Returns the route's name; null if it has none. Reports a name that is missing, invalid or used by another route.
      *
-     * @param lineByName the lines of the routes read before, by name; receives this one
+     * @param lineByName the lines of the routes read before, by name; this route is added to it
      */
     private String readName(JsonNode route, String key, Map<String, Integer> lineByName) {
         String name = values.readText(route, key, "name");
         if (name == null && route.get("name") == null) {
-            values.error(key, "has no name", "give each route a name of its own, such as name = \"cancel\"");
+            values.error(key, "has no name", "give each route a unique name, such as name = \"cancel\"");
         } else if (name != null && !TomlValueReader.NAME_PATTERN.matcher(name).matches()) {
-            values.error(key + ".name", "\"" + name + "\" is no name", "use 1 to 64 letters, digits, dots, - and _");
+            values.error(
+                    key + ".name",
+                    "\"" + name + "\" is not a valid name",
+                    "use 1 to 64 letters, digits, dots, - and _");
         } else if (name != null && lineByName.putIfAbsent(name, values.lineOf(key)) != null) {
             values.error(
                     key + ".name",
                     "\"" + name + "\" is the name of the route on line " + lineByName.get(name) + " too",
-                    "give each route a name of its own");
+                    "give each route a unique name");
         }
         return name;
     }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigValidator.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigValidator.java
@@ -23,11 +23,11 @@
 import weldhitch.routeconfig.RuleSection.Setting;
 
 /**
- * Validates sections against the platform, the product's invariants, and each other. Used by {@link
+ * Validates sections against the platform's settings, the balancer's invariants, and each other. Used by {@link
  * RouteConfigParser} for one file; not thread-safe.
  */
 final class RouteConfigValidator {
-    /** A hedge percentile that needs more than this many seconds of traffic is warned of. */
+    /** A hedge percentile that needs more than this many seconds of traffic causes a warning. */
     private static final int MAX_SAMPLING_SECONDS = 60;
 
     private final String file;
@@ -52,7 +52,7 @@
                 : platform.classes().stream().collect(Collectors.toMap(RequestClass::name, Function.identity()));
     }
 
-    /** Checks each section by itself, and routes for ambiguity. */
+    /** Checks each section by itself, and all pairs of routes for ambiguity. */
     void validate(List<RuleSection> sections) {
         for (RuleSection section : sections) {
             String requestClass = section.pattern().requestClass();
@@ -60,7 +60,7 @@
                 String key = section.kind() == Kind.CLASS ? section.key() : classKey(section);
                 error(
                         key,
-                        "the platform knows no class \"" + requestClass + "\"",
+                        "the platform has no class \"" + requestClass + "\"",
                         SpellingSuggestions.suggest(requestClass, classByName.keySet()));
             }
             checkSection(section);
@@ -75,7 +75,7 @@
         }
     }
 
-    /** The key that determines a route's class: its class or its path. */
+    /** Returns the key that determines a route's class: {@code class}, {@code path} or {@code prefix}. */
     private String classKey(RuleSection section) {
         for (String name : List.of("class", "path", "prefix")) {
             if (lineIndex.contains(section.key() + "." + name)) {
@@ -100,11 +100,11 @@
                             + (identical ? "" : ", and some requests match both"),
                     identical
                             ? "merge the two, or give one a method, class or longer path"
-                            : "give one of them the other's method or class too");
+                            : "add the other's method or class to one of them");
         }
     }
 
-    /** Reports settings of a section that are invalid for its classes, whatever other sections set. */
+    /** Reports settings of a section that are invalid for its classes, regardless of other sections. */
     private void checkSection(RuleSection section) {
         Idempotency idempotency = idempotencyOf(section.pattern().requestClass());
         checkRetryOn(section, idempotency);
@@ -124,10 +124,10 @@
             if (!possiblyExecuted.isEmpty()) {
                 error(
                         retryOn.key(),
-                        "class " + section.pattern().requestClass() + " is unsafe: after "
+                        "class " + section.pattern().requestClass() + " is not idempotent: after "
                                 + String.join(", ", possiblyExecuted)
                                 + " the request may have run, and a retry could run it twice",
-                        "keep to connect-failed and full");
+                        "list only connect-failed and full");
             }
         }
     }
@@ -139,10 +139,10 @@
                 error(
                         hedge.key(),
                         "class " + section.pattern().requestClass()
-                                + " is not safe: a hedged request could run it twice",
-                        "leave hedge out or write hedge = \"off\"");
+                                + " is not idempotent: a hedged request could run twice",
+                        "remove hedge or write hedge = \"off\"");
             } else if (platform != null && !platform.limits().hedgingAllowed()) {
-                error(hedge.key(), "the platform allows no hedged requests", "leave hedge out");
+                error(hedge.key(), "the platform does not allow hedged requests", "remove hedge");
             }
         }
     }
@@ -154,9 +154,9 @@
                 && (int) attempts.value() > platform.limits().maxAttempts()) {
             error(
                     attempts.key(),
-                    attempts.value() + " is more than the platform's "
+                    attempts.value() + " is more than the platform's limit of "
                             + platform.limits().maxAttempts(),
-                    "a route can only narrow it: write 1 to "
+                    "a route can only lower the limit: write 1 to "
                             + platform.limits().maxAttempts());
         }
     }
@@ -165,14 +165,14 @@
         Setting retryAfter = section.settings().get(RuleKey.RETRY_AFTER);
         if (platform != null && retryAfter != null) {
             if (!platform.limits().retryAfterAllowed()) {
-                error(retryAfter.key(), "the platform allows no Retry-After", "leave it out");
+                error(retryAfter.key(), "the platform does not allow Retry-After", "remove it");
             } else if (((RetryAfterBounds) retryAfter.value()).max()
                     > platform.limits().maxRetryAfter()) {
                 error(
                         retryAfter.key() + ".max",
-                        "is longer than the platform's "
+                        "is longer than the platform's limit of "
                                 + ValueFormat.formatDuration(platform.limits().maxRetryAfter()),
-                        "make it as long or shorter");
+                        "make it at most that long");
             }
         }
     }
@@ -186,7 +186,7 @@
                 if (!tenant.equals("*") && !tenantNames.contains(tenant)) {
                     error(
                             tenants.key() + "." + tenant,
-                            "the platform knows no such tenant",
+                            "the platform has no such tenant",
                             SpellingSuggestions.suggest((String) tenant, tenantNames));
                 }
             }
@@ -194,9 +194,11 @@
     }
 
     /**
-     * The settings that are in effect for one class, or any (null), once narrower sections override wider
-     * ones. Reports those that contradict each other, and drops hedging and retries that the class does not
-     * allow.
+     * Returns the settings in effect for one class, or for any class (null), with hedging and retries that the class
+     * does not allow removed. Reports settings that contradict each other.
+     *
+     * @param merged the settings after narrower sections have overridden wider ones
+     * @param section the section whose route the settings are for
      */
     Map<RuleKey, Setting> effectiveSettings(Map<RuleKey, Setting> merged, RuleSection section, String requestClass) {
         Map<RuleKey, Setting> settings = applicableTo(merged, idempotencyOf(requestClass));
@@ -227,8 +229,8 @@
                 error(
                         problemKey(section, attempts, attemptTimeout, backoff, deadlineSetting),
                         maxAttempts + " attempts"
-                                + (attempts == null ? " (the platform's, as attempts is not set)" : "")
-                                + " with their time-outs and back-off can take "
+                                + (attempts == null ? " (the platform's limit, as attempts is not set)" : "")
+                                + " with their timeouts and backoff can take "
                                 + ValueFormat.formatDuration(worstCaseTime) + ", longer than "
                                 + deadlineText
                                 + ValueFormat.formatDuration(deadline),
@@ -242,7 +244,7 @@
         return settings;
     }
 
-    /** Drops hedging and the retries that a class does not allow. */
+    /** Returns the settings without the hedging and retries that a class does not allow. */
     private static Map<RuleKey, Setting> applicableTo(Map<RuleKey, Setting> merged, Idempotency idempotency) {
         Map<RuleKey, Setting> settings = new EnumMap<>(RuleKey.class);
         settings.putAll(merged);
@@ -265,7 +267,10 @@
         return settings;
     }
 
-    /** How long all attempts take if each reaches its time-out, with the longest back-off between them. */
+    /**
+     * Returns the time that all attempts take, in nanoseconds, if each reaches its timeout and the backoff between them
+     * is the longest possible.
+     */
     private static long worstCaseTime(int maxAttempts, Setting attemptTimeout, Setting backoff) {
         long worstCaseTime = attemptTimeout == null ? 0 : maxAttempts * (long) attemptTimeout.value();
         for (int retry = 1; backoff != null && retry < maxAttempts; retry++) {
@@ -280,8 +285,8 @@
         if (maxAttempts == 1) {
             error(
                     problemKey(section, hedge, settings.get(RuleKey.ATTEMPTS)),
-                    "a hedge is a second attempt, and attempts is 1",
-                    "write attempts = 2 or more, or leave hedge out");
+                    "a hedged request needs a second attempt, but attempts is 1",
+                    "write attempts = 2 or more, or remove hedge");
         }
         if (hedge.value() instanceof HedgeAfterDelay fixedDelay) {
             long limit = attemptTimeout == null ? deadline : (long) attemptTimeout.value();
@@ -289,7 +294,7 @@
                 error(
                         problemKey(section, hedge, attemptTimeout, settings.get(RuleKey.DEADLINE)),
                         "hedge after " + ValueFormat.formatDuration(fixedDelay.delay())
-                                + " never comes: the " + (attemptTimeout == null ? "deadline" : "attempt-timeout")
+                                + " never happens: the " + (attemptTimeout == null ? "deadline" : "attempt-timeout")
                                 + " is "
                                 + ValueFormat.formatDuration(limit),
                         "make it shorter");
@@ -302,17 +307,17 @@
             warn(
                     problemKey(section, hedge, expectedRate),
                     ValueFormat.formatNumber((double) expectedRate.value())
-                            + " requests a second take longer than " + MAX_SAMPLING_SECONDS + " s for the "
+                            + " requests a second take longer than " + MAX_SAMPLING_SECONDS + " s to yield the "
                             + percentile.minSamples()
-                            + " answers that percentile " + ValueFormat.formatNumber(percentile.percentile())
+                            + " responses that percentile " + ValueFormat.formatNumber(percentile.percentile())
                             + " needs",
                     "lower the percentile, or write hedge = { after = \"...\" }");
         }
     }
 
     /**
-     * The key to report: that of the first of these settings which the section sets itself, else of the first
-     * that is set at all.
+     * Returns the key to report: the key of the first candidate that the section itself sets, or else of the first
+     * candidate that is set at all.
      */
     private static String problemKey(RuleSection section, Setting... candidates) {
         String firstKey = null;
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteExplainer.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteExplainer.java
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Explains one request.
+     * Returns the route and the effective settings of one request.
      *
-     * @param route the route that matches it; null if none does
-     * @param settings the settings that the file makes for that route
+     * @param route the route that matches the request; null if there is none
+     * @param settings the settings that the file contains for that route
      * @param requestClass the request's class
      */
     Explanation explain(Route route, Map<RuleKey, Setting> settings, String requestClass) {
@@ -52,8 +52,8 @@
     }
 
     /**
-     * The setting in effect if the file does not make it; {@code -} if the node decides it by itself, or it
-     * is not known here.
+     * Returns the value in effect if the file does not contain the setting; {@code -} if the node determines the value
+     * or the platform's settings are not known.
      */
     private String platformDefault(RuleKey key, String requestClass) {
         if (platform == null) {
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RoutePatternReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RoutePatternReader.java
@@ -6,31 +6,31 @@
 import java.util.Locale;
 import weldhitch.decision.routing.RoutePattern;
 
-/** Reads which requests a route matches. Used by {@link RouteConfigReader} for one file; not thread-safe. */
+/** Reads the pattern of the requests that a route matches. Used by {@link RouteConfigReader}; not thread-safe. */
 final class RoutePatternReader {
     private static final List<String> MATCH_KEYS = List.of("class", "method", "path", "prefix");
     private static final List<String> METHODS = List.of("GET", "POST");
 
     private final TomlValueReader values;
 
-    /** Creates a reader that reads and reports by {@code values}. */
+    /** Creates a reader that uses {@code values} to read values and report problems. */
     RoutePatternReader(TomlValueReader values) {
         this.values = values;
     }
 
-    /** The pattern of the route at {@code key}; null, with a problem, if it is invalid. */
+    /** Returns the pattern of the route at {@code key}; reports a problem and returns null if it is invalid. */
     RoutePattern readPattern(JsonNode route, String key) {
         String requestClass = values.readText(route, key, "class");
         String method = values.readText(route, key, "method");
         if (method != null && !METHODS.contains(method)) {
             values.error(
                     key + ".method",
-                    "\"" + method + "\" is not taken by the node",
+                    "\"" + method + "\" is not a method that the node accepts",
                     SpellingSuggestions.suggest(method.toUpperCase(Locale.ROOT), METHODS));
             return null;
         }
         if (route.has("path") && route.has("prefix")) {
-            values.error(key + ".prefix", "stands beside path", "give one of the two");
+            values.error(key + ".prefix", "is set together with path", "set only one of the two");
             return null;
         }
         boolean prefix = !route.has("path");
@@ -53,8 +53,8 @@
             if (requestClass != null && !requestClass.equals(segments.get(0))) {
                 values.error(
                         pathKey,
-                        "no request of class " + requestClass + " has it: a path begins with its class",
-                        "begin it with /" + requestClass + " or leave class out");
+                        "no request of class " + requestClass + " matches: a path begins with its class",
+                        "start it with /" + requestClass + " or remove class");
                 return null;
             }
             requestClass = segments.get(0);
@@ -68,7 +68,10 @@
                 || path.contains("#")
                 || path.contains("//")
                 || !path.chars().allMatch(c -> c > ' ' && c < 127)) {
-            values.error(key, "\"" + path + "\" is no path", "begin with /, without query, spaces and empty parts");
+            values.error(
+                    key,
+                    "\"" + path + "\" is not a valid path",
+                    "start it with / and leave out query, spaces and empty segments");
             return null;
         }
         List<String> segments = new ArrayList<>();
@@ -78,10 +81,10 @@
                     || isVariable && !templateAllowed) {
                 values.error(
                         key,
-                        "\"" + segment + "\" is no part of a " + (templateAllowed ? "template" : "prefix"),
+                        "\"" + segment + "\" is not a valid segment of a " + (templateAllowed ? "template" : "prefix"),
                         templateAllowed
-                                ? "write {name} for a whole part"
-                                : "write out each part, or use path for a template");
+                                ? "write {name} in place of an entire segment"
+                                : "write out each segment, or use path for a template");
                 return null;
             }
             if (!segment.isEmpty()) {
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RuleKey.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RuleKey.java
@@ -1,6 +1,6 @@
 package weldhitch.routeconfig;
 
-/** The settings that a route, a class or the defaults may make, with their keys in the file. Immutable. */
+/** The settings that a route, a class or the defaults may contain, with their keys in the file. Immutable. */
 enum RuleKey {
     DEADLINE("deadline"),
     ATTEMPT_TIMEOUT("attempt-timeout"),
@@ -19,7 +19,7 @@
         this.tomlName = tomlName;
     }
 
-    /** The setting with this key, or null. */
+    /** Returns the setting with this key, or null if there is none. */
     static RuleKey fromTomlName(String tomlName) {
         for (RuleKey key : values()) {
             if (key.tomlName.equals(tomlName)) {
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RuleSettingsReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RuleSettingsReader.java
@@ -18,8 +18,8 @@
 import weldhitch.routeconfig.RuleSection.Setting;
 
 /**
- * Reads the settings that the defaults, a class or a route may make. A setting with a problem is left out. Used by
- * {@link RouteConfigReader} for one file; not thread-safe.
+ * Reads the settings that the defaults, a class or a route may contain. An invalid setting is reported and left out.
+ * Used by {@link RouteConfigReader} for one file; not thread-safe.
  */
 final class RuleSettingsReader {
     private static final long NANOS_PER_MICRO = 1_000L;
@@ -33,7 +33,7 @@
 
     private final TomlValueReader values;
 
-    /** Creates a reader that reads and reports by {@code values}. */
+    /** Creates a reader that uses {@code values} to read values and report problems. */
     RuleSettingsReader(TomlValueReader values) {
         this.values = values;
     }
@@ -42,7 +42,7 @@
      * Reads the settings of one section.
      *
      * @param parentKey the section's key
-     * @param source how messages refer to the section
+     * @param source the name by which messages refer to the section
      */
     Map<RuleKey, Setting> readSettings(JsonNode table, String parentKey, String source) {
         Map<RuleKey, Setting> settings = new EnumMap<>(RuleKey.class);
@@ -97,7 +97,7 @@
             if (outcome == null) {
                 values.error(
                         key + "[" + i + "]",
-                        value.get(i) + " is no outcome",
+                        value.get(i) + " is not a retryable outcome",
                         SpellingSuggestions.suggest(value.get(i).asText(), OutcomeNames.retryableNames()));
                 valid = false;
             } else {
@@ -127,7 +127,7 @@
             if (value.textValue().equals("off")) {
                 return new HedgingDisabled();
             }
-            values.error(key, value + " is no hedge", "write hedge = " + example);
+            values.error(key, value + " is not a hedge setting", "write hedge = " + example);
             return null;
         }
         if (!values.requireMembers(value, key, List.of("after", "percentile"), List.of(), example)) {
@@ -136,7 +136,7 @@
         if (value.has("after") == value.has("percentile")) {
             values.error(
                     key,
-                    value.isEmpty() ? "says neither after nor percentile" : "says both after and percentile",
+                    value.isEmpty() ? "sets neither after nor percentile" : "sets both after and percentile",
                     "write hedge = " + example);
             return null;
         }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/SpellingSuggestions.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/SpellingSuggestions.java
@@ -3,11 +3,11 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Suggests a known word for one that is not known. Stateless and thread-safe. */
+/** Suggests a known word in place of an unknown one. Stateless and thread-safe. */
 final class SpellingSuggestions {
     private SpellingSuggestions() {}
 
-    /** The suggestion: the nearest known word, or a list of all. */
+    /** Returns a suggestion: the nearest known word, or a list of all known words if none is near. */
     static String suggest(String unknown, Collection<String> known) {
         String nearest = null;
         int minDistance = Math.max(2, unknown.length() / 2) + 1;
@@ -22,7 +22,7 @@
         return nearest != null ? "did you mean \"" + nearest + "\"?" : "known: " + String.join(", ", sortedNames);
     }
 
-    /** The edit distance of two words: inserted, deleted and substituted letters (Levenshtein). */
+    /** Returns the Levenshtein distance of two words: the number of inserted, deleted and substituted letters. */
     private static int editDistance(String first, String second) {
         int[] row = new int[second.length() + 1];
         for (int j = 0; j < row.length; j++) {
--- a/routeconfig/src/main/java/weldhitch/routeconfig/SpillPolicyReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/SpillPolicyReader.java
@@ -6,8 +6,8 @@
 import weldhitch.fleet.locality.LocalityRule.SpillPolicy;
 
 /**
- * Reads when and how much one rule of {@code [[locality]]} spills over. Used by {@link LocalitySectionReader}, a new
- * one for each rule; not thread-safe.
+ * Reads the spill policy of one rule of {@code [[locality]]}. {@link LocalitySectionReader} creates a new reader for
+ * each rule. Not thread-safe.
  */
 final class SpillPolicyReader {
     private static final long MIN_DWELL = 100_000_000L;
@@ -23,12 +23,12 @@
     private final TomlValueReader values;
     private boolean valid = true;
 
-    /** Creates a reader that reads and reports by {@code values}. */
+    /** Creates a reader that uses {@code values} to read values and report problems. */
     SpillPolicyReader(TomlValueReader values) {
         this.values = values;
     }
 
-    /** When and how much the rule at {@code key} spills over; null, with a problem, if a setting is invalid. */
+    /** Returns the spill policy of the rule at {@code key}; reports a problem and returns null if it is invalid. */
     SpillPolicy read(JsonNode table, String key) {
         HysteresisBand utilization = readBand(table, key, "use", DEFAULT_UTILIZATION, false);
         HysteresisBand healthyFraction = readBand(table, key, "healthy", DEFAULT_HEALTHY_FRACTION, true);
@@ -45,13 +45,13 @@
         if (maxFraction != null && maxFraction == 0) {
             error(
                     key + ".most",
-                    "is 0, so nothing would ever spill",
-                    "leave the further preferences out of prefer instead");
+                    "is 0, so no request would ever spill over",
+                    "remove the further preferences from prefer instead");
         } else if (maxFraction != null && uncoordinatedFraction != null && uncoordinatedFraction > maxFraction) {
             error(
                     key + ".alone",
                     "is more than most, " + maxFraction,
-                    "a node without a quota may spill a smaller fraction");
+                    "lower it: without a quota grant a node may not spill over more than most");
         }
         return valid
                 ? new SpillPolicy(
@@ -68,8 +68,8 @@
     /**
      * Reads a hysteresis band.
      *
-     * @param rising whether a level stops being short above the figure at which it begins to be, rather than
-     *     below it
+     * @param rising whether {@code end}, at which a priority level is no longer short of capacity, has to be above
+     *     {@code begin}, at which it becomes short, rather than below it
      */
     private HysteresisBand readBand(
             JsonNode table, String parentKey, String name, HysteresisBand defaultBand, boolean rising) {
@@ -95,8 +95,8 @@
         if (rising ? end <= begin : end >= begin) {
             error(
                     key + ".end",
-                    "is not " + (rising ? "over" : "under") + " begin, " + begin + ": a priority level would flap",
-                    "put them apart, as { begin = " + defaultBand.begin() + ", end = " + defaultBand.end() + " }");
+                    "is not " + (rising ? "above" : "below") + " begin, " + begin + ": the priority level would flap",
+                    "separate them, such as { begin = " + defaultBand.begin() + ", end = " + defaultBand.end() + " }");
             return defaultBand;
         }
         return new HysteresisBand(begin, end);
--- a/routeconfig/src/main/java/weldhitch/routeconfig/TomlLineIndex.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/TomlLineIndex.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Finds the line of each key of a TOML document (TOML 1.0), as the library that reads the values does not
- * report it. Tables of an array are numbered, {@code route[0].deadline}. For a document with syntax errors
- * the index is useful only up to the first one. Immutable once it is constructed.
+ * Finds the line of each key of a TOML 1.0 document, because the library that reads the values does not report lines.
+ * The tables of an array are numbered from 0, as in {@code route[0].deadline}. For a document with syntax errors the
+ * index is correct only up to the first error. Immutable once it is constructed.
  */
 public final class TomlLineIndex {
     private final String text;
@@ -35,7 +35,7 @@
         }
     }
 
-    /** The line of the key, or of the nearest key that encloses it; 1 if there is none. */
+    /** Returns the line of the key, or of the nearest key that encloses it; 1 if there is none. */
     public int lineOf(String key) {
         for (String enclosingKey = key; !enclosingKey.isEmpty(); enclosingKey = parentKey(enclosingKey)) {
             if (lineByKey.containsKey(enclosingKey)) {
@@ -45,12 +45,12 @@
         return 1;
     }
 
-    /** The first line whose key was set before; 0 if there is none. */
+    /** Returns the first line that repeats a key set on an earlier line; 0 if there is none. */
     public int firstDuplicateLine() {
         return firstDuplicateLine;
     }
 
-    /** Whether the document sets this key. */
+    /** Returns whether the document sets this key. */
     boolean contains(String key) {
         return lineByKey.containsKey(key);
     }
@@ -150,7 +150,7 @@
         }
         String content = text.substring(start, position);
         position += delimiter.length();
-        // A multi-line string may end with up to two quotes of its own.
+        // The content of a multi-line string may end with up to two quotes, directly before the delimiter.
         while (delimiter.length() == 3 && position < text.length() && text.charAt(position) == quote) {
             position++;
         }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/TomlValueReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/TomlValueReader.java
@@ -8,11 +8,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads single values of a parsed TOML document and reports those that are invalid, with their line. Shared by the
- * section readers of one file; not thread-safe.
+ * Reads single values of a parsed TOML document and reports invalid ones with their line. Shared by the section
+ * readers of one file; not thread-safe.
  */
 final class TomlValueReader {
-    /** What the names of routes, rules, zones and fleets consist of. */
+    /** The pattern of the names of routes, rules, zones and fleets. */
     static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
 
     private static final long MAX_DURATION = 60_000_000_000L;
@@ -31,26 +31,29 @@
         this.problems = problems;
     }
 
-    /** The line of a key. */
+    /** Returns the line of a key. */
     int lineOf(String key) {
         return lineIndex.lineOf(key);
     }
 
-    /** Nanoseconds from {@code min} to a minute; null, with a problem, for anything else. */
+    /**
+     * Returns the nanoseconds of a duration from {@code min} nanoseconds to one minute; reports a problem and returns
+     * null for anything else.
+     */
     Long readDuration(JsonNode value, String key, long min) {
         return readDuration(value, key, min, MAX_DURATION);
     }
 
     /**
-     * Nanoseconds from a text such as {@code "250ms"}; null, with a problem, if it is not a duration from
-     * {@code min} to {@code max}.
+     * Returns the nanoseconds of a duration such as {@code "250ms"}; reports a problem and returns null if the value is
+     * not a duration from {@code min} to {@code max} nanoseconds.
      */
     Long readDuration(JsonNode value, String key, long min, long max) {
         Matcher matcher = value.isTextual() ? DURATION_PATTERN.matcher(value.textValue()) : null;
         if (matcher == null || !matcher.matches()) {
             error(
                     key,
-                    value + (value.isNumber() ? " has no unit" : " is no span of time"),
+                    value + (value.isNumber() ? " has no unit" : " is not a duration"),
                     value.isNumber()
                             ? "write \"" + value + "ms\" or \"" + value + "s\""
                             : "write a number and us, ms, s or m, such as \"250ms\"");
@@ -61,63 +64,67 @@
             error(
                     key,
                     value + " is out of range",
-                    "from " + ValueFormat.formatDuration(min) + " to " + ValueFormat.formatDuration(max));
+                    "write a duration from " + ValueFormat.formatDuration(min) + " to "
+                            + ValueFormat.formatDuration(max));
             return null;
         }
         return (long) nanos;
     }
 
-    /** A whole number from {@code min} to {@code max}; null, with a problem, for anything else. */
+    /** Returns an integer from {@code min} to {@code max}; reports a problem and returns null for anything else. */
     Integer readInteger(JsonNode value, String key, int min, int max) {
         if (!value.isIntegralNumber() || !value.canConvertToInt() || value.intValue() < min || value.intValue() > max) {
             error(
                     key,
                     value + " is not a whole number from " + min + " to " + max,
-                    "write one of these, without quotes");
+                    "write such a number without quotes");
             return null;
         }
         return value.intValue();
     }
 
-    /** A number from {@code min} to {@code max}; null, with a problem, for anything else. */
+    /** Returns a number from {@code min} to {@code max}; reports a problem and returns null for anything else. */
     Double readNumber(JsonNode value, String key, double min, double max) {
         if (!value.isNumber() || !(value.doubleValue() >= min && value.doubleValue() <= max)) {
             error(
                     key,
                     value + " is not a number from " + ValueFormat.formatNumber(min) + " to "
                             + ValueFormat.formatNumber(max),
-                    "write one of these, without quotes");
+                    "write such a number without quotes");
             return null;
         }
         return value.doubleValue();
     }
 
-    /** A text that is not empty; null if the key is absent or, with a problem, for anything else. */
+    /**
+     * Returns a string that is not empty. Returns null if the key is absent; reports a problem and returns null for
+     * anything else.
+     */
     String readText(JsonNode table, String parentKey, String name) {
         JsonNode value = table.get(name);
         if (value == null) {
             return null;
         }
         if (!value.isTextual() || value.textValue().isEmpty()) {
-            error(parentKey + "." + name, value + " is no text", "write " + name + " = \"...\"");
+            error(parentKey + "." + name, value + " is not a non-empty string", "write " + name + " = \"...\"");
             return null;
         }
         return value.textValue();
     }
 
-    /** Whether the value is a table; an absent value is not, without a problem. */
+    /** Returns whether the value is a table. Reports any other value as a problem, unless it is absent (null). */
     boolean requireTable(JsonNode value, String key) {
         if (value != null && !value.isObject()) {
-            error(key, value + " is no table", "write [" + key + "] and its rules below it");
+            error(key, value + " is not a table", "write [" + key + "] and its settings below it");
         }
         return value != null && value.isObject();
     }
 
-    /** Whether the value is a table with all needed keys and no unknown ones; reports what is not so. */
+    /** Returns whether the value is a table with all required keys and no unknown ones; reports each violation. */
     boolean requireMembers(
             JsonNode value, String key, List<String> knownKeys, List<String> requiredKeys, String example) {
         if (!value.isObject()) {
-            error(key, value + " is no table", "write " + example);
+            error(key, value + " is not a table", "write " + example);
             return false;
         }
         boolean valid = requireKnownKeys(value, key, knownKeys);
@@ -130,14 +137,14 @@
         return valid;
     }
 
-    /** Whether a table has no unknown keys; reports those that it has. */
+    /** Returns whether a table has no unknown keys; reports each unknown key. */
     boolean requireKnownKeys(JsonNode table, String parentKey, Collection<String> knownKeys) {
         boolean valid = true;
         for (Map.Entry<String, JsonNode> entry : table.properties()) {
             if (!knownKeys.contains(entry.getKey())) {
                 error(
                         parentKey.isEmpty() ? entry.getKey() : parentKey + "." + entry.getKey(),
-                        "is no key that is known here",
+                        "is not a known key",
                         SpellingSuggestions.suggest(entry.getKey(), knownKeys));
                 valid = false;
             }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/ValueFormat.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/ValueFormat.java
@@ -6,7 +6,7 @@
 final class ValueFormat {
     private ValueFormat() {}
 
-    /** A duration in s, ms or us. */
+    /** Formats nanoseconds as a duration in s, ms or us. */
     static String formatDuration(long nanos) {
         if (nanos >= 1_000_000_000L) {
             return formatNumber(nanos / 1e9) + "s";
@@ -14,7 +14,7 @@
         return nanos >= 1_000_000L ? formatNumber(nanos / 1e6) + "ms" : formatNumber(nanos / 1e3) + "us";
     }
 
-    /** A number without exponent and trailing zeros. */
+    /** Formats a number without exponent and trailing zeros. */
     static String formatNumber(double number) {
         return BigDecimal.valueOf(number).stripTrailingZeros().toPlainString();
     }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/package-info.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The route configuration (a TOML file that operators write): reads it, checks it against the platform and
- * the product's invariants, and compiles it into routes. Files are read once and completely; nothing here
- * runs on the path of a request.
+ * Reads the route configuration, a TOML file written by operators, checks it against the platform's settings and the
+ * balancer's invariants, and compiles it into routes. Files are read once and completely; no code of this package runs
+ * on the path of a request.
  */
 package weldhitch.routeconfig;
--- a/routeconfig/src/test/java/weldhitch/routeconfig/InvalidFilesTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/InvalidFilesTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Each invalid file lists in its first lines the problems that must be found in it: {@code #! line | key |
- * part of the reason}.
+ * Tests that invalid files are rejected. Each file lists the problems to be found in it in its first lines, as
+ * {@code #! line | key | part of the description}.
  */
 class InvalidFilesTest {
     private static final Path DIRECTORY = Path.of("routeconfig/src/test/resources/broken");
@@ -27,12 +27,12 @@
     }
 
     @Test
-    void fortyOrMoreFilesAreTested() throws IOException {
+    void atLeastFortyFilesAreTested() throws IOException {
         assertTrue(files().size() >= 40);
     }
 
     @TestFactory
-    Stream<DynamicTest> eachFileIsRejectedWithReasonAndLocation() throws IOException {
+    Stream<DynamicTest> eachFileIsRejectedWithDescriptionAndLocation() throws IOException {
         return files().stream()
                 .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> assertExpectedProblems(f)));
     }
@@ -51,7 +51,8 @@
                     .filter(p -> p.key().equals(expectation[1].trim())
                             && p.description().contains(expectation[2]))
                     .findFirst()
-                    .orElseThrow(() -> new AssertionError(String.join(" | ", expectation) + " in " + allProblems));
+                    .orElseThrow(
+                            () -> new AssertionError(String.join(" | ", expectation) + " not found in " + allProblems));
             assertEquals(Integer.parseInt(expectation[0]), problem.line(), allProblems);
             assertFalse(problem.remedy().isEmpty());
             assertTrue(problem.toString().startsWith(file + ":" + expectation[0] + ": error: "));
--- a/routeconfig/src/test/java/weldhitch/routeconfig/LocalityConfigTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/LocalityConfigTest.java
@@ -18,8 +18,8 @@
 import weldhitch.fleet.locality.LocalityRules;
 
 /**
- * Tests {@code [zones]} and {@code [[locality]]}: the rules they yield, and that each error names its line
- * and key.
+ * Tests which rules are read from {@code [zones]} and {@code [[locality]]}, and that each error states its line and
+ * key.
  */
 class LocalityConfigTest {
     private static final BalancerSettings PLATFORM =
@@ -79,41 +79,42 @@
             value = {
                 "rate = 40.0 | rate = 0 | 3 | zones.rate | not a number",
                 "rate = 40.0 | | 2 | zones | rate is missing",
-                "rate = 40.0 | rate = 40.0\\nrates = 1 | 4 | zones.rates | no key that is known",
+                "rate = 40.0 | rate = 40.0\\nrates = 1 | 4 | zones.rates | not a known key",
                 "centre = [\"kigali\", \"huye\"] | centre = [\"kigali\", \"huyé\"] | 5 | "
-                        + "zones.regions.centre | is no name",
+                        + "zones.regions.centre | is not a valid name",
                 "centre = [\"kigali\", \"huye\"] | centre = [\"kigali\", \"butare\"] | 5 | "
-                        + "zones.regions.centre | knows no zone \"butare\"",
+                        + "zones.regions.centre | has no zone \"butare\"",
                 "west = [\"rusizi\"] | west = [\"rusizi\", \"huye\"] | 6 | zones.regions.west | "
                         + "zone huye is in region centre too",
-                "west = [\"rusizi\"] | any = [\"rusizi\"] | 6 | zones.regions.any | is the name of a step too",
+                "west = [\"rusizi\"] | any = [\"rusizi\"] | 6 | zones.regions.any | "
+                        + "is the name of a built-in preference too",
                 "name = \"records\" | name = \"all\" | 14 | locality[1].name | name of another rule",
                 "name = \"records\" | | 7 | locality[0] | has no name",
-                "class = \"book\" | class = \"books\" | 9 | locality[0].class | knows no class \"books\"",
-                "class = \"book\" | tenant = \"clinic-z\" | 9 | locality[0].tenant | knows no tenant",
+                "class = \"book\" | class = \"books\" | 9 | locality[0].class | has no class \"books\"",
+                "class = \"book\" | tenant = \"clinic-z\" | 9 | locality[0].tenant | has no tenant",
                 "class = \"book\" | route = \"cancle\" | 9 | locality[0].route | no route \"cancle\"",
-                "class = \"book\" | | 13 | locality[1] | never holds: rule \"records\" before it",
+                "class = \"book\" | | 13 | locality[1] | never applies: rule \"records\" above it",
                 "prefer = [\"own-zone\", \"own-region\", \"any\"] | | 7 | locality[0] | prefer is missing",
                 "prefer = [\"own-zone\", \"own-region\", \"any\"] | prefer = [\"own-zone\", \"north\"] | 10 | "
-                        + "locality[0].prefer | no step or region \"north\"",
+                        + "locality[0].prefer | no built-in preference or region \"north\"",
                 "prefer = [\"own-zone\", \"own-region\", \"any\"] | prefer = [\"any\", \"own-zone\"] | 10 | "
                         + "locality[0].prefer | comes after \"any\"",
                 "prefer = [\"own-zone\", \"own-region\", \"any\"] | prefer = [\"own-zone\", \"own-zone\"] | "
-                        + "10 | locality[0].prefer | stands twice",
+                        + "10 | locality[0].prefer | is listed twice",
                 "never = [\"west\"] | never = [\"wset\"] | 11 | locality[0].never | no region or zone \"wset\"",
                 "never = [\"west\"] | never = [\"musanze\", \"centre\", \"rusizi\"] | 11 | "
-                        + "locality[0].never | leaves requests that come in zone",
+                        + "locality[0].never | leaves requests that arrive in zone",
                 "panic = false | panic = \"no\" | 12 | locality[0].panic | neither true nor false",
-                "end = 0.6 } | end = 0.9 } | 16 | locality[1].use.end | is not under begin",
+                "end = 0.6 } | end = 0.9 } | 16 | locality[1].use.end | is not below begin",
                 "use = { begin = 0.9, end = 0.6 } | healthy = { begin = 0.9, end = 0.6 } | 16 | "
-                        + "locality[1].healthy.end | is not over begin",
+                        + "locality[1].healthy.end | is not above begin",
                 "use = { begin = 0.9, end = 0.6 } | late = { begin = 0.9 } | 16 | locality[1].late | end is missing",
                 "dwell = \"2s\" | dwell = 2 | 17 | locality[1].dwell | has no unit",
-                "most = 0.5 | most = 0 | 18 | locality[1].most | nothing would ever spill",
+                "most = 0.5 | most = 0 | 18 | locality[1].most | no request would ever spill over",
                 "alone = 0.01 | alone = 0.6 | 19 | locality[1].alone | is more than most",
                 "alone = 0.01 | growth = -1 | 19 | locality[1].growth | not a number"
             })
-    void eachErrorNamesItsLineAndKey(String original, String replacement, int line, String key, String description) {
+    void eachErrorStatesItsLineAndKey(String original, String replacement, int line, String key, String description) {
         RouteConfig config =
                 parse(VALID_FILE.replace(original, replacement == null ? "" : replacement.replace("\\n", "\n")));
         assertFalse(config.isUsable());
--- a/routeconfig/src/test/java/weldhitch/routeconfig/RecordedRouteConfigTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/RecordedRouteConfigTest.java
@@ -16,9 +16,9 @@
 import weldhitch.fleet.locality.LocalityRule.HysteresisBand;
 
 /**
- * Reads a route configuration with every section and setting, and compares the result with what version
- * 32a2790 made of it for requests of each kind. Neither file is ever recorded anew: the files that operators
- * have written must keep their meaning.
+ * Reads a route configuration with every section and setting, and compares the effective rules of requests of each
+ * kind with those that version 32a2790 computed. Neither file may be recorded again, because existing files of
+ * operators must keep their meaning.
  */
 class RecordedRouteConfigTest {
     private static final Path RECORDED = Path.of("routeconfig/src/test/resources/recorded");
--- a/routeconfig/src/test/java/weldhitch/routeconfig/RouteConfigTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/RouteConfigTest.java
@@ -92,7 +92,7 @@
                         new RetryAfterBounds(100_000_000L, 1_000_000_000L),
                         Map.of()),
                 policyFor("book", "POST", "/book/7/cancel"),
-                "of the defaults an unsafe class takes no hedge and no retry after what may have run");
+                "a non-idempotent class inherits no hedging and no retries after possible execution");
         RoutePolicy archivePolicy = policyFor("read", "GET", "/read/archive/1999?page=2");
         assertEquals(new HedgeAtPercentile(95), archivePolicy.hedging());
         assertEquals(new RetryBudgetSettings(0.1, 2), archivePolicy.retryBudget());
@@ -106,7 +106,7 @@
         assertEquals(
                 4_000_000_000L,
                 policyFor("book", "POST", "/book").deadline(),
-                "a route of any class is under its class");
+                "the settings of a class apply to routes of any class");
     }
 
     @Test
@@ -178,7 +178,7 @@
     }
 
     /**
-     * An editor that truncates a file and writes it anew exposes every prefix of it to a concurrent reader.
+     * An editor that truncates a file and rewrites it in place exposes every prefix of it to a concurrent reader.
      */
     @Test
     void everyTruncatedFileIsRejected() {
@@ -200,7 +200,7 @@
         assertEquals(
                 "is not UTF-8", RouteConfig.read(file, null).problems().get(0).description());
         Files.write(file, new byte[(1 << 20) + 1]);
-        assertTrue(RouteConfig.read(file, null).problems().get(0).description().startsWith("holds 1048577 bytes"));
+        assertTrue(RouteConfig.read(file, null).problems().get(0).description().startsWith("has 1048577 bytes"));
     }
 
     @Test
--- a/routeconfig/src/test/java/weldhitch/routeconfig/RoutePolicyInvariantsTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/RoutePolicyInvariantsTest.java
@@ -36,8 +36,8 @@
 import weldhitch.decision.settings.BalancerSettings;
 
 /**
- * Property test: for any valid file and any outcomes of attempts the balancer's invariants hold. No request
- * that must not run twice may do so, and none outlives its deadline.
+ * Property test: the balancer's invariants hold for any valid file and any outcomes of attempts. No non-idempotent
+ * request may run twice, and no request outlives its deadline.
  */
 class RoutePolicyInvariantsTest {
     private static final long MS = 1_000_000L;
@@ -80,7 +80,7 @@
                         deadline + attemptTimeout + attempts + backoff + retryOn + budget + hedge + tenants);
     }
 
-    /** What the test tracks of one request. */
+    /** The state that the test tracks for one request. */
     private static final class TrackedRequest {
         String requestClass;
         long deadline;
@@ -99,7 +99,7 @@
                 .collect(config.isUsable())
                 .coverage(c -> c.check(true).percentage(p -> p > 20));
         if (!config.isUsable()) {
-            // A file that contradicts itself is never activated; the platform's settings apply then.
+            // A file with contradictory settings is never activated; the platform's settings apply instead.
             assertTrue(
                     config.errors().stream().allMatch(p -> p.line() > 0),
                     config.problems().toString());
@@ -109,7 +109,7 @@
     }
 
     private final Map<String, TrackedRequest> requests = new HashMap<>();
-    /** Outstanding attempts: request id, attempt number, endpoint. */
+    /** The outstanding attempts, each as request id, attempt number and endpoint id. */
     private final List<Object[]> outstandingAttempts = new ArrayList<>();
 
     private long now = 1_000_000_000_000L;
@@ -201,8 +201,8 @@
         for (BalancerAction action : balancer.handle(now, event)) {
             if (action instanceof SendAttempt send) {
                 TrackedRequest request = requests.get(send.requestId());
-                assertTrue(!request.answered, "sent after its answer");
-                assertTrue(now < request.deadline, "sent past its deadline");
+                assertTrue(!request.answered, "sent after its final answer");
+                assertTrue(now < request.deadline, "sent after its deadline");
                 assertTrue(
                         send.timeout() == 0 ? request.policy.deadline() == 0 : now + send.timeout() <= request.deadline,
                         "an attempt may outlive its deadline");
@@ -211,7 +211,7 @@
                 request.inFlight++;
                 assertTrue(
                         !request.requestClass.equals("book") || request.possibleExecutions <= 1,
-                        "an unsafe request may run twice");
+                        "a non-idempotent request may run twice");
                 int maxAttempts = request.policy.maxAttempts() > 0 ? request.policy.maxAttempts() : 4;
                 assertTrue(++request.attempts <= maxAttempts, "more than " + maxAttempts + " attempts");
                 outstandingAttempts.add(new Object[] {send.requestId(), request.attempts - 1, send.endpointId()});
@@ -231,6 +231,6 @@
         assertEquals(
                 rejected,
                 rejected && (request.possibleExecutions == 0 || request.requestClass.equals("read")),
-                "refused what may have run");
+                "rejected a request that may have run");
     }
 }
--- a/routeconfig/src/test/java/weldhitch/routeconfig/SpillPolicyReaderTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/SpillPolicyReaderTest.java
@@ -11,7 +11,7 @@
 import weldhitch.fleet.locality.LocalityRule.HysteresisBand;
 import weldhitch.fleet.locality.LocalityRule.SpillPolicy;
 
-/** Tests the defaults of a spill policy, and that one invalid setting leaves out the policy. */
+/** Tests the defaults of a spill policy, and that one invalid setting invalidates the policy. */
 class SpillPolicyReaderTest {
     private final List<ConfigProblem> problems = new ArrayList<>();
 
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void oneInvalidSettingLeavesOutThePolicy() throws JsonProcessingException {
+    void oneInvalidSettingInvalidatesThePolicy() throws JsonProcessingException {
         assertNull(read("dwell = \"2s\"\nmost = 0\n"));
         assertEquals(
                 List.of("locality[0].most"),
--- a/routeconfig/src/test/java/weldhitch/routeconfig/TomlValueReaderTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/TomlValueReaderTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests single values: what is read, and which line and key a problem names. */
+/** Tests how single values are read, and which line and key a problem states. */
 class TomlValueReaderTest {
     private static final String TEXT = """
             duration = "250ms"
@@ -49,7 +49,7 @@
     void numbersOutOfRangeAreReported() {
         assertEquals(2.5, values.readNumber(root.get("number"), "number", 0, 3));
         assertNull(values.readNumber(root.get("number"), "number", 0, 2));
-        assertNull(values.readInteger(root.get("number"), "number", 0, 3), "no whole number");
+        assertNull(values.readInteger(root.get("number"), "number", 0, 3), "not a whole number");
         assertEquals(2, problems.size());
     }
 
@@ -61,7 +61,7 @@
                 problems.stream().map(ConfigProblem::key).toList());
         assertEquals("text", values.readText(root.get("table"), "table", "key"));
         assertTrue(values.requireTable(root.get("table"), "table"));
-        assertFalse(values.requireTable(null, "absent"), "an absent table is no problem");
+        assertFalse(values.requireTable(null, "absent"), "an absent table is not reported");
         assertEquals(2, problems.size());
     }
 }
