--- a/replay/src/main/java/weldhitch/replay/CaptureAnonymizer.java
+++ b/replay/src/main/java/weldhitch/replay/CaptureAnonymizer.java
@@ -30,15 +30,15 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * Replaces the names of requests, endpoints, tenants and path segments in the entries of a capture slice, each
- * name always by the same new one. Used by {@link CaptureSlicer}; not thread-safe.
+ * Replaces the names of requests, endpoints, tenants and path segments in the entries of a capture slice. Each name is
+ * always replaced by the same new name. Used by {@link CaptureSlicer}; not thread-safe.
  */
 final class CaptureAnonymizer {
     private final Map<String, String> endpointNames;
     private final Map<String, String> requestNames = new LinkedHashMap<>();
     private final Map<String, String> tenantNames = new LinkedHashMap<>();
     private final Map<String, String> segmentNames = new LinkedHashMap<>();
-    /** Path segments that stay because routes match on them, and names of request classes. */
+    /** Path segments that are kept because routes match on them, and the names of request classes. */
     private final Set<String> preservedSegments = new LinkedHashSet<>();
 
     CaptureAnonymizer(List<CaptureEntry> entries) {
@@ -83,8 +83,6 @@
                 eventRecord.actions().stream().map(this::anonymizeAction).toList());
     }
 
-    // ---- names ----
-
     private String requestName(String id) {
         return id == null
                 ? null
@@ -115,8 +113,6 @@
         return String.join("/", segments);
     }
 
-    // ---- what holds them ----
-
     private BalancerEvent anonymizeEvent(BalancerEvent event) {
         if (event instanceof RequestArrived e) {
             return new RequestArrived(
--- a/replay/src/main/java/weldhitch/replay/CaptureSlice.java
+++ b/replay/src/main/java/weldhitch/replay/CaptureSlice.java
@@ -7,9 +7,9 @@
 import weldhitch.capture.format.CaptureFiles;
 
 /**
- * An incident as a regression test: a capture slice, replayed by this build, with assertions on the result. A
- * failed assertion throws an {@link AssertionError} that names what did not hold, so any test framework can use
- * it. Not thread-safe.
+ * A capture slice of an incident, replayed by this build as a regression test, with assertions on the result. A failed
+ * assertion throws an {@link AssertionError} that describes the failure, so the class works with any test framework.
+ * Not thread-safe.
  */
 public final class CaptureSlice {
     private final Path file;
@@ -26,7 +26,7 @@
     public static CaptureSlice replay(Path file) throws IOException {
         CaptureSlice slice = new CaptureSlice(file);
         CaptureFiles.read(List.of(file), slice::accept);
-        slice.require(slice.replayer.replayedEvents() > 0, "holds no events");
+        slice.require(slice.replayer.replayedEvents() > 0, "contains no events");
         return slice;
     }
 
@@ -36,26 +36,27 @@
     }
 
     /**
-     * Asserts that every decision equals the captured one; not for slices whose rules were changed on purpose.
+     * Asserts that every decision equals the captured one. Does not apply to slices from which this build is meant to
+     * diverge because rules were changed on purpose.
      */
     public CaptureSlice assertSameDecisions() {
         require(
                 replayer.divergences().isEmpty(),
-                "decides otherwise: "
+                "decisions diverge from the capture: "
                         + replayer.divergences().stream().findFirst().orElse(null));
         return this;
     }
 
-    /** Asserts that the captured run violates none of the four invariants. */
+    /** Asserts that the captured run violates none of the invariants of {@link CaptureVerifier}. */
     public CaptureSlice assertInvariantsHold() {
         require(
                 verifier.checker.violations().isEmpty(),
-                "breaks a rule: "
+                "an invariant is violated: "
                         + verifier.checker.violations().stream().findFirst().orElse(null));
         return this;
     }
 
-    /** Asserts that an endpoint gets at most this fraction of the attempts, 0 to 1. */
+    /** Asserts that an endpoint receives at most this fraction (0 to 1) of all attempts. */
     public CaptureSlice assertMaxSendFraction(String endpointId, double maxFraction) {
         long totalSends =
                 summary.byEndpoint.values().stream().mapToLong(s -> s.sends).sum();
@@ -64,13 +65,13 @@
                 : 0;
         require(
                 fraction <= maxFraction,
-                endpointId + " gets " + fraction + " of " + totalSends + " sends, " + maxFraction
-                        + " at most expected");
+                endpointId + " receives the fraction " + fraction + " of " + totalSends + " attempts, at most "
+                        + maxFraction + " was expected");
         return this;
     }
 
     /**
-     * Asserts that at least this fraction (0 to 1) of the requests that arrive and end in the slice is served.
+     * Asserts that at least this fraction (0 to 1) of the requests that arrive and end within the slice is served.
      */
     public CaptureSlice assertMinServedFraction(double minFraction) {
         long served = summary.byClass.values().stream()
@@ -81,7 +82,8 @@
                 .sum();
         require(
                 ended > 0 && served >= minFraction * ended,
-                served + " of " + ended + " served, " + minFraction + " expected");
+                served + " of " + ended + " requests are served, at least the fraction " + minFraction
+                        + " was expected");
         return this;
     }
 
--- a/replay/src/main/java/weldhitch/replay/CaptureSlicer.java
+++ b/replay/src/main/java/weldhitch/replay/CaptureSlicer.java
@@ -17,9 +17,9 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * Extracts a capture slice: a number of consecutive events with a snapshot of the state before the first one,
- * in which requests, endpoints, tenants and paths are renamed consistently. Decisions do not change, so a slice
- * replays like its original. Not thread-safe.
+ * Extracts a capture slice, which contains a number of consecutive events and a snapshot of the state before the first
+ * one. Requests, endpoints, tenants and paths are renamed consistently. The decisions stay the same, so a slice replays
+ * like its original. Not thread-safe.
  */
 public final class CaptureSlicer {
     private final long firstEvent;
@@ -29,8 +29,8 @@
     /**
      * Creates a slicer for a range of events.
      *
-     * @param firstEvent the first event, counted from 1
-     * @param maxEvents maximum number of events
+     * @param firstEvent the number of the first event, counted from 1
+     * @param maxEvents the maximum number of events
      */
     public CaptureSlicer(long firstEvent, long maxEvents) {
         this.firstEvent = firstEvent;
@@ -47,7 +47,7 @@
     /**
      * Reads a capture and collects the requested events.
      *
-     * @throws IOException if it cannot be read, or this build's decisions diverge from it before the slice
+     * @throws IOException if the capture cannot be read, or this build's decisions diverge from it before the slice
      */
     public CaptureSlicer read(Collection<Path> paths) throws IOException {
         Replayer replayer = new Replayer(null, false).endingAt(firstEvent - 1, Long.MAX_VALUE);
@@ -64,7 +64,7 @@
             } else if (entry instanceof CaptureEntry.Corruption
                     && !entries.isEmpty()
                     && eventNumber[0] < firstEvent + maxEvents) {
-                throw new IllegalStateException("the capture is damaged within the events to be cut: " + entry);
+                throw new IllegalStateException("the capture is damaged within the requested events: " + entry);
             }
         };
         CaptureEntry.SnapshotRecord[] sliceStart = {null};
@@ -89,11 +89,11 @@
             collector.accept(entry);
         });
         if (sliceStart[0] == null || entries.isEmpty()) {
-            throw new IOException("no event " + firstEvent + " behind a snapshot in this capture");
+            throw new IOException("no event " + firstEvent + " after a snapshot in this capture");
         }
         if (!replayer.divergences().isEmpty()) {
-            throw new IOException("this build decides otherwise than the capture before event " + firstEvent
-                    + ": cut it by the build that wrote it");
+            throw new IOException("this build's decisions diverge from the capture before event " + firstEvent
+                    + ": extract the slice with the build that wrote the capture");
         }
         entries.add(0, sliceStart[0]);
         return this;
@@ -104,17 +104,17 @@
         CaptureAnonymizer anonymizer = new CaptureAnonymizer(entries);
         List<CaptureEntry> anonymized =
                 entries.stream().map(anonymizer::anonymize).toList();
-        // A slice that replays differently under its new names would not represent the original.
+        // A slice that replays differently with its new names would not represent the original.
         Replayer replayer = new Replayer(null, false);
         anonymized.forEach(replayer);
         if (!replayer.divergences().isEmpty()) {
-            throw new IOException("its decisions hang on its names: "
+            throw new IOException("decisions change when names are replaced: "
                     + replayer.divergences().get(0).description());
         }
         try (SegmentWriter writer = new SegmentWriter(file)) {
             for (CaptureEntry entry : anonymized) {
                 if (!writer.add(entry)) {
-                    throw new IOException("does not fit: " + entry);
+                    throw new IOException("entry does not fit into the capture: " + entry);
                 }
                 if (writer.isBlockFull()) {
                     writer.flush();
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Returns new names for endpoints. {@link RatioBalancer} orders endpoints by their ring positions, so the
-     * new names must sort as the old ones did.
+     * Returns new names for endpoints, by old name. {@link RatioBalancer} orders endpoints by their ring positions, so
+     * the ring positions of the new names have the same order as those of the old names.
      */
     static Map<String, String> orderPreservingNames(Set<String> names) {
         List<String> sorted = new ArrayList<>(names);
--- a/replay/src/main/java/weldhitch/replay/CaptureSummary.java
+++ b/replay/src/main/java/weldhitch/replay/CaptureSummary.java
@@ -21,19 +21,18 @@
 import weldhitch.decision.event.ResponseStarted;
 
 /**
- * Counts the content of a capture while it is replayed: requests by class and how they ended, rejections and
- * failures by cause, attempts and latencies by endpoint, and requests by interval of time. Causes come from the
- * replayed balancer. Not thread-safe; notified on the replaying thread.
+ * Counts the content of a capture while it is replayed: requests by class and result, rejections and failures by cause,
+ * attempts and latencies by endpoint, and requests by time interval. The causes come from the replayed balancer. Not
+ * thread-safe; called on the replaying thread.
  */
 public final class CaptureSummary implements DecisionListener, Replayer.Listener {
     /**
-     * Upper limit of recorded latencies: ten minutes, in microseconds. Histograms keep two significant digits.
+     * The upper limit of recorded latencies, ten minutes in microseconds. Histograms keep two significant digits.
      */
     public static final long MAX_LATENCY_MICROS = 600_000_000L;
 
     /**
-     * Counts of requests by how they ended; {@code causes} counts the rejected and failed ones by reason.
-     * Mutable.
+     * Counts of requests by result; {@code causes} counts the rejected and failed requests by reason. Mutable.
      */
     public static final class RequestCounts {
         public long arrived;
@@ -77,7 +76,7 @@
         }
     }
 
-    /** A request that has arrived and not ended yet, with the counts of the interval in which it arrived. */
+    /** A request that has arrived but not ended, with the counts of the interval in which it arrived. */
     private record OpenRequest(String requestClass, long arrivedAt, RequestCounts interval) {}
 
     private final long intervalNanos;
@@ -86,13 +85,13 @@
     private final Map<String, Long> latencyObjectives = new LinkedHashMap<>();
     /** Counts by request class; the key is "null" for requests without one. */
     public final Map<String, RequestCounts> byClass = new TreeMap<>();
-    /** Statistics by endpoint id. */
+    /** The statistics of each endpoint, by endpoint id. */
     public final Map<String, EndpointStatistics> byEndpoint = new TreeMap<>();
-    /** Time from arrival to answer of served requests, in microseconds, by class. */
+    /** The time from arrival to answer of served requests, in microseconds, by request class. */
     public final Map<String, Histogram> answerLatencies = new TreeMap<>();
-    /** Counts by interval; the key is the interval's start, in milliseconds since the first event. */
+    /** The counts of each interval; the key is the interval's start, in milliseconds since the first event. */
     public final Map<Long, RequestCounts> byInterval = new TreeMap<>();
-    /** Descriptions of the parts of the capture that cannot be read. */
+    /** The descriptions of the parts of the capture that cannot be read. */
     public final List<String> corruptions = new ArrayList<>();
 
     private long firstTimestamp = Long.MIN_VALUE;
@@ -100,7 +99,7 @@
     /**
      * Creates an empty summary.
      *
-     * @param intervalNanos length of an interval of {@link #byInterval}, nanoseconds
+     * @param intervalNanos the length of an interval of {@link #byInterval}, in nanoseconds
      */
     public CaptureSummary(long intervalNanos) {
         this.intervalNanos = intervalNanos;
--- a/replay/src/main/java/weldhitch/replay/CaptureVerifier.java
+++ b/replay/src/main/java/weldhitch/replay/CaptureVerifier.java
@@ -5,11 +5,11 @@
 import weldhitch.replay.policy.InvariantChecker;
 
 /**
- * Checks the captured events and actions against the four invariants, without replaying them. Checking restarts
- * at the next snapshot after a gap, corruption or the start of another run. Not thread-safe.
+ * Checks the captured events and actions with an {@link InvariantChecker}, without replaying them. After a gap,
+ * corruption or the start of another run, checking restarts at the next snapshot. Not thread-safe.
  */
 public final class CaptureVerifier implements Consumer<CaptureEntry> {
-    /** The checker, which holds the violations found so far. */
+    /** The checker, which collects the violations. */
     public final InvariantChecker checker = new InvariantChecker();
 
     private String runId;
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Returns the number of unreadable parts. */
+    /** Returns the number of parts of the capture that could not be read. */
     public long corruptions() {
         return corruptions;
     }
--- a/replay/src/main/java/weldhitch/replay/DecisionExplainer.java
+++ b/replay/src/main/java/weldhitch/replay/DecisionExplainer.java
@@ -18,8 +18,8 @@
 import weldhitch.decision.event.ZonesAssigned;
 
 /**
- * Collects, while a capture is replayed, why one request was routed as it was, or why an endpoint was or was
- * not picked. Not thread-safe; notified on the replaying thread.
+ * Explains, while a capture is replayed, the routing of one request, or why an endpoint was picked or not picked. Not
+ * thread-safe; called on the replaying thread.
  */
 public final class DecisionExplainer implements DecisionListener, Replayer.Listener {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -28,8 +28,9 @@
     /**
      * One step of the explanation. Immutable.
      *
-     * @param timestamp nanoseconds of the node's clock
-     * @param trace the trace if the step is a pick of an endpoint, else null
+     * @param timestamp the node's clock, in nanoseconds
+     * @param description the description for people
+     * @param trace the trace of the pick if an endpoint was picked in this step, else null
      */
     public record Step(long timestamp, String description, PickTrace trace) {}
 
@@ -46,14 +47,14 @@
         this.notAfter = notAfter;
     }
 
-    /** Creates an explainer of one request. */
+    /** Returns an explainer of one request. */
     public static DecisionExplainer forRequest(String id) {
         return new DecisionExplainer(id, null, 0);
     }
 
     /**
-     * Creates an explainer of the last pick, not after that time, that had the endpoint as a candidate, chosen
-     * or not.
+     * Returns an explainer of the last pick in which the endpoint was a candidate, chosen or not, and which happened at
+     * or before {@code atNanos} of the node's clock.
      */
     public static DecisionExplainer forEndpoint(String id, long atNanos) {
         return new DecisionExplainer(null, id, atNanos);
@@ -169,7 +170,7 @@
         };
     }
 
-    /** Returns the steps in the order in which they happened; empty if nothing was found. */
+    /** Returns the steps in chronological order; empty if the capture has none for this request or endpoint. */
     public List<Step> steps() {
         return latestPick == null
                 ? List.copyOf(steps)
@@ -179,7 +180,7 @@
                         latestPick));
     }
 
-    /** Returns the explanation as text, one line per step, with the picks as tables. */
+    /** Returns the explanation as text, with one line per step and a table of the candidates of each pick. */
     public String text() {
         StringBuilder text = new StringBuilder();
         for (Step step : steps()) {
--- a/replay/src/main/java/weldhitch/replay/Replayer.java
+++ b/replay/src/main/java/weldhitch/replay/Replayer.java
@@ -15,22 +15,22 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * Replays a capture with this build's balancer and compares each decision with the captured one. Starts at the
- * first snapshot, and restarts at the next snapshot after dropped events, corruption or a divergence. Between
- * snapshots without such a gap, the balancer's state is compared with each snapshot as well. Not thread-safe:
- * one thread feeds it the entries in order.
+ * Replays a capture with this build's balancer and compares each decision with the captured one. The replay starts at
+ * the first snapshot. After dropped events, corruption or a divergence it restarts at the next snapshot; at a snapshot
+ * that no such gap precedes, the balancer's state is also compared with the snapshot. Not thread-safe; one thread
+ * passes the entries in order.
  */
 public final class Replayer implements Consumer<CaptureEntry> {
-    /** Notified of each replayed event, snapshot and corruption, on the thread that feeds the entries. */
+    /** Listens to each replayed event, snapshot and corruption, on the thread that passes the entries. */
     public interface Listener {
         /** Called before the event is replayed. */
         default void beforeReplay(CaptureEntry.EventRecord eventRecord) {}
 
         /**
-         * Called after the event was replayed, before its actions are compared.
+         * Called after the event was replayed and before its actions are compared.
          *
-         * @param eventNumber of the event, from 1
-         * @param actions what this build decided
+         * @param eventNumber the number of the event, counted from 1
+         * @param actions the actions that this build decided
          */
         default void afterReplay(
                 long eventNumber, CaptureEntry.EventRecord eventRecord, List<BalancerAction> actions) {}
@@ -38,8 +38,8 @@
         /**
          * Called at each snapshot.
          *
-         * @param restored whether replay restarts here: nothing was replayed before, or a gap or divergence
-         *     precedes it
+         * @param restored whether the replay starts or restarts here, because nothing was replayed before or because a
+         *     gap or divergence precedes the snapshot
          */
         default void onSnapshot(CaptureEntry.SnapshotRecord snapshotRecord, boolean restored) {}
 
@@ -50,11 +50,11 @@
     /**
      * A point at which the replay diverges from the capture. Immutable.
      *
-     * @param eventNumber of the event, from 1
-     * @param timestamp nanoseconds of the node's clock
+     * @param eventNumber the number of the event, counted from 1
+     * @param timestamp the node's clock, in nanoseconds
      * @param captured the captured event with its actions; null if the state diverges at a snapshot
      * @param replayedActions the actions that this build decides
-     * @param description description for people
+     * @param description the description for people
      */
     public record Divergence(
             long eventNumber,
@@ -90,9 +90,10 @@
     /**
      * Creates a replayer of a complete capture.
      *
-     * @param decisionListener notified of the balancer's decision reasons, or null
-     * @param restoreAtEachSnapshot whether to restore the balancer at each snapshot instead of comparing its state with
-     *     it
+     * @param decisionListener receives the balancer's decision reasons, or null
+     * @param restoreAtEachSnapshot whether to restore the balancer from each snapshot instead of comparing its state
+     *     with the snapshot
+     * @param listeners receive each replayed event, snapshot and corruption
      */
     public Replayer(DecisionListener decisionListener, boolean restoreAtEachSnapshot, Listener... listeners) {
         this.decisionListener = decisionListener;
@@ -100,13 +101,16 @@
         this.listeners = List.of(listeners);
     }
 
-    /** Starts at this snapshot, counted from 1. */
+    /** Starts the replay at this snapshot, counted from 1. */
     public Replayer startingAtSnapshot(long snapshotNumber) {
         firstSnapshot = snapshotNumber;
         return this;
     }
 
-    /** Replays no event after this one, counted from 1, and none with a later timestamp (nanoseconds). */
+    /**
+     * Ends the replay after this event, counted from 1, or before the first event with a later timestamp (nanoseconds
+     * of the node's clock), whichever comes first.
+     */
     public Replayer endingAt(long eventNumber, long timestamp) {
         lastEvent = eventNumber;
         endTimestamp = timestamp;
@@ -114,9 +118,9 @@
     }
 
     /**
-     * Replays with these routes (null for none) in place of the captured ones, restoring at each snapshot, so
-     * that each section between two snapshots shows where decisions first diverge. Requests in flight at a
-     * snapshot keep the route rules they had.
+     * Replays with these routes (null for none) instead of the captured ones. The balancer is restored at each
+     * snapshot, so that each section between two snapshots shows where decisions first diverge. Requests that are in
+     * flight at a snapshot keep their route policies.
      */
     public Replayer withRoutes(RouteTable replacement) {
         routesOverridden = true;
@@ -160,7 +164,7 @@
                         snapshotRecord.timestamp(),
                         null,
                         List.of(),
-                        "what is known at a snapshot differs: " + difference);
+                        "the state differs from the snapshot: " + difference);
                 continuous = false;
             }
         }
@@ -176,7 +180,7 @@
             } catch (IllegalArgumentException e) {
                 balancer = null;
                 recordDivergence(
-                        snapshotRecord.timestamp(), null, List.of(), "a snapshot is refused: " + e.getMessage());
+                        snapshotRecord.timestamp(), null, List.of(), "invalid snapshot: " + e.getMessage());
             }
         }
         boolean restored = !continuous;
@@ -200,7 +204,7 @@
         listeners.forEach(l -> l.afterReplay(replayedEvents + skippedEvents, eventRecord, replayed));
         if (!replayed.equals(eventRecord.actions())) {
             recordDivergence(eventRecord.timestamp(), eventRecord, replayed, "decisions differ");
-            // Later decisions would diverge as a consequence; replay restarts at the next snapshot.
+            // Later decisions would diverge as a consequence, so the replay restarts at the next snapshot.
             balancer = null;
         }
     }
@@ -232,10 +236,10 @@
                 }
             }
         }
-        return path + ": " + replayed + " here, " + captured + " in the capture";
+        return path + ": " + replayed + " in the replay, " + captured + " in the capture";
     }
 
-    /** Returns the balancer's state after the last replayed event; null if no balancer is active. */
+    /** Returns the balancer's state after the last replayed event; null if the replay awaits the next snapshot. */
     public BalancerSnapshot snapshot() {
         return balancer == null ? null : balancer.snapshot();
     }
@@ -265,12 +269,12 @@
         return snapshotCount;
     }
 
-    /** Returns how often the balancer was restored from a snapshot. */
+    /** Returns the number of times that the balancer was restored from a snapshot. */
     public long restores() {
         return restores;
     }
 
-    /** Returns the number of unreadable parts. */
+    /** Returns the number of parts of the capture that could not be read. */
     public long corruptions() {
         return corruptions;
     }
@@ -280,7 +284,7 @@
         return droppedEvents;
     }
 
-    /** Returns the nanoseconds from the first replayed event to the last; 0 if there was none. */
+    /** Returns the time from the first replayed event to the last, in nanoseconds; 0 if there was none. */
     public long duration() {
         return Math.max(0, lastTimestamp - firstTimestamp);
     }
--- a/replay/src/main/java/weldhitch/replay/policy/InvariantChecker.java
+++ b/replay/src/main/java/weldhitch/replay/policy/InvariantChecker.java
@@ -28,17 +28,24 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * Checks a node's events and actions against the four invariants: one final answer within the deadline and no
- * attempt after it; no effect twice; no attempt to a draining endpoint after the grace period; no overload of
- * an endpoint that is warming up; and, where a request has allowed zones, no attempt in another zone. It uses
- * events and actions alone, independently of how decisions are made, and checks one node: it cannot see what
- * several nodes together send to an endpoint that is warming up. Times are nanoseconds. Not thread-safe.
+ * Checks a node's events and actions against four invariants:
+ *
+ * <ul>
+ *   <li>each request gets one final answer within its deadline, and no attempt is sent after it;
+ *   <li>no request takes effect twice;
+ *   <li>no attempt is sent to a draining endpoint after the grace period;
+ *   <li>no endpoint is overloaded while it is warming up.
+ * </ul>
+ *
+ * <p>It also checks that a request with allowed zones is not sent to another zone. The checker uses only events and
+ * actions, independently of how decisions are made. It checks one node, so it does not see the load that several nodes
+ * together send to an endpoint that is warming up. Times are nanoseconds. Not thread-safe.
  */
 public final class InvariantChecker {
-    /** Added to each time limit to allow for delays on real sockets. */
+    /** Added to each time limit to allow for delays on real sockets, in nanoseconds. */
     private static final long TIMING_TOLERANCE = 50_000_000L;
 
-    /** The four invariants, and the operator's own rule on allowed zones. */
+    /** The four invariants, and the operator's rule on allowed zones. */
     public enum Invariant {
         ONE_ANSWER("one answer"),
         NO_EFFECT_TWICE("no effect twice"),
@@ -52,7 +59,7 @@
             this.label = label;
         }
 
-        /** Returns the name in reports. Scripts read it, so it never changes. */
+        /** Returns the name in reports. Scripts read the name, so it never changes. */
         public String label() {
             return label;
         }
@@ -61,9 +68,10 @@
     /**
      * A violation of an invariant. Immutable.
      *
-     * @param timestamp nanoseconds of the node's clock
-     * @param subject id of the request or of the endpoint
-     * @param description description for people
+     * @param invariant the violated invariant
+     * @param timestamp the node's clock, in nanoseconds
+     * @param subject the id of the request or of the endpoint
+     * @param description the description for people
      */
     public record Violation(Invariant invariant, long timestamp, String subject, String description) {}
 
@@ -84,13 +92,13 @@
         }
     }
 
-    /** A request whose answer or attempts are still outstanding. */
+    /** A request whose final answer or attempts are outstanding. */
     private static final class TrackedRequest {
         final String id;
         final RequestClass requestClass;
         final long deadline;
         final List<TrackedAttempt> attempts = new ArrayList<>();
-        /** The zones whose endpoints it may be sent to; null for any. */
+        /** The zones to whose endpoints the request may be sent; null for any. */
         List<String> allowedZones;
 
         boolean finished;
@@ -113,7 +121,7 @@
         }
     }
 
-    /** One incarnation of an endpoint, as the endpoint lists describe it. */
+    /** One incarnation of an endpoint, as described by the endpoint lists. */
     private static final class TrackedEndpoint {
         final String id;
         final String zone;
@@ -122,7 +130,7 @@
         double weight;
         EndpointState state;
         long stateSince;
-        /** Times of the attempts sent to it within the window of the slow-start invariant. */
+        /** The times of the attempts sent to the endpoint within the window of the slow-start invariant. */
         final ArrayDeque<Long> recentSends = new ArrayDeque<>();
 
         boolean overloadReported;
@@ -145,7 +153,7 @@
     private long answered;
     private long now;
 
-    /** Starts checking from a snapshot's open requests and listed endpoints; nothing before it is checked. */
+    /** Starts checking with a snapshot's open requests and listed endpoints; earlier events are not checked. */
     public void start(long timestamp, BalancerSettings newSettings, BalancerSnapshot snapshot) {
         now = timestamp;
         settings = newSettings;
@@ -198,7 +206,7 @@
         return request;
     }
 
-    /** Checks one event and the actions decided on it; to be called in their order. */
+    /** Checks one event and the actions decided on it. Must be called in the order of the events. */
     public void onEvent(long timestamp, BalancerEvent event, List<BalancerAction> actions) {
         now = timestamp;
         if (event instanceof RequestArrived e) {
@@ -229,8 +237,6 @@
         checkDeadlines();
     }
 
-    // ---- events ----
-
     private void onEndpointsChanged(EndpointsChanged changed) {
         if (changed.kind() == EndpointUpdateKind.REJECTED) {
             return;
@@ -280,7 +286,7 @@
         removeIfComplete(request);
     }
 
-    /** Records the final answer of a request; {@code answer} describes it for a violation's text. */
+    /** Records the final answer of a request; {@code answer} describes it in the text of a violation. */
     private void onFinalAnswer(TrackedRequest request, String answer) {
         if (request == null) {
             return;
@@ -291,7 +297,7 @@
             report(
                     Invariant.ONE_ANSWER,
                     request.id,
-                    answer + " " + millis(now - request.deadline) + " past its deadline");
+                    answer + " " + millis(now - request.deadline) + " after its deadline");
         }
         request.finished = true;
         answered++;
@@ -312,15 +318,13 @@
                 report(
                         Invariant.ONE_ANSWER,
                         request.id,
-                        "has no answer " + millis(now - request.deadline) + " past its deadline");
+                        "has no final answer " + millis(now - request.deadline) + " after its deadline");
                 request.finished = true;
                 removeIfComplete(request);
             }
         }
     }
 
-    // ---- decisions ----
-
     private void onAction(BalancerAction action) {
         if (action instanceof SendAttempt send) {
             onSend(send);
@@ -334,9 +338,9 @@
                 report(
                         Invariant.NO_EFFECT_TWICE,
                         rejection.requestId(),
-                        "refused though it may have run at " + executed.endpoint.id);
+                        "rejected although it may have run at " + executed.endpoint.id);
             }
-            onFinalAnswer(request, "it was refused");
+            onFinalAnswer(request, "it was rejected");
         } else if (action instanceof FailRequest fail) {
             onFinalAnswer(requests.get(fail.requestId()), "it failed");
         }
@@ -350,7 +354,7 @@
             return;
         }
         if (endpoint == null) {
-            report(Invariant.DRAIN, send.endpointId(), "sent to, though no list has named it");
+            report(Invariant.DRAIN, send.endpointId(), "was sent an attempt although no endpoint list contains it");
             return;
         }
         checkRepeatedSend(request, endpoint);
@@ -358,7 +362,7 @@
             report(
                     Invariant.ZONE,
                     request.id,
-                    "sent to " + endpoint.id + " of zone " + endpoint.zone + ", where it may go to "
+                    "sent to " + endpoint.id + " of zone " + endpoint.zone + ", but its allowed zones are "
                             + String.join(", ", request.allowedZones));
         }
         if (endpoint.state != EndpointState.READY
@@ -366,8 +370,8 @@
             report(
                     Invariant.DRAIN,
                     endpoint.id,
-                    "sent " + request.id + " " + millis(now - endpoint.stateSince) + " after it was told to be "
-                            + (endpoint.state == EndpointState.REMOVED ? "gone" : "draining"));
+                    "was sent " + request.id + " " + millis(now - endpoint.stateSince) + " after its state became "
+                            + (endpoint.state == EndpointState.REMOVED ? "removed" : "draining"));
         }
         request.attempts.add(new TrackedAttempt(endpoint, now));
         endpoint.recentSends.addLast(now);
@@ -377,12 +381,15 @@
     private void checkRepeatedSend(TrackedRequest request, TrackedEndpoint endpoint) {
         TrackedAttempt executed = request.firstPossiblyExecuted();
         if (request.hasOutstandingAttempt() && !settings.limits().hedgingAllowed()) {
-            report(Invariant.NO_EFFECT_TWICE, request.id, "sent twice at a time, which the platform does not allow");
+            report(
+                    Invariant.NO_EFFECT_TWICE,
+                    request.id,
+                    "sent twice at the same time, which the platform does not allow");
         } else if (executed != null && request.requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
             report(
                     Invariant.NO_EFFECT_TWICE,
                     request.id,
-                    "sent again to " + endpoint.id + " though it may have run at " + executed.endpoint.id);
+                    "sent again to " + endpoint.id + " although it may have run at " + executed.endpoint.id);
         } else if (executed != null && request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
             boolean inScope = switch (request.requestClass.deduplicationScope()) {
                 case ALL -> true;
@@ -394,15 +401,17 @@
                         Invariant.NO_EFFECT_TWICE,
                         request.id,
                         "sent again to " + endpoint.id
-                                + (inScope ? " after its key was forgotten" : ", which does not know its key"));
+                                + (inScope
+                                        ? " after its deduplication window"
+                                        : ", which is outside its deduplication scope"));
             }
         }
     }
 
     /**
-     * Checks the load of an endpoint that is warming up. Within the invariant's window it may be sent the
-     * configured multiple of what warm endpoints of its weight were sent, scaled to its present capacity, plus
-     * a margin for chance. Without a warm endpoint there is no reference, so nothing is reported.
+     * Checks the load of an endpoint that is warming up. Within the overload window it may receive the configured
+     * multiple of the attempts that warmed-up endpoints of the same weight receive, scaled to its present capacity,
+     * plus a margin for random variation. Without a warmed-up endpoint there is no reference, so nothing is reported.
      */
     private void checkSlowStartLoad(TrackedEndpoint endpoint) {
         PlatformRules rules = settings.rules();
@@ -431,14 +440,12 @@
             report(
                     Invariant.SLOW_START,
                     endpoint.id,
-                    "sent " + endpoint.recentSends.size() + " calls within " + millis(rules.overloadWindow()) + " at "
-                            + Math.round(100 * capacity) + "% of its capacity, where " + Math.round(allowed)
+                    "was sent " + endpoint.recentSends.size() + " attempts within " + millis(rules.overloadWindow())
+                            + " at " + Math.round(100 * capacity) + "% of its capacity, but only " + Math.round(allowed)
                             + " are allowed");
         }
     }
 
-    // ---- verdict ----
-
     private void report(Invariant invariant, String subject, String description) {
         violations.add(new Violation(invariant, now, subject, description));
     }
--- a/replay/src/main/java/weldhitch/replay/policy/package-info.java
+++ b/replay/src/main/java/weldhitch/replay/policy/package-info.java
@@ -1,2 +1,2 @@
-/** The invariants that a node must keep, checked on its events and actions: free of I/O, clock and threads. */
+/** Checks the invariants of a node on its events and actions, without I/O, clock or threads. */
 package weldhitch.replay.policy;
--- a/replay/src/test/java/weldhitch/replay/EndlessCaptureProcess.java
+++ b/replay/src/test/java/weldhitch/replay/EndlessCaptureProcess.java
@@ -23,7 +23,7 @@
                 workload.settings,
                 balancer::beginSnapshot,
                 System.err::println);
-        // Ends by itself after a minute in case the test does not kill it.
+        // Ends after one minute if the test does not kill it.
         for (long deadline = System.nanoTime() + 60 * CaptureLimits.NANOS_PER_SECOND; System.nanoTime() < deadline; ) {
             workload.play(
                     (now, event) -> {
--- a/replay/src/test/java/weldhitch/replay/IncidentRegressionTest.java
+++ b/replay/src/test/java/weldhitch/replay/IncidentRegressionTest.java
@@ -14,7 +14,7 @@
 import weldhitch.capture.format.CaptureEntry;
 import weldhitch.capture.format.CaptureFiles;
 
-/** Incidents that must not recur, as anonymized capture slices; and tests of slicing itself. */
+/** Replays anonymized capture slices of incidents that must not recur, and tests slicing itself. */
 class IncidentRegressionTest {
     private static final Path INCIDENTS = Path.of("replay/src/test/resources/incidents");
 
@@ -27,7 +27,7 @@
                 .assertInvariantsHold();
     }
 
-    /** From the simulator: four endpoints of fifteen fail instantly, which looks like low latency. */
+    /** Captured in the simulator. Four of fifteen endpoints fail instantly, which looks like low latency. */
     @Test
     void fastFailingEndpointsAreAvoided() throws IOException {
         CaptureSlice slice = replay("grey-boxes.cap");
@@ -36,7 +36,7 @@
                 .filter(s -> s.getValue().outcomes.getOrDefault("error", 0L) > 3)
                 .map(java.util.Map.Entry::getKey)
                 .toList();
-        assertTrue(failing.size() >= 2, "boxes that answered errors: " + failing);
+        assertTrue(failing.size() >= 2, "endpoints with errors: " + failing);
         for (String endpointId : failing) {
             slice.assertMaxSendFraction(endpointId, 0.07);
         }
@@ -44,24 +44,26 @@
     }
 
     /**
-     * From the simulator: twice the usual load. Rejected requests were never sent to an endpoint, and
-     * enrolments are preferred to the rest.
+     * Captured in the simulator at twice the usual load. Rejected requests were never sent to an endpoint, and bookings
+     * of the campaign are preferred to other requests.
      */
     @Test
     void overloadRejectsLowestPriorityPerCostFirst() throws IOException {
         CaptureSummary summary = replay("overload.cap").summary();
-        CaptureSummary.RequestCounts enrolments = summary.byClass.get("book-campaign");
-        CaptureSummary.RequestCounts farms = summary.byClass.get("book-farm");
+        CaptureSummary.RequestCounts campaignCounts = summary.byClass.get("book-campaign");
+        CaptureSummary.RequestCounts farmCounts = summary.byClass.get("book-farm");
         assertTrue(
-                enrolments.rejected * 5 < enrolments.arrived,
-                enrolments.rejected + " of " + enrolments.arrived + " refused");
-        assertTrue(farms.rejected > 0.9 * farms.arrived, farms.rejected + " of " + farms.arrived + " refused");
+                campaignCounts.rejected * 5 < campaignCounts.arrived,
+                campaignCounts.rejected + " of " + campaignCounts.arrived + " rejected");
+        assertTrue(
+                farmCounts.rejected > 0.9 * farmCounts.arrived,
+                farmCounts.rejected + " of " + farmCounts.arrived + " rejected");
         assertFalse(summary.byClass.values().stream().anyMatch(c -> c.causes.containsKey("refused: unknown")));
     }
 
     /**
-     * From loopback sockets: one endpoint fails and resets, one is full and then removed; no booking runs
-     * twice.
+     * Captured on loopback sockets. One endpoint fails and resets connections, another one is full and then removed. No
+     * booking may run twice.
      */
     @Test
     void failingEndpointsCauseNoDuplicateBooking() throws IOException {
@@ -91,7 +93,7 @@
             assertEquals(800, slicer.eventCount());
             CaptureSlice.replay(sliceFile).assertSameDecisions();
             String text = printed(sliceFile);
-            // The check below would pass of itself if endpoints were printed otherwise.
+            // Without this assertion, the checks below would always pass if endpoints were printed in another format.
             assertTrue(printed(original).contains("endpointId=s1,"));
             for (String name : List.of("clinic", "stranger", "endpointId=s1,", "9e3779b97f4a7c15", "/7")) {
                 assertFalse(text.contains(name), name);
--- a/replay/src/test/java/weldhitch/replay/RecordedCaptureReplayTest.java
+++ b/replay/src/test/java/weldhitch/replay/RecordedCaptureReplayTest.java
@@ -4,17 +4,17 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** Replays captures that version 32a2790 recorded: from their snapshots on, this build decides as that one did. */
+/** Tests that this build makes the same decisions as version 32a2790, from the snapshots in its captures on. */
 class RecordedCaptureReplayTest {
     private static final Path RECORDED = Path.of("capture/src/test/resources/weldhitch/recorded");
 
     @Test
-    void fromTheStartOfANodeThisBuildDecidesAsTheOneThatRecorded() throws IOException {
+    void replayFromNodeStartMakesRecordedDecisions() throws IOException {
         CaptureSlice.replay(RECORDED.resolve("capture")).assertSameDecisions();
     }
 
     @Test
-    void fromASnapshotMidwayThisBuildDecidesAsTheOneThatRecorded() throws IOException {
+    void replayFromLaterSnapshotMakesRecordedDecisions() throws IOException {
         CaptureSlice.replay(RECORDED.resolve("midway.cap")).assertSameDecisions();
     }
 }
--- a/replay/src/test/java/weldhitch/replay/ReplayProcess.java
+++ b/replay/src/test/java/weldhitch/replay/ReplayProcess.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import weldhitch.capture.format.CaptureFiles;
 
-/** Replays a capture in a separate process, so that {@link ReplayerTest} can choose the options of its JVM. */
+/** Replays a capture in a separate process, for which {@link ReplayerTest} chooses the JVM options. */
 final class ReplayProcess {
     private ReplayProcess() {}
 
--- a/replay/src/test/java/weldhitch/replay/ReplayerTest.java
+++ b/replay/src/test/java/weldhitch/replay/ReplayerTest.java
@@ -41,7 +41,7 @@
 import weldhitch.decision.event.TimerFired;
 import weldhitch.testkit.TestSupport;
 
-/** Tests that replays are deterministic, and how gaps, corruption and divergences in a capture are handled. */
+/** Tests that replays are deterministic, and that gaps, corruption and divergences in a capture are handled. */
 class ReplayerTest {
     @TempDir
     Path directory;
@@ -86,7 +86,7 @@
         assertEquals(DocumentCodec.toTree(continuous.snapshot()), DocumentCodec.toTree(restored.snapshot()));
     }
 
-    /** A timer and an arrival at the same time, in either order, are replayed in the captured order. */
+    /** A timer and an arrival with the same timestamp are replayed in the captured order, whichever comes first. */
     @Test
     void simultaneousTimerAndArrivalReplayInCapturedOrder() throws IOException {
         Set<String> outcomes = new TreeSet<>();
@@ -114,7 +114,7 @@
                     new EndpointsChanged(
                             EndpointUpdateKind.FULL,
                             List.of(new EndpointEntry("a", workload.settings.zone(), 0, EndpointState.READY, 1, 0))));
-            // More requests than the admission limit allows: some wait, and a timer is set.
+            // These are more requests than the admission limit allows, so some are queued and a timer is scheduled.
             long timerAt = Long.MAX_VALUE;
             for (int i = 0; i < 200; i++) {
                 for (BalancerAction action : handler.apply(
@@ -122,7 +122,7 @@
                     timerAt = action instanceof ScheduleTimer timer ? Math.min(timerAt, now + timer.delay()) : timerAt;
                 }
             }
-            assertTrue(timerAt < Long.MAX_VALUE, "no timer");
+            assertTrue(timerAt < Long.MAX_VALUE, "no timer was scheduled");
             RequestArrived lateArrival =
                     new RequestArrived("late", className, timerAt + 1_000_000_000L, null, 0, false);
             List<BalancerEvent> simultaneousEvents = timerFirst
@@ -143,7 +143,7 @@
             assertEquals(eventRecords.size(), replayer.replayedEvents());
             assertEquals(DocumentCodec.toTree(balancer.snapshot()), DocumentCodec.toTree(replayer.snapshot()));
         }
-        assertEquals(2, outcomes.size(), "the order made no difference, so nothing was shown: " + outcomes);
+        assertEquals(2, outcomes.size(), "both orders have the same actions, so the test proves nothing: " + outcomes);
     }
 
     @Test
@@ -180,7 +180,7 @@
                 return;
             }
         }
-        throw new AssertionError("no send to change");
+        throw new AssertionError("the workload has fewer than 100 attempts to change");
     }
 
     @Test
@@ -204,7 +204,7 @@
         }
         Replayer replayer = replay(entries, false);
         assertTrue(
-                replayer.divergences().get(0).description().startsWith("what is known at a snapshot differs: /"),
+                replayer.divergences().get(0).description().startsWith("the state differs from the snapshot: /"),
                 replayer.divergences().get(0).description());
     }
 
@@ -226,7 +226,7 @@
         assertEquals(500, replayer.droppedEvents());
         assertEquals(2500, replayer.replayedEvents());
         assertEquals(2, replayer.restores());
-        // The same gap, when the capture does not report it, is a divergence.
+        // The same gap is a divergence if the capture does not report it.
         List<CaptureEntry> entriesWithHiddenGap = entriesWithGap.stream()
                 .map(e -> e instanceof CaptureEntry.SnapshotRecord snapshotRecord
                         ? new CaptureEntry.SnapshotRecord(
@@ -275,7 +275,7 @@
         assertEquals(2, replayer.restores());
     }
 
-    /** Other heap sizes, garbage collectors and compilers lead to the same decisions. */
+    /** Decisions do not depend on the heap size, garbage collector or compiler of the JVM. */
     @Test
     void otherJvmOptionsReplayIdentically() throws Exception {
         Path file = WorkloadCapture.write(directory, WorkloadCapture.entries(7, 8000, 2000));
@@ -301,8 +301,8 @@
     }
 
     /**
-     * Ten captures whose process is killed while it writes: the events on the disk replay without divergence,
-     * up to the last one.
+     * Kills ten processes while they write a capture. The events on the disk, up to the last one, must replay without
+     * divergence.
      */
     @Test
     void captureOfKilledProcessReplaysToItsLastEvent() throws Exception {
@@ -321,7 +321,7 @@
                 // Kill once some blocks are on the disk, in the middle of the next one.
                 long minBytes = 150_000L + 40_000L * i;
                 TestSupport.await(() -> captureBytes(captureDirectory) > minBytes || !process.isAlive());
-                assertTrue(process.isAlive(), "it ended by itself");
+                assertTrue(process.isAlive(), "the process ended before it was killed");
             } finally {
                 process.destroyForcibly();
             }
@@ -441,7 +441,7 @@
                         .sum());
         assertTrue(
                 summary.byClass.values().stream().noneMatch(c -> c.causes.containsKey("refused: unknown")),
-                "a refusal without a cause");
+                "a rejection without a cause");
         summary.byClass
                 .values()
                 .forEach(c -> assertTrue(c.onTime + c.late + c.rejected + c.failed + c.disconnected <= c.arrived));
--- a/replay/src/test/java/weldhitch/replay/WorkloadCapture.java
+++ b/replay/src/test/java/weldhitch/replay/WorkloadCapture.java
@@ -11,7 +11,7 @@
 import weldhitch.decision.balancing.Workload;
 
 /**
- * Creates the capture of a workload generated from a seed, with a snapshot at regular intervals of events.
+ * Creates captures of a workload that is generated from a seed, with a snapshot after each fixed number of events.
  */
 final class WorkloadCapture {
     private WorkloadCapture() {}
@@ -39,7 +39,7 @@
                     writer.flush();
                 }
                 if (!writer.add(entry)) {
-                    throw new IOException("does not fit: " + entry);
+                    throw new IOException("entry does not fit into the capture: " + entry);
                 }
             }
             writer.flush();
--- a/replay/src/test/java/weldhitch/replay/policy/InvariantCheckerTest.java
+++ b/replay/src/test/java/weldhitch/replay/policy/InvariantCheckerTest.java
@@ -35,7 +35,7 @@
 import weldhitch.replay.policy.InvariantChecker.Invariant;
 import weldhitch.replay.policy.InvariantChecker.Violation;
 
-/** Tests that runs that keep the invariants pass, and that each kind of violation is reported. */
+/** Tests that correct runs pass, and that each kind of violation is reported. */
 class InvariantCheckerTest {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1000 * MS;
@@ -162,7 +162,7 @@
         assertEquals(List.of(), checker.violations());
         now += MS;
         observe(new TimerFired("due"));
-        expectViolation(Invariant.ONE_ANSWER, "has no answer");
+        expectViolation(Invariant.ONE_ANSWER, "has no final answer");
     }
 
     @Test
@@ -193,7 +193,7 @@
     void rejectionOfPossiblyExecutedNonIdempotentRequestIsReported() {
         requestArrives("r", "unsafe", new SendAttempt("r", "a1", 0));
         attemptEnds("r", 0, AttemptOutcome.TIMED_OUT, new RejectRequest("r", 0));
-        expectViolation(Invariant.NO_EFFECT_TWICE, "refused though it may have run");
+        expectViolation(Invariant.NO_EFFECT_TWICE, "rejected although it may have run");
     }
 
     @Test
@@ -207,7 +207,7 @@
     void repeatedSendOutsideDeduplicationScopeIsReported() {
         requestArrives("r", "keyed", new SendAttempt("r", "a1", 0));
         attemptEnds("r", 0, AttemptOutcome.TIMED_OUT, new SendAttempt("r", "b1", 0));
-        expectViolation(Invariant.NO_EFFECT_TWICE, "does not know its key");
+        expectViolation(Invariant.NO_EFFECT_TWICE, "is outside its deduplication scope");
     }
 
     @Test
@@ -215,13 +215,13 @@
         requestArrives("r", "keyed", new SendAttempt("r", "a1", 0));
         now += 451 * MS;
         attemptEnds("r", 0, AttemptOutcome.TIMED_OUT, new SendAttempt("r", "a2", 0));
-        expectViolation(Invariant.NO_EFFECT_TWICE, "after its key was forgotten");
+        expectViolation(Invariant.NO_EFFECT_TWICE, "after its deduplication window");
     }
 
     @Test
     void concurrentAttemptsAreReportedWhereHedgingIsNotAllowed() {
         requestArrives("r", "safe", new SendAttempt("r", "a1", 0), new SendAttempt("r", "a2", 0));
-        expectViolation(Invariant.NO_EFFECT_TWICE, "twice at a time");
+        expectViolation(Invariant.NO_EFFECT_TWICE, "twice at the same time");
     }
 
     @Test
@@ -233,7 +233,7 @@
         assertEquals(List.of(), checker.violations());
         now += MS;
         requestArrives("s", "safe", new SendAttempt("s", "a1", 0));
-        expectViolation(Invariant.DRAIN, "after it was told to be draining");
+        expectViolation(Invariant.DRAIN, "after its state became draining");
     }
 
     @Test
@@ -244,18 +244,18 @@
         observe(new EndpointsChanged(EndpointUpdateKind.FULL, List.of(endpointEntry("a2", "a", 0))));
         now += 51 * MS;
         requestArrives("r", "safe", new SendAttempt("r", "a1", 0));
-        expectViolation(Invariant.DRAIN, "gone");
+        expectViolation(Invariant.DRAIN, "after its state became removed");
     }
 
     @Test
     void sendToUnlistedEndpointIsReported() {
         requestArrives("r", "safe", new SendAttempt("r", "z9", 0));
-        expectViolation(Invariant.DRAIN, "no list has named it");
+        expectViolation(Invariant.DRAIN, "no endpoint list contains it");
     }
 
     /**
-     * Two warm endpoints get 20 attempts each in two seconds: an endpoint that has just started at a quarter of
-     * its capacity may get 15, plus a margin for chance.
+     * Two warmed-up endpoints receive 20 attempts each within two seconds. An endpoint that has just started, at a
+     * quarter of its capacity, may then receive 15 attempts, plus a margin for random variation.
      */
     @Test
     void overloadDuringSlowStartIsReported() {
@@ -278,7 +278,7 @@
         }
         assertEquals(List.of(), checker.violations());
         requestArrives("one", "safe", new SendAttempt("one", "c", 0));
-        expectViolation(Invariant.SLOW_START, "where 15 are allowed");
+        expectViolation(Invariant.SLOW_START, "but only 15 are allowed");
     }
 
     @Test
@@ -290,7 +290,7 @@
         observe(new ZonesAssigned("r", List.of("b")), new SendAttempt("r", "b1", 0));
         assertEquals(List.of(), checker.violations());
         observe(new AttemptEnded("r", 1, "b1", AttemptOutcome.FULL, MS, false, null), new SendAttempt("r", "a2", 0));
-        expectViolation(Invariant.ZONE, "zone a, where it may go to b");
+        expectViolation(Invariant.ZONE, "zone a, but its allowed zones are b");
     }
 
     @Test
