--- a/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
+++ b/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
@@ -58,7 +58,9 @@
         Files.writeString(file, "version = 1\n[class.read]\nattempts = 4\ndeadlin = \"1s\"\n# end\n");
         assertEquals(1, run("check", file.toString(), "--config", config.toString()));
         String output = out.toString();
-        assertTrue(output.contains(file + ":3: error: class.read.attempts: 4 is more than the platform's limit of 3"), output);
+        assertTrue(
+                output.contains(file + ":3: error: class.read.attempts: 4 is more than the platform's limit of 3"),
+                output);
         assertTrue(
                 output.contains(file + ":4: error: class.read.deadlin: is not a known key; "
                         + "did you mean \"deadline\"?"),
--- a/replay/src/main/java/weldhitch/replay/CaptureSlice.java
+++ b/replay/src/main/java/weldhitch/replay/CaptureSlice.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Asserts that every decision equals the captured one. Does not apply to slices from which this build is meant to
-     * diverge because rules were changed on purpose.
+     * Asserts that every decision equals the captured one. Use it only if the rules were not changed on purpose since
+     * the capture; otherwise this build is meant to decide differently.
      */
     public CaptureSlice assertSameDecisions() {
         require(
@@ -47,7 +47,7 @@
         return this;
     }
 
-    /** Asserts that the captured run violates none of the invariants of {@link CaptureVerifier}. */
+    /** Asserts that the captured run violates no invariant of {@link weldhitch.replay.policy.InvariantChecker}. */
     public CaptureSlice assertInvariantsHold() {
         require(
                 verifier.checker.violations().isEmpty(),
--- a/replay/src/main/java/weldhitch/replay/CaptureSlicer.java
+++ b/replay/src/main/java/weldhitch/replay/CaptureSlicer.java
@@ -47,7 +47,8 @@
     /**
      * Reads a capture and collects the requested events.
      *
-     * @throws IOException if the capture cannot be read, or this build's decisions diverge from it before the slice
+     * @throws IOException if the capture cannot be read or has no such event after a snapshot, or if this build's
+     *     decisions diverge from it before the slice
      */
     public CaptureSlicer read(Collection<Path> paths) throws IOException {
         Replayer replayer = new Replayer(null, false).endingAt(firstEvent - 1, Long.MAX_VALUE);
--- a/replay/src/main/java/weldhitch/replay/DecisionExplainer.java
+++ b/replay/src/main/java/weldhitch/replay/DecisionExplainer.java
@@ -18,8 +18,8 @@
 import weldhitch.decision.event.ZonesAssigned;
 
 /**
- * Explains, while a capture is replayed, the routing of one request, or why an endpoint was picked or not picked. Not
- * thread-safe; called on the replaying thread.
+ * Explains how one request was routed, or why an endpoint was picked or not picked. Collects the explanation while a
+ * capture is replayed. Not thread-safe; called on the replaying thread.
  */
 public final class DecisionExplainer implements DecisionListener, Replayer.Listener {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -30,7 +30,7 @@
      *
      * @param timestamp the node's clock, in nanoseconds
      * @param description the description for people
-     * @param trace the trace of the pick if an endpoint was picked in this step, else null
+     * @param trace the trace if the step is a pick, even one for which no endpoint was available; else null
      */
     public record Step(long timestamp, String description, PickTrace trace) {}
 
--- a/replay/src/main/java/weldhitch/replay/Replayer.java
+++ b/replay/src/main/java/weldhitch/replay/Replayer.java
@@ -16,8 +16,8 @@
 
 /**
  * Replays a capture with this build's balancer and compares each decision with the captured one. The replay starts at
- * the first snapshot. After dropped events, corruption or a divergence it restarts at the next snapshot; at a snapshot
- * that no such gap precedes, the balancer's state is also compared with the snapshot. Not thread-safe; one thread
+ * the first snapshot. After dropped events, corruption, a divergence or the start of another run, it restarts at the
+ * next snapshot. At any other snapshot, it compares the balancer's state with the snapshot. Not thread-safe; one thread
  * passes the entries in order.
  */
 public final class Replayer implements Consumer<CaptureEntry> {
@@ -52,7 +52,7 @@
      *
      * @param eventNumber the number of the event, counted from 1
      * @param timestamp the node's clock, in nanoseconds
-     * @param captured the captured event with its actions; null if the state diverges at a snapshot
+     * @param captured the captured event with its actions; null if the divergence is at a snapshot
      * @param replayedActions the actions that this build decides
      * @param description the description for people
      */
--- a/replay/src/main/java/weldhitch/replay/policy/InvariantChecker.java
+++ b/replay/src/main/java/weldhitch/replay/policy/InvariantChecker.java
@@ -28,13 +28,13 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * Checks a node's events and actions against four invariants:
+ * Checks that the events and actions of a node satisfy four invariants.
  *
  * <ul>
- *   <li>each request gets one final answer within its deadline, and no attempt is sent after it;
- *   <li>no request takes effect twice;
- *   <li>no attempt is sent to a draining endpoint after the grace period;
- *   <li>no endpoint is overloaded while it is warming up.
+ *   <li>Each request gets one final answer within its deadline, and no attempt is sent after it.
+ *   <li>No request takes effect twice.
+ *   <li>No attempt is sent to a draining or removed endpoint after the grace period.
+ *   <li>No endpoint is overloaded while it is warming up.
  * </ul>
  *
  * <p>It also checks that a request with allowed zones is not sent to another zone. The checker uses only events and
@@ -370,7 +370,8 @@
             report(
                     Invariant.DRAIN,
                     endpoint.id,
-                    "was sent " + request.id + " " + millis(now - endpoint.stateSince) + " after its state became "
+                    "was sent " + request.id + " " + millis(now - endpoint.stateSince)
+                            + " after it stopped being ready; it is "
                             + (endpoint.state == EndpointState.REMOVED ? "removed" : "draining"));
         }
         request.attempts.add(new TrackedAttempt(endpoint, now));
--- a/replay/src/test/java/weldhitch/replay/RecordedCaptureReplayTest.java
+++ b/replay/src/test/java/weldhitch/replay/RecordedCaptureReplayTest.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** Tests that this build makes the same decisions as version 32a2790, from the snapshots in its captures on. */
+/** Replays captures recorded by version 32a2790, and tests that this build makes the same decisions. */
 class RecordedCaptureReplayTest {
     private static final Path RECORDED = Path.of("capture/src/test/resources/weldhitch/recorded");
 
--- a/replay/src/test/java/weldhitch/replay/policy/InvariantCheckerTest.java
+++ b/replay/src/test/java/weldhitch/replay/policy/InvariantCheckerTest.java
@@ -233,7 +233,7 @@
         assertEquals(List.of(), checker.violations());
         now += MS;
         requestArrives("s", "safe", new SendAttempt("s", "a1", 0));
-        expectViolation(Invariant.DRAIN, "after its state became draining");
+        expectViolation(Invariant.DRAIN, "after it stopped being ready; it is draining");
     }
 
     @Test
@@ -244,7 +244,7 @@
         observe(new EndpointsChanged(EndpointUpdateKind.FULL, List.of(endpointEntry("a2", "a", 0))));
         now += 51 * MS;
         requestArrives("r", "safe", new SendAttempt("r", "a1", 0));
-        expectViolation(Invariant.DRAIN, "after its state became removed");
+        expectViolation(Invariant.DRAIN, "after it stopped being ready; it is removed");
     }
 
     @Test
--- a/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
@@ -86,7 +86,7 @@
         String text = values.readText(capture, "capture", "directory");
         if (text == null) {
             if (!capture.has("directory")) {
-                values.error("capture", "directory is missing", "write a directory that only this node uses");
+                values.error("capture", "directory is missing", "set it to a directory that only this node uses");
             }
             return null;
         }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/FleetSectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/FleetSectionReader.java
@@ -28,7 +28,7 @@
         boolean valid = values.requireKnownKeys(fleet, "fleet", KNOWN_KEYS);
         String cluster = values.readText(fleet, "fleet", "cluster");
         if (cluster == null && !fleet.has("cluster")) {
-            values.error("fleet", "cluster is missing", "write the cluster name that the coordinators use");
+            values.error("fleet", "cluster is missing", "set it to the cluster name that the coordinators use");
         } else if (cluster != null
                 && !TomlValueReader.NAME_PATTERN.matcher(cluster).matches()) {
             values.error(
--- a/routeconfig/src/main/java/weldhitch/routeconfig/LocalitySectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/LocalitySectionReader.java
@@ -267,7 +267,7 @@
             if (regions.priorityLevels(rule, localZone, platformZones).stream().allMatch(Set::isEmpty)) {
                 error(
                         key + ".never",
-                        "leaves requests that arrive in zone " + localZone + " without any zone",
+                        "leaves requests that arrive in zone " + localZone + " without a permitted zone",
                         "forbid fewer zones, or add further preferences");
                 return;
             }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfig.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfig.java
@@ -12,8 +12,8 @@
 import weldhitch.routeconfig.RuleSection.Setting;
 
 /**
- * A route configuration read from a file. It holds the problems found and, if there are no errors, the compiled
- * routes. The schema is described in docs/route-configuration.md. Immutable.
+ * A route configuration read from a file, with the problems found and, if there are no errors, the compiled routes. The
+ * schema is described in docs/route-configuration.md. Immutable.
  */
 public final class RouteConfig {
     /** The last line of every file, by which a truncated file is detected. */
@@ -54,7 +54,7 @@
         this.settingsByRoute = settingsByRoute;
     }
 
-    /** Returns an unusable configuration whose problems prevent its sections from being read. */
+    /** Returns the configuration of a file whose sections cannot be read because of these problems. It is unusable. */
     static RouteConfig invalid(List<ConfigProblem> problems, BalancerSettings platform) {
         return new RouteConfig(problems, null, Map.of(), platform, null, null, null);
     }
@@ -64,7 +64,7 @@
      *
      * @param key the setting's key in the file
      * @param value the setting's value, formatted for people
-     * @param source the section that contains the setting and its line, or {@code platform}
+     * @param source the section that contains the setting, with the line of the setting; or {@code platform}
      */
     public record EffectiveRule(String key, String value, String source) {}
 
@@ -128,7 +128,7 @@
         return capture;
     }
 
-    /** Returns the settings of a fleet member; null if the file has none or is not {@link #isUsable}. */
+    /** Returns the settings of the section {@code [fleet]}; null if the file has none or is not {@link #isUsable}. */
     public FleetSettings fleet() {
         return fleet;
     }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigValidator.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigValidator.java
@@ -139,7 +139,7 @@
                 error(
                         hedge.key(),
                         "class " + section.pattern().requestClass()
-                                + " is not idempotent: a hedged request could run twice",
+                                + " is not idempotent by itself: a hedged request could run twice",
                         "remove hedge or write hedge = \"off\"");
             } else if (platform != null && !platform.limits().hedgingAllowed()) {
                 error(hedge.key(), "the platform does not allow hedged requests", "remove hedge");
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RoutePatternReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RoutePatternReader.java
@@ -6,7 +6,10 @@
 import java.util.Locale;
 import weldhitch.decision.routing.RoutePattern;
 
-/** Reads the pattern of the requests that a route matches. Used by {@link RouteConfigReader}; not thread-safe. */
+/**
+ * Reads the pattern of the requests that a route matches. Used by {@link RouteConfigReader} for one file; not
+ * thread-safe.
+ */
 final class RoutePatternReader {
     private static final List<String> MATCH_KEYS = List.of("class", "method", "path", "prefix");
     private static final List<String> METHODS = List.of("GET", "POST");
--- a/routeconfig/src/main/java/weldhitch/routeconfig/SpillPolicyReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/SpillPolicyReader.java
@@ -50,8 +50,8 @@
         } else if (maxFraction != null && uncoordinatedFraction != null && uncoordinatedFraction > maxFraction) {
             error(
                     key + ".alone",
-                    "is more than most, " + maxFraction,
-                    "lower it: without a quota grant a node may not spill over more than most");
+                    "is more than most, which is " + maxFraction,
+                    "lower it: a node without a quota grant must not spill over more than a node with one");
         }
         return valid
                 ? new SpillPolicy(
@@ -66,10 +66,10 @@
     }
 
     /**
-     * Reads a hysteresis band.
+     * Reads a hysteresis band. A priority level becomes short of capacity at {@code begin} and is no longer short at
+     * {@code end}.
      *
-     * @param rising whether {@code end}, at which a priority level is no longer short of capacity, has to be above
-     *     {@code begin}, at which it becomes short, rather than below it
+     * @param rising whether {@code end} has to be above {@code begin}; otherwise it has to be below
      */
     private HysteresisBand readBand(
             JsonNode table, String parentKey, String name, HysteresisBand defaultBand, boolean rising) {
--- a/routeconfig/src/main/java/weldhitch/routeconfig/TomlLineIndex.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/TomlLineIndex.java
@@ -45,7 +45,7 @@
         return 1;
     }
 
-    /** Returns the first line that repeats a key set on an earlier line; 0 if there is none. */
+    /** Returns the first line with a key that was set before; 0 if there is none. */
     public int firstDuplicateLine() {
         return firstDuplicateLine;
     }
--- a/routeconfig/src/main/java/weldhitch/routeconfig/TomlValueReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/TomlValueReader.java
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Returns a string that is not empty. Returns null if the key is absent; reports a problem and returns null for
-     * anything else.
+     * Returns a string that is not empty, or null if the key is absent. Reports a problem and returns null for anything
+     * else.
      */
     String readText(JsonNode table, String parentKey, String name) {
         JsonNode value = table.get(name);
@@ -106,7 +106,7 @@
             return null;
         }
         if (!value.isTextual() || value.textValue().isEmpty()) {
-            error(parentKey + "." + name, value + " is not a non-empty string", "write " + name + " = \"...\"");
+            error(parentKey + "." + name, value + " is not a string or is empty", "write " + name + " = \"...\"");
             return null;
         }
         return value.textValue();
--- a/routeconfig/src/test/java/weldhitch/routeconfig/RouteConfigTest.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/RouteConfigTest.java
@@ -106,7 +106,7 @@
         assertEquals(
                 4_000_000_000L,
                 policyFor("book", "POST", "/book").deadline(),
-                "the settings of a class apply to routes of any class");
+                "a route without a class inherits the settings of the request's class");
     }
 
     @Test
--- a/routeconfig/src/test/java/weldhitch/routeconfig/TestPlatforms.java
+++ b/routeconfig/src/test/java/weldhitch/routeconfig/TestPlatforms.java
@@ -5,11 +5,11 @@
 import weldhitch.decision.settings.BalancerSettings;
 import weldhitch.decision.settings.FlatSettingsParser;
 
-/** Platform settings for tests to validate files against. */
+/** Creates platform settings against which tests validate files. */
 final class TestPlatforms {
     private TestPlatforms() {}
 
-    /** The default test platform with some settings changed. */
+    /** Returns the default test platform with some settings changed. */
     static BalancerSettings platform(Map<String, String> overrides) {
         Map<String, String> settings = new HashMap<>();
         String[] classes = {"read", "book", "feed", "whole"};
@@ -43,7 +43,7 @@
         return new FlatSettingsParser(settings).settings();
     }
 
-    /** The default test platform. */
+    /** Returns the default test platform. */
     static BalancerSettings platform() {
         return platform(Map.of());
     }
