--- a/replay/src/test/java/weldhitch/replay/RecordedCaptureReplayTest.java
+++ b/replay/src/test/java/weldhitch/replay/RecordedCaptureReplayTest.java
@@ -4,17 +4,17 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** Replays captures that version 32a2790 recorded: from their snapshots on, this build decides as that one did. */
+/** Replays captures recorded by version 32a2790, and tests that this build makes the same decisions. */
 class RecordedCaptureReplayTest {
     private static final Path RECORDED = Path.of("capture/src/test/resources/weldhitch/recorded");
 
     @Test
-    void fromTheStartOfANodeThisBuildDecidesAsTheOneThatRecorded() throws IOException {
+    void replayFromNodeStartMakesRecordedDecisions() throws IOException {
         CaptureSlice.replay(RECORDED.resolve("capture")).assertSameDecisions();
     }
 
     @Test
-    void fromASnapshotMidwayThisBuildDecidesAsTheOneThatRecorded() throws IOException {
+    void replayFromLaterSnapshotMakesRecordedDecisions() throws IOException {
         CaptureSlice.replay(RECORDED.resolve("midway.cap")).assertSameDecisions();
     }
 }
