--- a/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
@@ -155,7 +155,7 @@
         DecisionExplainer explanation = DecisionExplainer.forRequest(retriedAttempt.requestId());
         replay(captureDirectory, explanation);
         assertTrue(explanation.text().contains("attempt 1 goes to " + retriedAttempt.endpointId()), explanation.text());
-        assertTrue(explanation.text().contains("is tried again"), explanation.text());
+        assertTrue(explanation.text().contains("is retried"), explanation.text());
         // The capture contains neither bodies nor headers that identify a person.
         for (CaptureFiles.SegmentFile segment : CaptureFiles.segmentsIn(captureDirectory)) {
             assertFalse(Files.readString(segment.path(), java.nio.charset.StandardCharsets.ISO_8859_1)
--- a/replay/src/main/java/weldhitch/replay/DecisionExplainer.java
+++ b/replay/src/main/java/weldhitch/replay/DecisionExplainer.java
@@ -66,9 +66,9 @@
             addStep(
                     trace.at(),
                     trace.chosen() == null
-                            ? "no server may take it now"
+                            ? "no endpoint is available now"
                             : "attempt " + trace.attempt() + " goes to " + trace.chosen() + ": drawn "
-                                    + trace.firstDraw() + " and " + trace.secondDraw() + ", the lower mean wins",
+                                    + trace.firstDraw() + " and " + trace.secondDraw() + ", the lower mean is picked",
                     trace);
         } else if (endpointId != null
                 && trace.at() <= notAfter
@@ -93,8 +93,8 @@
                     eventRecord.timestamp(),
                     "arrives: class " + e.requestClass() + ", "
                             + (e.deadline() - eventRecord.timestamp()) / NANOS_PER_MILLI
-                            + " ms to answer in" + (e.clientRetry() ? ", a client's retry" : "")
-                            + (e.allowedZones() == null ? "" : ", for servers of " + joinZones(e.allowedZones())),
+                            + " ms until its deadline" + (e.clientRetry() ? ", a client's retry" : "")
+                            + (e.allowedZones() == null ? "" : ", allowed zones: " + joinZones(e.allowedZones())),
                     null);
         } else if (event instanceof AttemptEnded e && e.requestId().equals(requestId)) {
             addStep(
@@ -102,17 +102,17 @@
                     "attempt " + e.attempt() + " at " + e.endpointId() + " ended after " + e.latency() / NANOS_PER_MILLI
                             + " ms: "
                             + e.outcome().name().toLowerCase(Locale.ROOT).replace('_', ' ')
-                            + (e.requestFinished() ? ", the final answer is given" : ""),
+                            + (e.requestFinished() ? ", the final answer is sent" : ""),
                     null);
         } else if (event instanceof ResponseStarted e && e.requestId().equals(requestId)) {
             addStep(
                     eventRecord.timestamp(),
-                    "attempt " + e.attempt() + " at " + e.endpointId() + " begins its answer, which is the final one",
+                    "attempt " + e.attempt() + " at " + e.endpointId() + " begins the final answer",
                     null);
         } else if (event instanceof ClientDisconnected e && e.requestId().equals(requestId)) {
-            addStep(eventRecord.timestamp(), "its client has gone", null);
+            addStep(eventRecord.timestamp(), "the client disconnected", null);
         } else if (event instanceof ZonesAssigned e && e.requestId().equals(requestId)) {
-            addStep(eventRecord.timestamp(), "may go to servers of " + joinZones(e.zones()) + " from here on", null);
+            addStep(eventRecord.timestamp(), "its allowed zones are " + joinZones(e.zones()) + " from now on", null);
         }
     }
 
@@ -122,18 +122,18 @@
             if (action instanceof RejectRequest a && a.requestId().equals(requestId)) {
                 addStep(
                         eventRecord.timestamp(),
-                        "refused"
+                        "rejected"
                                 + (a.retryAfter() > 0
-                                        ? ", to come again after " + a.retryAfter() / NANOS_PER_MILLI + " ms"
+                                        ? ", with Retry-After of " + a.retryAfter() / NANOS_PER_MILLI + " ms"
                                         : ""),
                         null);
             } else if (action instanceof FailRequest a && a.requestId().equals(requestId)) {
                 addStep(
                         eventRecord.timestamp(),
-                        "failed: it may have run, so nothing says that a retry does no harm",
+                        "failed: it may have run, so a client's retry could run it twice",
                         null);
             } else if (action instanceof CancelAttempt a && a.requestId().equals(requestId)) {
-                addStep(eventRecord.timestamp(), "attempt " + a.attempt() + " is called off", null);
+                addStep(eventRecord.timestamp(), "attempt " + a.attempt() + " is cancelled", null);
             }
         }
     }
@@ -150,23 +150,23 @@
 
     private static String describe(DecisionReason reason) {
         return switch (reason) {
-            case ADMITTED -> "let in";
-            case QUEUED -> "waits: as many are let in at once as servers answer in time";
-            case QUEUE_TIMEOUT -> "no room came in time";
-            case TENANT_QUOTA_EXHAUSTED -> "its tenant's limit on this route is used up";
-            case REQUESTING_ZONES -> "no server is left in its zones: asks whether others may take it";
-            case NO_ALLOWED_ZONE -> "no zone may take it";
-            case NO_ENDPOINT_AVAILABLE -> "held back: no server may take it now";
-            case DEADLINE_EXCEEDED -> "its time is up";
-            case RETRIED -> "is tried again at once";
-            case BACKING_OFF -> "is tried again after a wait";
-            case HEDGED -> "its attempt takes longer than usual: a second copy goes out";
-            case OUTCOME_NOT_RETRYABLE -> "is not tried again: its route does not after this outcome";
-            case MAX_ATTEMPTS_REACHED -> "is not tried again: no further attempt is allowed";
-            case POSSIBLY_EXECUTED -> "is not tried again: it is unsafe and may have run";
-            case DEDUPLICATION_WINDOW_EXPIRED -> "is not tried again: servers no longer know its key";
-            case RETRY_BUDGET_EXHAUSTED -> "is not tried again: the budget for that is spent";
-            case BACKOFF_EXCEEDS_DEADLINE -> "is not tried again: the wait would outlast its deadline";
+            case ADMITTED -> "admitted";
+            case QUEUED -> "is queued: the admission limit is reached";
+            case QUEUE_TIMEOUT -> "was not admitted in time";
+            case TENANT_QUOTA_EXHAUSTED -> "its tenant's quota on this route is exhausted";
+            case REQUESTING_ZONES -> "no endpoint is left in its allowed zones: other zones are requested";
+            case NO_ALLOWED_ZONE -> "no zone is allowed";
+            case NO_ENDPOINT_AVAILABLE -> "waits: no endpoint is available now";
+            case DEADLINE_EXCEEDED -> "its deadline is exceeded";
+            case RETRIED -> "is retried immediately";
+            case BACKING_OFF -> "is retried after a backoff";
+            case HEDGED -> "its attempt takes longer than usual: a hedged request is sent";
+            case OUTCOME_NOT_RETRYABLE -> "is not retried: its route does not retry after this outcome";
+            case MAX_ATTEMPTS_REACHED -> "is not retried: the maximum number of attempts is reached";
+            case POSSIBLY_EXECUTED -> "is not retried: it is not idempotent and may have run";
+            case DEDUPLICATION_WINDOW_EXPIRED -> "is not retried: its deduplication window has expired";
+            case RETRY_BUDGET_EXHAUSTED -> "is not retried: the retry budget is exhausted";
+            case BACKOFF_EXCEEDS_DEADLINE -> "is not retried: the backoff would exceed its deadline";
         };
     }
 
@@ -176,7 +176,7 @@
                 ? List.copyOf(steps)
                 : List.of(new Step(
                         latestPick.at(),
-                        "request " + latestPick.requestId() + " is drawn for: " + latestPick.chosen() + " takes it",
+                        "request " + latestPick.requestId() + ": endpoint " + latestPick.chosen() + " was picked",
                         latestPick));
     }
 
@@ -231,12 +231,12 @@
     private static String exclusionSuffix(ExclusionReason exclusion) {
         return switch (exclusion) {
             case NONE -> "";
-            case DRAINING -> ": it drains";
-            case OUTSIDE_SUBSET -> ": not among those this node looks at";
-            case NO_SLOW_START_CREDIT -> ": cold, and its credit is spent";
-            case ALREADY_ATTEMPTED -> ": tried before";
-            case OUTSIDE_DEDUPLICATION_SCOPE -> ": does not know the request's key";
-            case ZONE_NOT_ALLOWED -> ": of a zone that the request may not go to";
+            case DRAINING -> ": draining";
+            case OUTSIDE_SUBSET -> ": outside this node's subset";
+            case NO_SLOW_START_CREDIT -> ": warming up, and its slow-start credit is used up";
+            case ALREADY_ATTEMPTED -> ": already attempted";
+            case OUTSIDE_DEDUPLICATION_SCOPE -> ": outside the request's deduplication scope";
+            case ZONE_NOT_ALLOWED -> ": in a zone that is not allowed for the request";
         };
     }
 }
