--- a/capture/src/main/java/weldhitch/capture/format/BlockFormat.java
+++ b/capture/src/main/java/weldhitch/capture/format/BlockFormat.java
@@ -17,7 +17,7 @@
     static final int FLAG_SELF_CONTAINED = 1;
     /** Limit for a block's uncompressed content, in bytes. */
     static final int MAX_CONTENT_BYTES = 64 << 20;
-    /** The content is at most this many times as long as the compressed bytes, plus the slack. */
+    /** A block's content is at most this many times as long as its compressed bytes, plus the slack below. */
     private static final long MAX_COMPRESSION_RATIO = 4096;
 
     private static final long COMPRESSION_RATIO_SLACK_BYTES = 64 << 10;
@@ -27,14 +27,16 @@
     private BlockFormat() {}
 
     /**
-     * The header before a block's compressed bytes. Immutable.
-     *
-     * @param storedBytes compressed length in bytes
-     * @param contentBytes uncompressed length in bytes
-     * @param checksum CRC-32C of the compressed bytes
-     * @param blockNumber of the block in its segment, from 0
-     * @param baseTime base that the first record's time is relative to, nanoseconds
-     */
+     /**
+      * The header before a block's compressed bytes. Immutable.
+      *
+      * @param storedBytes compressed length in bytes
+      * @param contentBytes uncompressed length in bytes
+      * @param checksum CRC-32C of the compressed bytes
+      * @param flags bit set, see {@link #FLAG_SELF_CONTAINED}
+      * @param blockNumber number of the block in its segment, from 0
+      * @param baseTime time that the first record's time is relative to, in nanoseconds
+      */
     record Header(int storedBytes, int contentBytes, int checksum, int flags, long blockNumber, long baseTime) {
         boolean isSelfContained() {
             return (flags & FLAG_SELF_CONTAINED) != 0;
@@ -61,14 +63,14 @@
     static void checkFileHeader(String file, ByteBuffer bytes) throws CaptureFormatException {
         ByteBuffer header = bytes.order(ByteOrder.LITTLE_ENDIAN);
         if (header.remaining() < FILE_HEADER_BYTES || header.getLong(0) != FILE_MAGIC) {
-            throw new CaptureFormatException(file + ": is no capture, expected one that weldhitch wrote");
+            throw new CaptureFormatException(file + ": is not a capture, expected a file that weldhitch wrote");
         }
         if (header.getInt(12) != checksum(header.duplicate().limit(12))) {
-            throw new CaptureFormatException(file + ": its first " + FILE_HEADER_BYTES + " bytes are damaged");
+            throw new CaptureFormatException(file + ": its first " + FILE_HEADER_BYTES + " bytes are corrupt");
         }
         if (header.getInt(8) != FORMAT_VERSION) {
-            throw new CaptureFormatException(file + ": is of format " + header.getInt(8) + ", expected "
-                    + FORMAT_VERSION + ": read it by the build that wrote it");
+            throw new CaptureFormatException(file + ": has format version " + header.getInt(8) + ", expected "
+                    + FORMAT_VERSION + ": read it with the build that wrote it");
         }
     }
 
--- a/capture/src/main/java/weldhitch/capture/format/CaptureEntry.java
+++ b/capture/src/main/java/weldhitch/capture/format/CaptureEntry.java
@@ -8,16 +8,16 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * One entry of a capture; entries are in the order in which they happened. Times are nanoseconds of the node's
+ * An entry of a capture. Entries are in the order in which they happened. Times are nanoseconds of the node's
  * own clock. Not modified after creation.
  */
 public sealed interface CaptureEntry {
     /**
-     * A snapshot record: the balancer's complete state at this time, before the events that follow.
+     * A snapshot of the balancer's complete state, taken before the events that follow.
      *
-     * @param runId distinguishes one capture of a node from the next one in the same directory
+     * @param runId distinguishes the captures that a node writes to the same directory one after another
      * @param build version of the node, for people to read
-     * @param dropped the events before this that were not written; null if none were dropped
+     * @param dropped the events before this snapshot that were not written; null if none were dropped
      */
     record SnapshotRecord(
             long timestamp,
@@ -28,13 +28,13 @@
             BalancerSnapshot snapshot,
             DroppedEvents dropped)
             implements CaptureEntry {
-        /** Returns a copy that reports these dropped events before it. */
+        /** Returns a copy that reports the given events as dropped before the snapshot. */
         public SnapshotRecord withDropped(DroppedEvents allDropped) {
             return new SnapshotRecord(timestamp, node, runId, build, settings, snapshot, allDropped);
         }
     }
 
-    /** An event record: an event and the actions that the balancer decided on. */
+    /** An event and the actions that the balancer decided on. */
     record EventRecord(long timestamp, BalancerEvent event, List<BalancerAction> actions)
             implements CaptureEntry, CaptureItem {}
 
--- a/capture/src/main/java/weldhitch/capture/format/CaptureFiles.java
+++ b/capture/src/main/java/weldhitch/capture/format/CaptureFiles.java
@@ -25,11 +25,11 @@
     /**
      * A segment file, as its name describes it. Immutable.
      *
-     * @param startedAtMillis when it was started, milliseconds since the epoch
+     * @param startedAtMillis time at which it was started, in milliseconds since the epoch
      * @param number its number in the directory, from 1
      */
     public record SegmentFile(Path path, long startedAtMillis, long number) {
-        /** Returns the segment with this file's name, or null if the name is not that of a segment. */
+        /** Returns the segment with this file's name, or null if the file is not named like a segment. */
         public static SegmentFile parse(Path path) {
             Matcher matcher = SEGMENT_NAME.matcher(path.getFileName().toString());
             return matcher.matches()
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Reads the given files in order; for a directory, its segments, the oldest first.
+     * Reads the given files in order; a directory stands for its segments, the oldest first.
      *
      * @throws CaptureFormatException if a file is not a capture of this format
      */
@@ -76,7 +76,7 @@
             if (Files.isDirectory(path)) {
                 List<SegmentFile> segments = segmentsIn(path);
                 if (segments.isEmpty()) {
-                    throw new NoSuchFileException(path.toString(), null, "holds no segments of a capture");
+                    throw new NoSuchFileException(path.toString(), null, "contains no capture segments");
                 }
                 segments.forEach(s -> files.add(s.path()));
             } else {
--- a/capture/src/main/java/weldhitch/capture/format/DocumentCodec.java
+++ b/capture/src/main/java/weldhitch/capture/format/DocumentCodec.java
@@ -19,9 +19,9 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * Encodes and decodes the parts of a capture that are rare, large and change in form over time, as
- * self-describing CBOR (RFC 8949). Unknown fields are ignored; a missing or invalid field is named in the
- * error. Stateless and thread-safe.
+ * Encodes and decodes snapshots and routes as self-describing CBOR (RFC 8949): they are rare and large, and
+ * their form changes over time. Unknown fields are ignored; the error for a missing or invalid field names the
+ * field. Stateless and thread-safe.
  */
 public final class DocumentCodec {
     private static final ObjectMapper MAPPER = DocumentNames.register(CBORMapper.builder())
@@ -42,8 +42,8 @@
     private interface HedgingMixIn {}
 
     /**
-     * The content of an {@link CaptureEntry.SnapshotRecord} document, without its time; the component names are
-     * the CBOR names.
+     * The content of a {@link CaptureEntry.SnapshotRecord} document, without its time. The component names are the
+     * CBOR names, unless an annotation gives another one.
      */
     private record SnapshotDocument(
             String node,
@@ -70,7 +70,7 @@
         }
         SnapshotDocument decoded = decode(encode(document), new TypeReference<SnapshotDocument>() {});
         if (decoded.settings == null || decoded.snapshot == null) {
-            throw new CaptureFormatException("document: settings or snapshot: null, expected both");
+            throw new CaptureFormatException("document: settings or snapshot is null, expected both");
         }
         return new CaptureEntry.SnapshotRecord(
                 timestamp,
@@ -83,9 +83,9 @@
     }
 
     /**
-     * Upgrades a snapshot of an older version. Version 1 did not hold the served rate of warm endpoints, for
-     * which 0 is used. Before version 3 there were no allowed zones of requests, and before version 4 no mark
-     * on an attempt whose successor had been paid for.
+     * Upgrades a snapshot of an older version. Version 1 lacks the served rate of warm endpoints, which is set
+     * to 0. Version 2 lacks the allowed zones of requests, and version 3 lacks the flag on attempts for whose
+     * successor a retry token was taken in advance.
      */
     private static void upgrade(ObjectNode snapshot) {
         if (snapshot.path("version").asInt() == 1) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Returns a snapshot as a tree, to compare two field by field and to show them to people. */
+    /** Returns a snapshot as a tree, for comparing two snapshots field by field and for displaying them. */
     public static JsonNode toTree(BalancerSnapshot snapshot) {
         return MAPPER.valueToTree(snapshot);
     }
@@ -126,7 +126,7 @@
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a document can't be written: " + e.getOriginalMessage(), e);
+            throw new IllegalStateException("cannot encode a document: " + e.getOriginalMessage(), e);
         }
     }
 
--- a/capture/src/main/java/weldhitch/capture/format/DocumentNames.java
+++ b/capture/src/main/java/weldhitch/capture/format/DocumentNames.java
@@ -33,16 +33,14 @@
 import weldhitch.decision.snapshot.BalancerSnapshot.TokenBucketSnapshot;
 
 /**
- * The names under which the balancer's settings, snapshots and routes stand in the documents of a capture. They
- * are data: captures of
- * other versions hold them, so they stay as they are where a component in code is called otherwise. The types
- * themselves know no
- * Jackson. Stateless and thread-safe.
+ * The names of the balancer's settings, snapshots and routes in the documents of a capture. Captures of other
+ * versions contain them, so they never change, even where the component has another name in the code. They are
+ * Jackson mix-ins, so that the types themselves do not depend on Jackson. Stateless and thread-safe.
  */
 final class DocumentNames {
     private DocumentNames() {}
 
-    /** Teaches a mapper the recorded names. */
+    /** Registers the recorded names with a mapper builder and returns the builder. */
     static <B extends MapperBuilder<?, B>> B register(B builder) {
         return builder.addMixIn(BalancerSettings.class, BalancerSettingsNames.class)
                 .addMixIn(RequestClass.class, RequestClassNames.class)
--- a/capture/src/main/java/weldhitch/capture/format/RecordDecoder.java
+++ b/capture/src/main/java/weldhitch/capture/format/RecordDecoder.java
@@ -89,9 +89,11 @@
     }
 
     /**
-     * Decodes a block's records, whose times are relative to {@code time}.
+     * Decodes the records of a block.
      *
-     * @throws CaptureFormatException if the content is not valid; the entries before that have been delivered
+     * @param baseTime time that the first record's time is relative to, in nanoseconds
+     * @throws CaptureFormatException if the content is invalid; the entries before the invalid one have been
+     *     delivered
      */
     void decode(ByteBuffer content, long baseTime, Consumer<CaptureEntry> sink) throws CaptureFormatException {
         ByteBuffer view = content.duplicate().order(ByteOrder.LITTLE_ENDIAN);
@@ -102,7 +104,7 @@
                 length = length == RecordEncoder.EXTENDED_LENGTH_MARKER ? view.getInt() : length;
                 if (length < MessageHeaderDecoder.ENCODED_LENGTH || length > view.remaining()) {
                     throw new CaptureFormatException(
-                            "a record of " + length + " bytes where " + view.remaining() + " are left");
+                            "invalid record length: " + length + " bytes, but " + view.remaining() + " are left");
                 }
                 // The buffer is bounded to this record, so that no length within it can reach past its end.
                 buffer.wrap(view, view.position(), length);
@@ -110,7 +112,7 @@
                 view.position(view.position() + length);
             }
             if (view.hasRemaining()) {
-                throw new CaptureFormatException("a byte too many behind the last record");
+                throw new CaptureFormatException("unexpected byte after the last record");
             }
             // An entry never spans two blocks, so the pending event has no more actions.
             emitPending(sink);
@@ -118,7 +120,7 @@
                 | IllegalArgumentException
                 | IllegalStateException
                 | java.nio.BufferUnderflowException e) {
-            throw new CaptureFormatException("a record that makes no sense: " + e.getMessage(), e);
+            throw new CaptureFormatException("invalid record: " + e.getMessage(), e);
         }
     }
 
@@ -144,7 +146,7 @@
             emitPending(sink);
             return;
         }
-        // Strings used by the actions stand between an event and its actions, so they do not end the event.
+        // The strings that actions use are written between the event and its actions, so they do not end the event.
         if (templateId == TextDecoder.TEMPLATE_ID) {
             text.wrapAndApplyHeader(buffer, 0, header);
             int stringId = text.word();
@@ -269,7 +271,7 @@
                         loadReport));
             }
             default -> {
-                // A record of a later build is skipped: its length gives the start of the next one.
+                // A record type of a later build is skipped: the record's length gives the start of the next one.
             }
         }
     }
@@ -291,7 +293,7 @@
                         case 8 -> new RequestZones(actionRequestId(action));
                         default ->
                             throw new CaptureFormatException(
-                                    "an action of kind " + action.kind() + ", expected 1 to 8");
+                                    "invalid action kind " + action.kind() + ", expected 1 to 8");
                     });
         }
         return decoded;
@@ -312,12 +314,13 @@
         } else if (pendingEvent instanceof ZonesAssigned e) {
             return e.requestId();
         }
-        throw new CaptureFormatException("an action on the event's request, where the event has none");
+        throw new CaptureFormatException("an action refers to its event's request, but the event has no request");
     }
 
     private int checkedLength(int length) throws CaptureFormatException {
         if (length < 0 || length > buffer.capacity()) {
-            throw new CaptureFormatException("a document of " + length + " bytes in a record of " + buffer.capacity());
+            throw new CaptureFormatException(
+                    "invalid length: " + length + " bytes in a record of " + buffer.capacity());
         }
         return length;
     }
@@ -337,7 +340,7 @@
     private List<String> decodeZones(int stringId) throws CaptureFormatException {
         String encoded = stringOf(stringId);
         if (encoded == null) {
-            throw new CaptureFormatException("zones that were never said");
+            throw new CaptureFormatException("list of zones is missing");
         }
         return ZoneListCodec.decode(encoded);
     }
@@ -348,14 +351,15 @@
         }
         String value = stringsById.get(stringId);
         if (value == null) {
-            throw new CaptureFormatException("word " + stringId + " was never said");
+            throw new CaptureFormatException("string " + stringId + " is not in the string table");
         }
         return value;
     }
 
     private static <T> T constantAt(T[] values, int ordinal) throws CaptureFormatException {
         if (ordinal >= values.length) {
-            throw new CaptureFormatException("number " + ordinal + ", expected 0 to " + (values.length - 1));
+            throw new CaptureFormatException(
+                    "invalid enum value " + ordinal + ", expected 0 to " + (values.length - 1));
         }
         return values[ordinal];
     }
--- a/capture/src/main/java/weldhitch/capture/format/RecordEncoder.java
+++ b/capture/src/main/java/weldhitch/capture/format/RecordEncoder.java
@@ -46,19 +46,19 @@
 /**
  * Encodes entries one after another into a buffer, in the SBE schema {@code records.xml}. The string table and
  * the time carry over from entry to entry, so entries must be decoded in the same order, from the beginning or
- * from an {@link CaptureEntry.SnapshotRecord}. Owned by one {@link SegmentWriter}; not thread-safe.
+ * from a {@link CaptureEntry.SnapshotRecord}. Owned by one {@link SegmentWriter}; not thread-safe.
  */
 final class RecordEncoder {
     /**
-     * From this size on the string table is nearly full, and an {@link CaptureEntry.SnapshotRecord} should
-     * follow soon.
+     * Number of strings from which on the string table is nearly full, so that a
+     * {@link CaptureEntry.SnapshotRecord}, which clears it, should follow soon.
      */
     static final int STRING_TABLE_NEARLY_FULL = 60_000;
 
     private static final int MAX_STRINGS = 65_534;
     private static final int MAX_STRING_BYTES = 65_534;
     private static final int MAX_GROUP_ENTRIES = 65_534;
-    /** In place of a two-byte length: marks a longer record, whose four-byte length follows. */
+    /** Takes the place of the two-byte length of a longer record; its four-byte length follows. */
     static final int EXTENDED_LENGTH_MARKER = 65_535;
 
     private static final int MAX_SHORT_RECORD_TEXT_BYTES = 60_000;
@@ -86,8 +86,8 @@
     private long lastTimestamp;
 
     /**
-     * An entry cannot be encoded: the string table is full, or a string or list is longer than the format
-     * allows.
+     * Thrown when an entry cannot be encoded: the string table is full, or a string or list is longer than the
+     * format allows.
      */
     static final class UnencodableEntryException extends RuntimeException {
         private static final long serialVersionUID = 1L;
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Returns the time that the next record is relative to; right after {@link #clear}, the base time of the
-     * block.
+     * Returns the time that the next record is relative to, in nanoseconds. Right after {@link #clear}, this is the
+     * base time of the block.
      */
     long lastTimestamp() {
         return lastTimestamp;
@@ -135,7 +135,7 @@
     /**
      * Encodes one entry.
      *
-     * @throws UnencodableEntryException if it cannot be encoded; nothing of it is then in the buffer
+     * @throws UnencodableEntryException if it cannot be encoded; the buffer then contains no part of it
      */
     void encode(CaptureEntry entry) {
         int positionBefore = position;
@@ -151,7 +151,7 @@
                 document.now(snapshotRecord.timestamp()).kind((short) 1).putContent(content, 0, content.length);
                 endRecord(document.limit());
             } else {
-                throw new IllegalArgumentException("not to be written: " + entry);
+                throw new IllegalArgumentException("entry of this type cannot be written: " + entry);
             }
         } catch (UnencodableEntryException e) {
             position = positionBefore;
@@ -176,8 +176,6 @@
         position = limit;
     }
 
-    // ---- events ----
-
     private void encodeEvent(long timestamp, BalancerEvent event) {
         if (event instanceof RequestArrived e) {
             encodeArrival(timestamp, e);
@@ -310,8 +308,6 @@
         endRecord(membership.limit());
     }
 
-    // ---- actions ----
-
     private static String requestIdOf(BalancerEvent event) {
         return event instanceof RequestArrived e
                 ? e.requestId()
@@ -357,7 +353,7 @@
         endRecord(decided.limit());
     }
 
-    /** Writes the strings that an action needs before the record that refers to them. */
+    /** Writes the strings that an action refers to, before the record of the action itself. */
     private void registerStrings(BalancerAction action) {
         if (action instanceof SendAttempt a) {
             encodeRequestId(a.requestId());
@@ -397,11 +393,10 @@
                 .late(late);
     }
 
-    // ---- parts ----
-
     private static int checkedGroupSize(int count) {
         if (count > MAX_GROUP_ENTRIES) {
-            throw new UnencodableEntryException("a list of " + count + ", " + MAX_GROUP_ENTRIES + " at most");
+            throw new UnencodableEntryException(
+                    "list of " + count + " entries exceeds the limit of " + MAX_GROUP_ENTRIES + " entries");
         }
         return count;
     }
@@ -410,7 +405,7 @@
         byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
         if (bytes.length > MAX_STRING_BYTES) {
             throw new UnencodableEntryException(
-                    "a text of " + bytes.length + " bytes, " + MAX_STRING_BYTES + " at most");
+                    "string of " + bytes.length + " bytes exceeds the limit of " + MAX_STRING_BYTES + " bytes");
         }
         return bytes;
     }
@@ -427,7 +422,7 @@
         return elapsed;
     }
 
-    /** Returns the string's number in the string table, adding it if it is new; 0 stands for null. */
+    /** Returns the string's number in the string table, after adding it if it is new; null has the number 0. */
     private int stringId(String string) {
         if (string == null) {
             return 0;
@@ -437,7 +432,7 @@
             return existingId;
         }
         if (stringIds.size() >= MAX_STRINGS) {
-            throw new UnencodableEntryException("more than " + MAX_STRINGS + " words since the last snapshot");
+            throw new UnencodableEntryException("more than " + MAX_STRINGS + " strings since the last snapshot");
         }
         byte[] bytes = utf8(string);
         int newId = stringIds.size() + 1;
@@ -452,9 +447,7 @@
         return isStringId(requestId) ? stringId(requestId) : Long.parseUnsignedLong(requestId, 16);
     }
 
-    /**
-     * Returns whether a request id has to be written as a string: it is not 16 lower-case hexadecimal digits.
-     */
+    /** Returns whether a request id must be written as a string: it is not 16 lower-case hexadecimal digits. */
     private static boolean isStringId(String requestId) {
         if (requestId.length() != 16) {
             return true;
--- a/capture/src/main/java/weldhitch/capture/format/SegmentReader.java
+++ b/capture/src/main/java/weldhitch/capture/format/SegmentReader.java
@@ -12,7 +12,7 @@
 
 /**
  * Reads one segment, even a corrupt or truncated one. A corrupt block is reported and skipped, together with
- * the blocks after it up to the next one that can be read on its own; a truncated last block ends the reading.
+ * the blocks after it up to the next one that can be read on its own. Reading ends at a truncated last block.
  * Each instance is used by one thread for one call of {@link #read(Path, Consumer)}.
  */
 final class SegmentReader {
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Delivers all entries, with an {@link CaptureEntry.Corruption} for each part that cannot be read.
+     * Delivers all entries, with a {@link CaptureEntry.Corruption} for each part that cannot be read.
      *
      * @throws CaptureFormatException if the file is not a capture of this format
      */
@@ -55,10 +55,10 @@
                         offset,
                         expectedNumber,
                         truncated
-                                ? "cut short: " + (size - offset) + " bytes of a block's head"
+                                ? "truncated: " + (size - offset) + " bytes of a block header"
                                 : nextBlockAt < 0
-                                        ? "no block begins here, nor behind it"
-                                        : "no block begins here; the next one does at " + nextBlockAt));
+                                        ? "no block starts here or later in the file"
+                                        : "no block starts here; the next one starts at byte " + nextBlockAt));
                 if (nextBlockAt < 0) {
                     return;
                 }
@@ -72,7 +72,7 @@
                         file,
                         offset,
                         header.blockNumber(),
-                        "cut short: " + (size - offset) + " of " + (blockEnd - offset) + " bytes"));
+                        "truncated: " + (size - offset) + " of " + (blockEnd - offset) + " bytes"));
                 return;
             }
             if (header.blockNumber() != expectedNumber && inSequence) {
@@ -80,7 +80,7 @@
                         file,
                         offset,
                         expectedNumber,
-                        "is missing; block " + header.blockNumber() + " stands in its place"));
+                        "is missing; found block " + header.blockNumber() + " in its place"));
                 inSequence = false;
             }
             expectedNumber = header.blockNumber() + 1;
@@ -100,18 +100,18 @@
         try {
             ByteBuffer stored = readBytes(offset + BlockFormat.BLOCK_HEADER_BYTES, header.storedBytes());
             if (BlockFormat.checksum(stored) != header.checksum()) {
-                throw new CaptureFormatException("its checksum is wrong");
+                throw new CaptureFormatException("checksum does not match");
             }
             byte[] content = Zstd.decompress(stored.array(), header.contentBytes());
             if (content.length != header.contentBytes()) {
                 throw new CaptureFormatException(
-                        "holds " + content.length + " bytes, expected " + header.contentBytes());
+                        "has " + content.length + " bytes of content, expected " + header.contentBytes());
             }
             decoder.decode(ByteBuffer.wrap(content), header.baseTime(), sink);
             return true;
         } catch (CaptureFormatException | ZstdException e) {
             sink.accept(new CaptureEntry.Corruption(
-                    file, offset, header.blockNumber(), e.getMessage() + "; passed over to the next snapshot"));
+                    file, offset, header.blockNumber(), e.getMessage() + "; skipped up to the next snapshot"));
             return false;
         }
     }
@@ -138,7 +138,7 @@
         ByteBuffer bytes =
                 ByteBuffer.allocate((int) Math.min(maxBytes, size - offset)).order(ByteOrder.LITTLE_ENDIAN);
         while (bytes.hasRemaining() && channel.read(bytes, offset + bytes.position()) >= 0) {
-            // Repeat until the buffer is full, or the file turns out to have been truncated in the meantime.
+            // Repeats until the buffer is full or the end is reached, as the file may have been truncated meanwhile.
         }
         return bytes.flip();
     }
--- a/capture/src/main/java/weldhitch/capture/format/SegmentWriter.java
+++ b/capture/src/main/java/weldhitch/capture/format/SegmentWriter.java
@@ -51,16 +51,15 @@
     }
 
     /**
-     * Adds an entry to the current block. An {@link CaptureEntry.SnapshotRecord} starts a new block, so that
-     * reading can start
-     * there; the block before it must have been flushed.
+     * Adds an entry to the current block. A {@link CaptureEntry.SnapshotRecord} starts a new block, so that reading
+     * can start there; the block before it must have been flushed.
      *
      * @return whether it was added; if not, no entry may be added before the next {@link CaptureEntry.SnapshotRecord}
      */
     public boolean add(CaptureEntry entry) {
         boolean isSnapshot = entry instanceof CaptureEntry.SnapshotRecord;
         if (isSnapshot && encoder.length() > 0) {
-            throw new IllegalStateException("a block begins with what is known: flush first");
+            throw new IllegalStateException("a snapshot must start a block: flush the current block first");
         }
         if (encoder.length() == 0) {
             blockBaseTime = encoder.lastTimestamp();
@@ -80,8 +79,8 @@
     }
 
     /**
-     * Returns whether the string table is nearly full, so that an {@link CaptureEntry.SnapshotRecord} should be
-     * added soon.
+     * Returns whether the string table is nearly full, so that a {@link CaptureEntry.SnapshotRecord} should be added
+     * soon.
      */
     public boolean isStringTableNearlyFull() {
         return encoder.stringCount() >= RecordEncoder.STRING_TABLE_NEARLY_FULL;
@@ -109,13 +108,13 @@
             compressedBuffer = ByteBuffer.allocateDirect(maxCompressedBytes);
         }
         compressedBuffer.clear();
-        // Direct buffers: compressing an array would block the garbage collector, and with it the event loop.
+        // Uses direct buffers, as compressing an array would block the garbage collector and thereby the event loop.
         int compressedBytes;
         try {
             compressedBytes = (int) Zstd.compressDirectByteBuffer(
                     compressedBuffer, 0, maxCompressedBytes, records, 0, recordBytes, COMPRESSION_LEVEL);
         } catch (ZstdException e) {
-            throw new IOException("compression: " + e.getMessage(), e);
+            throw new IOException("cannot compress a block: " + e.getMessage(), e);
         }
         compressedBuffer.position(0).limit(compressedBytes);
         BlockFormat.writeHeader(
@@ -140,7 +139,7 @@
         }
     }
 
-    /** Closes the file; entries that were not flushed are lost. */
+    /** Closes the file. Entries that have not been flushed are lost. */
     @Override
     public void close() throws IOException {
         channel.close();
--- a/capture/src/main/java/weldhitch/capture/format/ZoneListCodec.java
+++ b/capture/src/main/java/weldhitch/capture/format/ZoneListCodec.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Encodes a list of zone names as one string, so that the few lists that recur share an entry of the string
- * table. Each name is terminated by U+001F, so that an empty list differs from a list of one empty name.
- * Stateless.
+ * Encodes a list of zone names as one string, so that each of the few lists that recur needs only one entry of
+ * the string table. Each name is terminated by U+001F, so that an empty list differs from a list of one empty
+ * name. Stateless.
  */
 final class ZoneListCodec {
     private static final char TERMINATOR = '\u001f';
@@ -16,7 +16,7 @@
         StringBuilder encoded = new StringBuilder();
         for (String zone : zones) {
             if (zone.indexOf(TERMINATOR) >= 0) {
-                throw new RecordEncoder.UnencodableEntryException("a zone's name with a control character");
+                throw new RecordEncoder.UnencodableEntryException("zone name contains the control character U+001F");
             }
             encoded.append(zone).append(TERMINATOR);
         }
--- a/capture/src/main/java/weldhitch/capture/live/CaptureRecorder.java
+++ b/capture/src/main/java/weldhitch/capture/live/CaptureRecorder.java
@@ -19,14 +19,14 @@
 
 /**
  * Records the events of a running node. The node's event loop reports each event; a dedicated thread writes
- * them. The loop never waits: events that the writer cannot keep up with are dropped and counted, and recording
- * resumes with a snapshot. Not thread-safe: {@link #beforeEvent}, {@link #afterEvent}, {@link #onEventFailed} and {@link #completeSnapshot}
- * belong to the event loop's thread.
+ * them. The event loop never waits: events that the writer cannot keep up with are dropped and counted, and
+ * recording resumes with a snapshot. Not thread-safe: {@link #beforeEvent}, {@link #afterEvent},
+ * {@link #onEventFailed} and {@link #completeSnapshot} must be called on the event loop's thread.
  */
 public final class CaptureRecorder implements Closeable {
     private static final long START_TIMEOUT_MILLIS = 1_000;
     private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
-    /** Endpoints of a snapshot that are saved before each event: about 0.1 ms of the loop's time. */
+    /** Number of endpoints of a snapshot that are saved before each event; takes about 0.1 ms of the event loop. */
     private static final int SNAPSHOT_BATCH_ENDPOINTS = 256;
 
     private static final AtomicInteger RUN_COUNTER = new AtomicInteger();
@@ -45,10 +45,10 @@
     private IncrementalSnapshot snapshotInProgress;
 
     /**
-     * Starts the writer and waits at most one second for its first file, so that the events that follow are in
-     * it. Disk errors are reported to {@code log}, one line at a time, and do not end the capture.
+     * Starts the writer and waits at most one second for its first file, so that the file contains the events that
+     * follow. Disk errors are reported to {@code log}, one line each, and do not end the capture.
      *
-     * @param directory used by this node alone
+     * @param directory must not be used by any other node
      * @param snapshotSource starts a snapshot of the balancer's state; called on the thread that reports events
      */
     public CaptureRecorder(
@@ -79,8 +79,8 @@
     }
 
     /**
-     * To be called before each event: decides whether to enqueue or drop it, and starts a snapshot if one is
-     * due.
+     * Decides whether to enqueue or drop the next event, and starts a snapshot if one is due. To be called before
+     * each event.
      */
     public void beforeEvent(long timestamp) {
         if (snapshotInProgress != null && !snapshotInProgress.complete()) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /** To be called after each event with the actions decided on it; neither may be modified afterwards. */
+    /** Enqueues an event with its actions, to be called after each event; neither may be modified afterwards. */
     public void afterEvent(long timestamp, BalancerEvent event, List<BalancerAction> actions) {
         if (decision != TapPolicy.Decision.DROP) {
             queue.offer(new CaptureEntry.EventRecord(timestamp, event, actions));
@@ -113,7 +113,8 @@
     }
 
     /**
-     * To be called instead of {@link #afterEvent} if the balancer failed on the event: the next one needs a snapshot.
+     * Drops the event, as the balancer failed on it; the next one needs a snapshot. To be called instead of
+     * {@link #afterEvent}.
      */
     public void onEventFailed(long timestamp) {
         if (decision != TapPolicy.Decision.DROP) {
@@ -126,7 +127,7 @@
         return queue.size();
     }
 
-    /** Writes the queued entries and stops the writer; waits at most one second for it. */
+    /** Stops the writer after it has written the queued entries; waits at most one second for it. */
     @Override
     public void close() {
         writer.stop();
--- a/capture/src/main/java/weldhitch/capture/live/CaptureWriter.java
+++ b/capture/src/main/java/weldhitch/capture/live/CaptureWriter.java
@@ -26,7 +26,7 @@
 import weldhitch.capture.policy.WriterPolicy;
 
 /**
- * The writer thread of a capture. It owns the directory's lock and the segment in use, and releases both when
+ * The writer thread of a capture. It owns the directory's lock and the current segment, and releases both when
  * it ends. The node's event loop shares only the queue and the volatile fields with it.
  */
 final class CaptureWriter implements Runnable {
@@ -49,7 +49,7 @@
     private SegmentWriter segmentWriter;
     private SegmentFile currentSegment;
 
-    /** Opens a segment's file; tests replace it to cause disk errors. Called on the writer thread. */
+    /** Opens a segment's file. Called on the writer thread. Tests replace it to cause disk errors. */
     interface SegmentOpener {
         SegmentWriter open(Path file) throws IOException;
     }
@@ -111,7 +111,7 @@
                                 now, segmentWriter.bytesWritten(), segmentWriter.isStringTableNearlyFull())) {
                     requestSnapshot();
                 }
-                // A snapshot that is never completed ends here, and the events queued after it are not written.
+                // A snapshot that is never completed ends the loop here; the events queued after it are not written.
                 if (stopRequested && (queue.isEmpty() || drainedItems == 0)) {
                     releaseResources();
                     return;
@@ -174,14 +174,12 @@
 
     private void flush() throws IOException {
         if (!Files.exists(currentSegment.path())) {
-            throw new IOException(currentSegment.path().getFileName() + " is no longer there");
+            throw new IOException(currentSegment.path().getFileName() + " has been deleted");
         }
         segmentWriter.flush();
         policy.onBlockWritten();
     }
 
-    // ---- segments ----
-
     private void startSegment() throws IOException {
         Files.createDirectories(directory);
         acquireLock();
@@ -226,27 +224,25 @@
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            // The lock belongs to this same process; reported below like any other lock holder.
+            // This process already holds the lock; reported below like a lock of another process.
         }
         if (lock == null) {
             channel.close();
-            throw new IOException("another node captures to this directory; give each one of its own");
+            throw new IOException("another node captures to this directory; give each node its own directory");
         }
         lockChannel = channel;
     }
 
-    // ---- failure and end ----
-
     private void onFailure(long now, Exception e) {
         ready = false;
         startAttempted.countDown();
         if (policy.onWriteFailed(now)) {
-            log.accept("capture: nothing is written to " + directory + " until it can be again: " + e);
+            log.accept("capture: cannot write to " + directory + ", dropping events until a retry succeeds: " + e);
         }
         try {
             releaseResources();
         } catch (IOException closeFailure) {
-            // A segment that cannot be closed was not fully written either, which has been logged already.
+            // A segment that cannot be closed was not fully written; that failure has been logged already.
         }
     }
 
--- a/capture/src/main/java/weldhitch/capture/live/SnapshotInProgress.java
+++ b/capture/src/main/java/weldhitch/capture/live/SnapshotInProgress.java
@@ -7,8 +7,8 @@
 import weldhitch.decision.settings.BalancerSettings;
 
 /**
- * A queued snapshot that the event loop is still taking while later events already wait after it; the writer
- * thread does not read past it until it is complete.
+ * A queued snapshot that the event loop is still taking while later events are already queued behind it. The
+ * writer thread does not read past it until it is complete.
  *
  * @param timestamp nanoseconds of the node's clock
  * @param dropped the events dropped before it, or null
--- a/capture/src/main/java/weldhitch/capture/live/package-info.java
+++ b/capture/src/main/java/weldhitch/capture/live/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Recording a capture while a node runs: the event loop hands records over without waiting, and a thread of the
- * capture's own
+ * Records a capture while a node runs: the event loop enqueues records without waiting, and a dedicated thread
  * writes them.
  */
 package weldhitch.capture.live;
--- a/capture/src/main/java/weldhitch/capture/policy/CaptureLimits.java
+++ b/capture/src/main/java/weldhitch/capture/policy/CaptureLimits.java
@@ -8,7 +8,7 @@
  * @param maxSegmentAge age at which a new segment is started, at least 1 s
  * @param maxTotalBytes limit for all segments together, at least twice {@code maxSegmentBytes}
  * @param snapshotInterval maximum time between snapshots while events arrive, at least 1 s
- * @param queueCapacity entries that may wait for the writer, 64 to 1,048,576, a power of two
+ * @param queueCapacity number of entries that may wait for the writer: a power of two from 64 to 1,048,576
  */
 public record CaptureLimits(
         long maxSegmentBytes, long maxSegmentAge, long maxTotalBytes, long snapshotInterval, int queueCapacity) {
@@ -21,17 +21,17 @@
         require(
                 maxSegmentBytes >= MIN_SEGMENT_BYTES && maxSegmentBytes <= MAX_SEGMENT_BYTES,
                 "segmentBytes from 64 KiB to 16 GiB");
-        require(maxSegmentAge >= NANOS_PER_SECOND, "segmentAge from 1 s");
-        require(maxTotalBytes >= 2 * maxSegmentBytes, "totalBytes from twice segmentBytes");
-        require(snapshotInterval >= NANOS_PER_SECOND, "snapshotEvery from 1 s");
+        require(maxSegmentAge >= NANOS_PER_SECOND, "segmentAge of at least 1 s");
+        require(maxTotalBytes >= 2 * maxSegmentBytes, "totalBytes of at least twice segmentBytes");
+        require(snapshotInterval >= NANOS_PER_SECOND, "snapshotEvery of at least 1 s");
         require(
                 queueCapacity >= 64 && queueCapacity <= 1 << 20 && Integer.bitCount(queueCapacity) == 1,
-                "queue a power of two from 64 to 1048576");
+                "queue size that is a power of two from 64 to 1048576");
     }
 
     private static void require(boolean valid, String expected) {
         if (!valid) {
-            throw new IllegalArgumentException("wanted: " + expected);
+            throw new IllegalArgumentException("expected " + expected);
         }
     }
 }
--- a/capture/src/main/java/weldhitch/capture/policy/DroppedEvents.java
+++ b/capture/src/main/java/weldhitch/capture/policy/DroppedEvents.java
@@ -5,12 +5,13 @@
  *
  * @param from time of the first one, inclusive, in nanoseconds of the node's clock
  * @param to time of the last one, inclusive, in nanoseconds of the node's clock
- * @param events how many
+ * @param events number of events
  */
 public record DroppedEvents(long from, long to, long events) {
     /**
-     * Returns the union of both: the earliest and latest time, and the sum of the counts; {@code other} may be
-     * null.
+     * Returns the union of both: the earliest and the latest time, and the sum of the counts.
+     *
+     * @param other may be null
      */
     public DroppedEvents merge(DroppedEvents other) {
         return other == null
--- a/capture/src/main/java/weldhitch/capture/policy/RetentionPolicy.java
+++ b/capture/src/main/java/weldhitch/capture/policy/RetentionPolicy.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Decides which segments the writer deletes so that all of them together stay within their size limit: the
- * oldest first, never the one in use. Stateless and thread-safe.
+ * Decides which segments the writer deletes so that all of them together stay within their size limit. The
+ * oldest are deleted first, the current one never. Stateless and thread-safe.
  */
 public final class RetentionPolicy {
     private RetentionPolicy() {}
@@ -20,9 +20,9 @@
     /**
      * Returns the segments to delete, the oldest first.
      *
-     * @param segments the oldest first, the last one in use
+     * @param segments the oldest first, the current one last
      * @param totalBytes limit for all segments together
-     * @param reservedBytes bytes that the segment in use may still grow by
+     * @param reservedBytes number of bytes that the current segment may still grow by
      */
     public static <T> List<T> segmentsToDelete(List<SegmentSize<T>> segments, long totalBytes, long reservedBytes) {
         long total =
--- a/capture/src/main/java/weldhitch/capture/policy/TapPolicy.java
+++ b/capture/src/main/java/weldhitch/capture/policy/TapPolicy.java
@@ -7,7 +7,7 @@
  * there. Times are nanoseconds. Belongs to the node's event loop; not thread-safe.
  */
 public final class TapPolicy {
-    /** What to do with the current event: enqueue it, enqueue a snapshot and then it, or drop it. */
+    /** What to do with the current event: enqueue it, enqueue a snapshot and then the event, or drop it. */
     public enum Decision {
         ENQUEUE,
         SNAPSHOT_FIRST,
@@ -32,7 +32,7 @@
     /**
      * Decides on the next event.
      *
-     * @param queuedItems entries in the queue now
+     * @param queuedItems number of entries in the queue now
      * @param writerReady whether the writer has an open segment
      * @param snapshotRequests number of snapshots that the writer has requested so far
      */
@@ -56,7 +56,7 @@
         return Decision.ENQUEUE;
     }
 
-    /** An event that was to be enqueued is dropped: the balancer failed on it and its state is unknown. */
+    /** Records that the current event is dropped because the balancer failed on it, so that its state is unknown. */
     public void onEventFailed(long now) {
         drop(now);
     }
--- a/capture/src/main/java/weldhitch/capture/policy/WriterPolicy.java
+++ b/capture/src/main/java/weldhitch/capture/policy/WriterPolicy.java
@@ -8,7 +8,7 @@
 public final class WriterPolicy {
     private static final long INITIAL_BACKOFF = CaptureLimits.NANOS_PER_SECOND;
     private static final long MAX_BACKOFF = 30 * CaptureLimits.NANOS_PER_SECOND;
-    /** A block is flushed no later than this after its first entry. */
+    /** A block is flushed no later than this time after its first entry, in nanoseconds. */
     private static final long MAX_FLUSH_DELAY = CaptureLimits.NANOS_PER_SECOND;
 
     private final CaptureLimits limits;
@@ -18,11 +18,11 @@
     private long backoff = INITIAL_BACKOFF;
     private long retryAt = Long.MIN_VALUE;
     private boolean failureReported;
-    /** After an entry that could not be written, all events are dropped up to the next snapshot. */
+    /** Set after an event that could not be written: all events are dropped up to the next snapshot. */
     private boolean awaitingSnapshot;
 
     private boolean snapshotRequested;
-    /** Events of the current block; they count as dropped if it cannot be written. Null if it has none. */
+    /** Events of the current block, which count as dropped if it cannot be written. Null if it has none. */
     private DroppedEvents unflushed;
 
     private DroppedEvents dropped;
@@ -37,7 +37,7 @@
         return !segmentOpen && now >= retryAt;
     }
 
-    /** A segment was opened; it accepts events only after a snapshot. */
+    /** Records that a segment was opened; it accepts events only after a snapshot. */
     public void onSegmentOpened(long now) {
         segmentOpen = true;
         awaitingSnapshot = true;
@@ -45,7 +45,7 @@
         oldestUnflushedAt = -1;
     }
 
-    /** A block was written, so an earlier disk error is over: the backoff is reset. */
+    /** Records that a block was written: an earlier disk error is over, and the backoff is reset. */
     public void onBlockWritten() {
         oldestUnflushedAt = -1;
         unflushed = null;
@@ -53,7 +53,7 @@
         failureReported = false;
     }
 
-    /** A write failed. Returns true if this should be logged: once until something has been written again. */
+    /** Records that a write failed. Returns whether to log it: only the first failure since the last success is. */
     public boolean onWriteFailed(long now) {
         segmentOpen = false;
         dropped = unflushed == null ? dropped : unflushed.merge(dropped);
@@ -71,35 +71,35 @@
     }
 
     /**
-     * Returns whether to write an event; after a dropped one, events cannot be replayed up to the next
-     * snapshot.
+     * Returns whether to write an event. Events after a dropped one cannot be replayed up to the next snapshot, so
+     * they are not written.
      */
     public boolean acceptsEvents() {
         return segmentOpen && !awaitingSnapshot;
     }
 
-    /** An event with this timestamp was added to the current block at {@code now}. */
+    /** Records that an event with this timestamp was added to the current block at {@code now}. */
     public void onEventAdded(long now, long eventTime) {
         oldestUnflushedAt = oldestUnflushedAt < 0 ? now : oldestUnflushedAt;
         unflushed = new DroppedEvents(eventTime, eventTime, 1).merge(unflushed);
     }
 
-    /** An event with this timestamp was dropped: no segment was open, or the event could not be encoded. */
+    /** Records a dropped event with this timestamp: no segment was open, or the event could not be encoded. */
     public void onEventDropped(long eventTime) {
         awaitingSnapshot = true;
         dropped = new DroppedEvents(eventTime, eventTime, 1).merge(dropped);
     }
 
-    /** A snapshot was dropped; the dropped events that it was to report remain to be reported. */
+    /** Records that a snapshot was dropped; the dropped events that it was to report remain to be reported. */
     public void onSnapshotDropped(DroppedEvents droppedBefore) {
         dropped = droppedBefore == null ? dropped : droppedBefore.merge(dropped);
     }
 
     /**
-     * A snapshot starts a block, and events can be written again.
+     * Records that a snapshot starts a block, so that events can be written again.
      *
      * @param droppedBefore the events dropped before it on the node's side, or null
-     * @return all events dropped before it, or null; they remain to be reported if the block cannot be written
+     * @return all events dropped before it, or null; they are reported again if the block cannot be written
      */
     public DroppedEvents onSnapshotAdded(long now, DroppedEvents droppedBefore) {
         onSnapshotDropped(droppedBefore);
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Returns whether to request a snapshot now: once until one arrives, when the segment is due for rotation
-     * or its string table is nearly full.
+     * Returns whether to request a snapshot now: when the segment is due for rotation or its string table is nearly
+     * full. A snapshot is requested only once until it arrives.
      *
      * @param segmentBytes size of the open segment
      */
--- a/capture/src/main/java/weldhitch/capture/policy/package-info.java
+++ b/capture/src/main/java/weldhitch/capture/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of a recording, free of I/O, clock and threads: what to record, when to flush and rotate, what
- * to delete.
+ * Decides what a capture records, when it flushes and rotates, and which segments it deletes, without I/O, clock
+ * or threads.
  */
 package weldhitch.capture.policy;
--- a/capture/src/test/java/weldhitch/capture/format/RecordedCaptureTest.java
+++ b/capture/src/test/java/weldhitch/capture/format/RecordedCaptureTest.java
@@ -15,15 +15,15 @@
 import weldhitch.decision.event.RoutesChanged;
 
 /**
- * Reads captures, a manifest, a snapshot and routes as version 32a2790 wrote them. None of the files is ever
- * recorded anew:
- * renaming a type or a component must change neither what is read nor the names that are written.
+ * Reads captures, a manifest, a snapshot and routes that version 32a2790 wrote. These files are never recorded
+ * again: renaming a type or a component must change neither what is read from them nor the names that are
+ * written.
  */
 class RecordedCaptureTest {
     private static final Path RECORDED = Path.of("capture/src/test/resources/weldhitch/recorded");
     private static final Path DIRECTORY = RECORDED.resolve("capture");
     private static final int EVENTS_PER_SEGMENT = 4000;
-    /** Over the recorded decisions of a segment, as computed by the version that recorded them. */
+    /** Digest of the recorded decisions of a segment, as computed by the version that recorded them. */
     private static final String SEGMENT_DIGEST = "347b7ad8ff2b28ef";
 
     private static final int MIDWAY_EVENTS = 2000;
@@ -40,7 +40,7 @@
         return JSON.readTree(RECORDED.resolve(name).toFile());
     }
 
-    /** Converts to JSON and back, as numbers compare by value there: CBOR tells a float from a double. */
+    /** Converts to JSON and back: numbers compare by value in JSON, whereas CBOR distinguishes float and double. */
     private static JsonNode asJson(byte[] document) throws IOException {
         return JSON.readTree(JSON.writeValueAsBytes(new CBORMapper().readTree(document)));
     }
--- a/capture/src/test/java/weldhitch/capture/format/SegmentFormatTest.java
+++ b/capture/src/test/java/weldhitch/capture/format/SegmentFormatTest.java
@@ -140,14 +140,12 @@
                 file,
                 e -> found.add(
                         e instanceof CaptureEntry.Corruption d
-                                ? "damage " + d.blockNumber() + " " + d.description()
+                                ? "corrupt " + d.blockNumber() + " " + d.description()
                                 : describe(e)));
         return found;
     }
 
-    /**
-     * Writes several small blocks, all or only the first with a snapshot; returns the entries of each as text.
-     */
+    /** Writes several small blocks, all or only the first with a snapshot. Returns the entries of each as text. */
     private List<List<String>> writeBlocks(boolean snapshotInEach) throws IOException {
         RatioBalancer balancer = new RatioBalancer(workload.settings, 5);
         List<List<String>> blocks = new ArrayList<>();
@@ -305,7 +303,7 @@
             List<String> found = readEntries(file);
             assertEquals(earlierEntries, found.subList(0, found.size() - 1), "cut at " + length);
             assertTrue(
-                    found.get(found.size() - 1).startsWith("damage " + (BLOCKS - 1) + " cut short"),
+                    found.get(found.size() - 1).startsWith("corrupt " + (BLOCKS - 1) + " truncated: "),
                     found.get(found.size() - 1));
         }
     }
@@ -322,8 +320,8 @@
     }
 
     /**
-     * Flips a bit in every byte of a middle block: the block is reported, and all others are read, as the next
-     * one starts with a snapshot.
+     * Flips a bit in every byte of a middle block. The block is reported as corrupt, and all others are read, as the
+     * next one starts with a snapshot.
      */
     @Test
     void flippedBitLosesOnlyItsBlock() throws IOException {
@@ -337,7 +335,7 @@
             List<String> found = readEntries(file);
             List<String> expected = new ArrayList<>(entriesOfBlocks(blocks, 0, 2));
             assertEquals(expected, found.subList(0, expected.size()), "flipped at " + offset);
-            assertTrue(found.get(expected.size()).startsWith("damage 2 "), found.get(expected.size()));
+            assertTrue(found.get(expected.size()).startsWith("corrupt 2 "), found.get(expected.size()));
             assertEquals(
                     entriesOfBlocks(blocks, 3, BLOCKS),
                     found.subList(
@@ -359,7 +357,7 @@
         Files.write(file, bytes);
         List<String> found = readEntries(file);
         assertEquals(blocks.get(0), found.subList(0, found.size() - 1));
-        assertTrue(found.get(found.size() - 1).startsWith("damage 1 its checksum is wrong"));
+        assertTrue(found.get(found.size() - 1).startsWith("corrupt 1 checksum does not match"));
     }
 
     @Test
@@ -372,11 +370,11 @@
         Files.write(file, bytes);
         assertTrue(assertThrows(CaptureFormatException.class, () -> readEntries(file))
                 .getMessage()
-                .contains("is of format 7, expected 1"));
+                .contains("has format version 7, expected 1"));
         Files.writeString(file, "version = 1\n# end\n");
         assertTrue(assertThrows(CaptureFormatException.class, () -> readEntries(file))
                 .getMessage()
-                .contains("is no capture"));
+                .contains("is not a capture"));
         Files.write(file, new byte[3]);
         assertThrows(CaptureFormatException.class, () -> readEntries(file));
     }
@@ -413,7 +411,7 @@
         com.fasterxml.jackson.databind.node.ObjectNode tree =
                 (com.fasterxml.jackson.databind.node.ObjectNode) mapper.readTree(content);
         ((com.fasterxml.jackson.databind.node.ObjectNode) tree.at("/snapshot/admission")).put("limit", -1.0);
-        tree.put("laterField", "is passed over");
+        tree.put("laterField", "is ignored");
         CaptureFormatException invalid = assertThrows(
                 CaptureFormatException.class, () -> DocumentCodec.decodeSnapshot(0, mapper.writeValueAsBytes(tree)));
         assertTrue(invalid.getMessage().contains("admission.limit: -1.0, expected 1 or more"), invalid.getMessage());
@@ -444,15 +442,15 @@
     }
 
     /**
-     * Arbitrary bytes as a block's records yield entries or a {@link CaptureFormatException}, nothing else, and
-     * no allocation by the lengths that they claim.
+     * Arbitrary bytes as a block's records yield entries or a {@link CaptureFormatException}, never another
+     * exception. No memory is allocated by the lengths that they claim.
      */
     @Property(tries = 3000, seed = "20261201")
     void arbitraryBytesDecodeOrFailWithFormatException(@ForAll @Size(max = 400) byte[] bytes) {
         decodeOrFailCleanly(bytes);
     }
 
-    /** The same for valid records with some bytes changed, which reaches deeper into the decoder. */
+    /** Tests the same for valid records with some bytes changed, which reaches deeper into the decoder. */
     @Property(tries = 1500, seed = "20261201")
     void mutatedRecordsDecodeOrFailWithFormatException(
             @ForAll @IntRange(max = 20) int seed,
@@ -483,10 +481,7 @@
         }
     }
 
-    /**
-     * A header that claims more content than its compressed bytes can hold is invalid, so nothing is allocated
-     * for it.
-     */
+    /** A header that claims more content than its compressed bytes can hold is invalid, so that none is allocated. */
     @Test
     void headerWithImplausibleLengthsIsInvalid() {
         assertTrue(new BlockFormat.Header(100, 100, 0, 0, 0, 0).isPlausible());
--- a/capture/src/test/java/weldhitch/capture/live/CaptureWriterTest.java
+++ b/capture/src/test/java/weldhitch/capture/live/CaptureWriterTest.java
@@ -183,7 +183,7 @@
             play(capture, 500);
         }
         assertEquals(1, log.size(), log.toString());
-        assertTrue(log.get(0).startsWith("capture: nothing is written to " + directory), log.get(0));
+        assertTrue(log.get(0).startsWith("capture: cannot write to " + directory), log.get(0));
         List<CaptureEntry> entries = readEntries();
         // The events on the disk were deleted with the directory; all others are there, or reported as dropped.
         assertTrue(
@@ -200,7 +200,7 @@
         }
     }
 
-    /** Linux's always-full device {@code /dev/full} replaces the file until there is space again. */
+    /** {@code /dev/full}, the device of Linux that is always full, replaces the file until there is space again. */
     @Test
     void fullDiskDropsEventsAndCaptureResumes() throws Exception {
         AtomicBoolean full = new AtomicBoolean(true);
@@ -243,7 +243,7 @@
         assertEquals(1, log.size());
     }
 
-    /** The tests may run as root, for whom permissions do not apply, so the opener itself denies access. */
+    /** The tests may run as root, to whom permissions do not apply, so the opener itself denies access. */
     @Test
     void deniedPermissionIsReportedOnceAndCaptureResumes() throws Exception {
         AtomicBoolean denied = new AtomicBoolean(true);
@@ -273,7 +273,7 @@
         assertTrue(log.get(0).contains("AccessDenied"), log.get(0));
     }
 
-    /** A large snapshot is saved in parts, one per event; the events queued after it wait and none is lost. */
+    /** A large snapshot is saved in parts, one per event. The events queued after it wait, and none is lost. */
     @Test
     void eventsQueuedBehindIncompleteSnapshotAreNotLost() throws Exception {
         List<EndpointEntry> endpoints = new ArrayList<>();
@@ -285,7 +285,7 @@
             play(capture, 3);
             assertTrue(
                     capture.queuedItems() >= 4,
-                    "the writer has passed a snapshot that is not whole: " + capture.queuedItems());
+                    "the writer has read past an incomplete snapshot: " + capture.queuedItems());
             play(capture, 200);
             TestSupport.await(() -> isOnDisk(203));
         }
@@ -312,9 +312,7 @@
         assertEquals(1, CaptureFiles.segmentsIn(root.resolve("capture")).size());
     }
 
-    /**
-     * The writer lags behind: the node does not wait for it, and events that find the queue full are counted.
-     */
+    /** The writer lags behind: the node does not wait for it, and events that find the queue full are counted. */
     @Test
     void fullQueueDropsEventsAndReportsCount() throws Exception {
         CaptureLimits smallQueue = new CaptureLimits(64 << 20, 3600 * SECOND, 1 << 30, 60 * SECOND, 64);
@@ -325,8 +323,8 @@
         }
         List<CaptureEntry> entries = readEntries();
         long dropped = countWrittenAndDropped(entries) - countEvents(entries);
-        assertTrue(dropped > 0, "none left out");
-        // The events dropped last would be reported by the next snapshot, which never came.
+        assertTrue(dropped > 0, "no event was dropped");
+        // The last dropped events would be reported by the next snapshot, which is never taken.
         assertTrue(countWrittenAndDropped(entries) <= playedEvents);
     }
 }
--- a/capture/src/test/java/weldhitch/capture/policy/CapturePolicyTest.java
+++ b/capture/src/test/java/weldhitch/capture/policy/CapturePolicyTest.java
@@ -11,16 +11,11 @@
 import weldhitch.capture.policy.RetentionPolicy.SegmentSize;
 import weldhitch.capture.policy.TapPolicy.Decision;
 
-/**
- * Tests of the capture policies: dropping on the node's side, writing and retrying on the writer's, and
- * retention.
- */
+/** Tests the capture policies: dropping events on the node's side, writing and retrying, and retention. */
 class CapturePolicyTest {
     private static final long SECOND = CaptureLimits.NANOS_PER_SECOND;
     private static final CaptureLimits LIMITS = new CaptureLimits(1 << 20, 100 * SECOND, 4 << 20, 10 * SECOND, 64);
 
-    // ---- the node's side ----
-
     @Test
     void startsWithSnapshotAndRepeatsAtInterval() {
         TapPolicy policy = new TapPolicy(10 * SECOND, 64);
@@ -62,8 +57,6 @@
         assertEquals(new DroppedEvents(4, 4, 1), policy.takeDropped());
     }
 
-    // ---- the writer's side ----
-
     @Test
     void retriesWithExponentialBackoffAndReportsFailureOnce() {
         WriterPolicy policy = new WriterPolicy(LIMITS);
