--- a/simulator/src/main/java/weldhitch/simulator/cluster/BalancerTap.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/BalancerTap.java
@@ -9,7 +9,7 @@
 
 /** Receives every event and every action of one node, in order, on the thread of the simulation. */
 public interface BalancerTap {
-    /** An incarnation of the node has started; {@code module} gives snapshots of its balancer from now on. */
+    /** Called when an incarnation of the node starts; {@code snapshotSource} then returns its balancer's state. */
     void onStart(BalancerSettings settings, Supplier<BalancerSnapshot> snapshotSource);
 
     /**
@@ -19,6 +19,6 @@
      */
     void beforeEvent(long now);
 
-    /** The balancer has handled an event and decided on these actions. */
+    /** Called after the balancer has handled an event and decided on these actions. */
     void onEvent(long now, BalancerEvent event, List<BalancerAction> actions);
 }
--- a/simulator/src/main/java/weldhitch/simulator/cluster/EventScheduler.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/EventScheduler.java
@@ -11,12 +11,12 @@
     private long now;
     private long nextSequence;
 
-    /** A clock that starts at this time, in nanoseconds. */
+    /** Creates a clock that starts at this time, in nanoseconds. */
     public EventScheduler(long startTime) {
         now = startTime;
     }
 
-    /** Work and when it is due; {@code number} breaks ties. */
+    /** A task and the time at which it is due; {@code sequence} breaks ties. */
     private record ScheduledEvent(long time, long sequence, Runnable task) implements Comparable<ScheduledEvent> {
         @Override
         public int compareTo(ScheduledEvent other) {
@@ -24,17 +24,17 @@
         }
     }
 
-    /** The current virtual time in nanoseconds. */
+    /** Returns the current virtual time in nanoseconds. */
     public long now() {
         return now;
     }
 
-    /** Schedules work this many nanoseconds from now; negative delays count as 0. */
+    /** Schedules a task this many nanoseconds from now; negative delays count as 0. */
     public void schedule(long delay, Runnable task) {
         events.add(new ScheduledEvent(now + Math.max(0, delay), nextSequence++, task));
     }
 
-    /** Runs all work due up to and including {@code end}, which is the time afterwards. */
+    /** Runs all tasks due up to and including {@code endTime}, which is the current time afterwards. */
     public void runUntil(long endTime) {
         while (!events.isEmpty() && events.peek().time <= endTime) {
             ScheduledEvent next = events.poll();
--- a/simulator/src/main/java/weldhitch/simulator/cluster/LocalityConfig.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/LocalityConfig.java
@@ -7,6 +7,6 @@
  *
  * @param coordinated whether a leading coordinator merges reports and grants quotas; otherwise each node uses only
  *     its local view
- * @param messageLoss fraction of reports, and of answers to them, that are lost; 0 to 1
+ * @param messageLoss fraction of reports, and of responses to them, that are lost; 0 to 1
  */
 public record LocalityConfig(LocalityRules rules, boolean coordinated, double messageLoss) {}
--- a/simulator/src/main/java/weldhitch/simulator/cluster/Network.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/Network.java
@@ -21,7 +21,7 @@
         this.random = random;
     }
 
-    /** Cuts a zone off from the others, or reconnects it. */
+    /** Partitions a zone from the others, or reconnects it. */
     void setPartitioned(String zone, boolean partitioned) {
         if (partitioned) {
             partitionedZones.add(zone);
@@ -33,7 +33,7 @@
     /**
      * {@inheritDoc}
      *
-     * <p>The delay is drawn for lost messages too.
+     * <p>The delay is drawn for lost messages as well.
      */
     @Override
     public void deliver(String from, String to, Runnable delivery) {
--- a/simulator/src/main/java/weldhitch/simulator/cluster/RunStatistics.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/RunStatistics.java
@@ -8,50 +8,50 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Statistics of one run: by second of the arrival of first tries, by class, by server, and rejections and
+ * Statistics of one run: by the second in which a request first arrived, by class, by server, and rejections and
  * failures by reason. Filled by the cluster, single-threaded; read when the run is over.
  */
 public final class RunStatistics {
     private static final long MAX_LATENCY_US = 120_000_000L;
 
-    /** What became of a set of first tries. */
+    /** The outcomes of a set of client requests, each counted once with all its client retries. */
     public static final class RequestStatistics {
-        /** First tries. */
+        /** Number of client requests, not counting retries. */
         public long offered;
-        /** Answered within the latency objective. */
+        /** Requests answered within the latency objective. */
         public long inTime;
-        /** Answered after it. */
+        /** Requests answered after the latency objective. */
         public long late;
 
         public long rejected;
         public long failed;
-        /** Ended without a node that would accept the last try. */
+        /** Requests that ended because no node accepted the client's last attempt. */
         public long unreachable;
-        /** Tries of clients, the first included. */
+        /** Attempts of clients, including the first one of each request. */
         public long clientAttempts;
-        /** Attempts of nodes for them. */
+        /** Attempts that nodes sent to servers for these requests. */
         public long nodeAttempts;
-        /** Priority weight of all first tries. */
+        /** Priority weight of all requests. */
         public double weightOffered;
-        /** Priority weight of those answered, with late weight for late ones. */
+        /** Priority weight of the answered requests; late ones count with their late weight. */
         public double weightServed;
-        /** Microseconds from a first try to its answer, of those served. */
+        /** Time from a client's first attempt to the answer, of the served requests, in microseconds. */
         public final Histogram latency = new Histogram(MAX_LATENCY_US, 2);
 
         /**
-         * The fraction of the offered priority weight that was served, late weight included; 1 if none was
+         * Returns the fraction of the offered priority weight that was served, including the late weight; 1 if none was
          * offered.
          */
         public double goodput() {
             return weightOffered == 0 ? 1 : weightServed / weightOffered;
         }
 
-        /** The fraction of first tries that was answered within the latency objective; 1 if there were none. */
+        /** Returns the fraction of requests answered within the latency objective; 1 if there were none. */
         public double inTimeFraction() {
             return offered == 0 ? 1 : (double) inTime / offered;
         }
 
-        /** Latency in milliseconds at a percentile (0 to 100); 0 if nothing was served. */
+        /** Returns the latency in milliseconds at a percentile (0 to 100); 0 if nothing was served. */
         public double latencyMs(double percentile) {
             return latency.getTotalCount() == 0 ? 0 : latency.getValueAtPercentile(percentile) / 1000.0;
         }
@@ -65,11 +65,11 @@
     public final List<RequestStatistics> bySecond = new ArrayList<>();
     public final Map<String, RequestStatistics> byClass = new LinkedHashMap<>();
     public final Map<String, Long> attemptsByServer = new TreeMap<>();
-    /** Final answers of nodes other than success, by the reason of the balancer. */
+    /** Final answers of nodes other than success, by the balancer's reason. */
     public final Map<String, Long> unservedByCause = new TreeMap<>();
-    /** Attempts that went to another zone. */
+    /** Attempts that were sent to another zone. */
     public long crossZoneAttempts;
-    /** Attempts by the zone that they went to, by second. */
+    /** Attempts per second, by the zone that they were sent to. */
     public final Map<String, long[]> attemptsByZone = new TreeMap<>();
     /** The largest number of priority level changes of a locality rule at any node. */
     public int maxLevelTransitions;
--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimCall.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimCall.java
@@ -1,10 +1,10 @@
 package weldhitch.simulator.cluster;
 
 /**
- * What a request demands of a server, the same at each attempt. Immutable.
+ * The work that a request causes at a server, the same for each attempt. Immutable.
  *
- * @param requestClass null where it is not known
- * @param work in the unit of the server model
- * @param externalWaitNanos nanoseconds that it waits on others
+ * @param requestClass null if unknown
+ * @param work amount of work, in the unit of the server model
+ * @param externalWaitNanos nanoseconds that the request waits for other services
  */
 public record SimCall(String requestClass, double work, long externalWaitNanos) {}
--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimCluster.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimCluster.java
@@ -26,8 +26,8 @@
 
 /**
  * A simulated cluster in virtual time: nodes that each run the real balancer, modelled endpoints and links, and
- * clients that retry. Single-threaded; one seed determines the whole run. What a request brings (its class, its
- * work, its client's behaviour) depends on the seed and the request's number alone, so that two builds or
+ * clients that retry. Single-threaded; one seed determines the whole run. The properties of a request (its class,
+ * its work, its client's behaviour) depend only on the seed and the request's number, so that two builds or
  * settings are compared over the same requests.
  */
 public final class SimCluster {
@@ -35,7 +35,7 @@
     private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
     private static final long CLOCK_RESOLUTION = 2 * NANOS_PER_MILLI;
     private static final long ZONE_REFRESH_INTERVAL = 100 * NANOS_PER_MILLI;
-    /** How long a draining server goes on working, and a node that shuts down goes on answering. */
+    /** Time that a draining server keeps working, and that a node in graceful shutdown keeps answering. */
     private static final long DRAIN_GRACE_PERIOD = 3 * NANOS_PER_SECOND;
 
     private final Scenario scenario;
@@ -62,7 +62,7 @@
     private long nextRequestNumber;
 
     /**
-     * A cluster without routes and without zone routing.
+     * Creates a cluster without routes and without zone routing.
      *
      * @param tap receives every event of the first node; null for none
      */
@@ -71,7 +71,7 @@
     }
 
     /**
-     * A cluster without zone routing.
+     * Creates a cluster without zone routing.
      *
      * @param routes active at every node from its start; null for none
      * @param tap receives every event of the first node; null for none
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Builds the cluster and schedules its faults and its first arrival.
+     * Creates the cluster and schedules its faults and its first arrival.
      *
      * @param routes active at every node from its start; null for none
      * @param localityConfig how nodes route requests by zone; null for no zone routing
@@ -177,7 +177,7 @@
         return RandomSource.SPLIT_MIX_64.create(seed * 0x9E3779B97F4A7C15L + stream * 0xD1342543DE82EF95L);
     }
 
-    /** Runs to the end of the scenario and on until every request in flight then has ended. */
+    /** Runs to the end of the scenario, and then until every request that is still in flight has ended. */
     public RunStatistics run() {
         long maxDeadline = scenario.workloads().stream()
                 .mapToLong(k -> k.requestClass().deadline())
@@ -271,8 +271,8 @@
     }
 
     /**
-     * Records for each request the last reason that was not an admission; read when the request is rejected or
-     * fails.
+     * Records the last decision reason of each request other than its admission or queueing. It is read when the
+     * request is rejected or fails.
      */
     private final class ReasonRecorder implements DecisionListener {
         @Override
@@ -286,8 +286,6 @@
         }
     }
 
-    // ---- troubles ----
-
     private void scheduleAt(long offset, Runnable task) {
         scheduler.schedule(startTime + offset - scheduler.now(), task);
     }
@@ -339,7 +337,7 @@
         scheduler.schedule(fault.duration(), () -> affected.forEach(revert));
     }
 
-    /** Replaces a server by a new one of its group and zone, which starts with slow start. */
+    /** Replaces a server by a new one of its group and zone, which begins with a slow start. */
     private void replaceServer(SimServer old) {
         old.stopped = true;
         listedServers.remove(old);
@@ -350,8 +348,8 @@
     }
 
     /**
-     * Rolls the servers one after another: each is told to drain, is removed {@link #DRAIN_GRACE_PERIOD} later, and its
-     * replacement starts {@code span} after the drain began.
+     * Replaces the servers one after another: each is told to drain and is removed {@link #DRAIN_GRACE_PERIOD} later;
+     * its replacement starts the fault's duration after the drain began.
      */
     private void rollServers(Fault fault) {
         List<SimServer> affected = selectServers(fault);
@@ -375,8 +373,8 @@
     }
 
     /**
-     * The front end distributes the requests of a zone over its open nodes, and over all open nodes (key null)
-     * where the zone has none.
+     * Updates the nodes that accept requests. The front end distributes the requests of a zone over its open nodes,
+     * or over all open nodes (key null) if the zone has none.
      */
     private void updateOpenNodes() {
         openNodesByZone.clear();
@@ -386,7 +384,7 @@
         }
     }
 
-    /** Accepts nothing more, answers what is in flight, stops, and starts again without any state. */
+    /** Stops accepting requests, answers those in flight, stops the node, and starts it again without any state. */
     private void restartNode(SimNode node, long downtime) {
         node.acceptsRequests = false;
         updateOpenNodes();
@@ -398,11 +396,9 @@
         });
     }
 
-    // ---- callers ----
-
     /**
-     * Load factor of a class now, or of all classes for null; interpolated linearly between the curve points
-     * around this time.
+     * Returns the current load factor of a class, or of all classes for null. It is interpolated linearly between
+     * the curve points around this time.
      */
     private double loadFactor(String requestClass) {
         long elapsed = scheduler.now() - startTime;
@@ -439,7 +435,7 @@
         }
         double requestsPerNano = Math.max(1e-9, totalWeight) * requestsPerSecond / NANOS_PER_SECOND;
         long gap = (long) (-Math.log(1 - arrivalRandom.nextDouble()) / requestsPerNano);
-        // At a load near 0 the gap is very long: look again after a second, as the load may have risen.
+        // At a load near 0 the gap is very long: check again after a second, as the load may have risen.
         long delay = Math.min(gap, NANOS_PER_SECOND);
         scheduler.schedule(delay, () -> {
             if (scheduler.now() < endTime) {
@@ -470,7 +466,7 @@
         new SimClient(chosenWorkload, requestRandom).sendAttempt();
     }
 
-    /** The client of one request: sends it, retries with backoff, and counts what became of it. */
+    /** The client of one request: sends it, retries with backoff, and counts the outcome. */
     private final class SimClient {
         final ClassWorkload workload;
         final List<RunStatistics.RequestStatistics> counters;
--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimCoordinator.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimCoordinator.java
@@ -7,9 +7,9 @@
 import weldhitch.fleet.locality.ZoneSelector;
 
 /**
- * The leading coordinator of a simulated cluster and the heartbeats of its nodes: one report from each node
- * five times a second, messages some milliseconds under way and lost with a given probability. Single-threaded,
- * on the event scheduler.
+ * The leading coordinator of a simulated cluster and the heartbeats of its nodes. Each node sends five reports a
+ * second. Messages take up to 20 ms and are lost with a given probability. Single-threaded, on the event
+ * scheduler.
  */
 final class SimCoordinator {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -30,7 +30,7 @@
         aggregator = new ZoneLoadAggregator(scheduler.now() - ZoneLoadAggregator.GRANT_DURATION, 0.002);
     }
 
-    /** From now on this node sends heartbeats. */
+    /** Starts the heartbeats of a node. */
     void join(String nodeName, ZoneSelector zoneSelector) {
         scheduler.schedule(random.nextLong(REPORT_INTERVAL), () -> sendReport(nodeName, zoneSelector));
     }
--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimNode.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimNode.java
@@ -39,9 +39,9 @@
 import weldhitch.fleet.locality.ZoneSelector;
 
 /**
- * A node without its sockets: hands events to a real {@link RatioBalancer} and carries out its actions in
- * virtual time, as the dispatcher of a node does. It also asserts that a request that must not run twice is
- * neither sent again nor rejected once it may have run. Single-threaded, on the event scheduler.
+ * A node without its sockets: passes events to a real {@link RatioBalancer} and executes its actions in virtual
+ * time, as the dispatcher of a node does. It also asserts that a request that must not run twice is neither sent
+ * again nor rejected once it may have run. Single-threaded, on the event scheduler.
  */
 public final class SimNode {
     private final EventScheduler scheduler;
@@ -75,11 +75,11 @@
 
     /** Carries messages between two zones; a message may be lost without notice. */
     public interface Transport {
-        /** Runs {@code arrives} when the message arrives; never if it is lost. */
+        /** Runs {@code delivery} when the message arrives; never if it is lost. */
         void deliver(String from, String to, Runnable delivery);
     }
 
-    /** How a node answered a request, finally. */
+    /** A node's final answer to a request. */
     public enum RequestOutcome {
         SERVED,
         REJECTED,
@@ -89,14 +89,14 @@
     /** Receives the final answer of a request. */
     public interface ResponseListener {
         /**
-         * Called once.
+         * Called once for each request.
          *
-         * @param retryAfter nanoseconds; 0 for no advice
+         * @param retryAfter time after which the client may retry, in nanoseconds; 0 for none
          */
         void onResponse(RequestOutcome outcome, long retryAfter);
     }
 
-    /** One attempt that was sent. */
+    /** An attempt that was sent. */
     private static final class SentAttempt {
         final String endpointId;
         final long sentAt;
@@ -142,9 +142,9 @@
     }
 
     /**
-     * A node that is not started yet.
+     * Creates a node that is not started yet.
      *
-     * @param endpointById endpoint by id; must know every id that the balancer is given
+     * @param endpointById returns the endpoint for an id; must know every id that the balancer receives
      * @param decisionListener receives the reasons of decisions; null for none
      * @param tap receives every event of the balancer; null for none
      */
@@ -169,7 +169,7 @@
         return settings.zone();
     }
 
-    /** Starts a new incarnation: nothing that the one before had learned is left. */
+    /** Starts a new incarnation, which keeps nothing that the previous one had learned. */
     void start(long seed, RouteTable routes, List<EndpointEntry> cachedEntries) {
         startBalancer(new RatioBalancer(settings, seed).snapshot());
         if (routes != null) {
@@ -188,8 +188,8 @@
     }
 
     /**
-     * Continues from a snapshot, with the requests in it. Attempts that were in flight end as {@link #attemptEnded}
-     * says, or at the deadline of their request.
+     * Continues from a snapshot, with the requests in it. Attempts that were in flight end when {@link #attemptEnded}
+     * reports their outcome, or at the deadline of their request.
      */
     public void resume(BalancerSnapshot snapshot, ResponseListener responseListener) {
         startBalancer(snapshot);
@@ -239,7 +239,7 @@
         submit(update);
     }
 
-    /** Stops; all requests in flight are lost with it. */
+    /** Stops the node; all its in-flight requests are lost. */
     void stop() {
         incarnation++;
         balancer = null;
@@ -248,15 +248,15 @@
     }
 
     /**
-     * From now on this locality decides which zones requests may go to; it also receives every endpoint list
-     * update.
+     * Sets the selector that decides from now on which zones requests may go to; it also receives every update of
+     * the endpoint list.
      */
     void selectZonesWith(ZoneSelector selector, UniformRandomProvider random) {
         zoneSelector = selector;
         zoneRandom = random;
     }
 
-    /** Converts endpoint list entries for the locality rules. */
+    /** Converts endpoint list entries to those that the locality rules use. */
     static List<ZoneEndpoint> toZoneEndpoints(List<EndpointEntry> entries) {
         return entries.stream()
                 .map(e -> new ZoneEndpoint(
@@ -269,7 +269,7 @@
                 .toList();
     }
 
-    /** Delivers changes of the endpoint list, to the zone routing even while the node is stopped. */
+    /** Delivers changes of the endpoint list; the zone selector receives them even while the node is stopped. */
     void onUpdate(List<EndpointEntry> changes) {
         if (zoneSelector != null) {
             zoneSelector.updateEndpoints(false, toZoneEndpoints(changes), scheduler.now());
@@ -280,7 +280,7 @@
     }
 
     /**
-     * Handles a request of a client.
+     * Handles a client's request.
      *
      * @param nonIdempotent whether it must never run twice
      */
@@ -324,7 +324,7 @@
         submit(arrivalWithZones);
     }
 
-    /** The client has given up on the request. */
+    /** Reports that the client has abandoned the request. */
     public void clientDisconnected(String requestId) {
         InFlightRequest request = inFlightById.get(requestId);
         if (request != null && !request.finished) {
@@ -364,7 +364,7 @@
         } else if (action instanceof RejectRequest reject) {
             InFlightRequest request = inFlightById.get(reject.requestId());
             if (request != null && request.nonIdempotent && request.possibleExecutions > 0) {
-                throw new AssertionError("refused after it may have run: " + request.id);
+                throw new AssertionError("rejected after it may have run: " + request.id);
             }
             complete(request, RequestOutcome.REJECTED, reject.retryAfter());
         } else if (action instanceof RequestZones zoneRequest) {
--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimServer.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimServer.java
@@ -5,10 +5,11 @@
 import weldhitch.decision.endpoint.AttemptOutcome;
 
 /**
- * A modelled server of one core, which its running requests share evenly (processor sharing). Each request
- * first waits on others for a while and occupies its slot meanwhile. Beyond its slots a few requests queue;
- * beyond those it rejects. Cancelled attempts run to their end all the same. A server that has just started
- * works at part of its speed, rising linearly. Single-threaded, on the event scheduler.
+ * A modelled server with one core, which its running requests share evenly (processor sharing). Each request
+ * first waits for other services for a while and occupies its slot meanwhile. If all slots are busy, requests
+ * queue; if the queue is full as well, the server rejects them. Cancelled attempts still run to their end. A
+ * server that has just started works at part of its speed, which rises linearly. Single-threaded, on the event
+ * scheduler.
  */
 final class SimServer implements SimEndpoint {
     final String id;
@@ -23,7 +24,7 @@
     private final ArrayDeque<Job> queuedJobs = new ArrayDeque<>();
     private final PriorityQueue<Job> runningJobs = new PriorityQueue<>();
     private int busySlots;
-    /** Work done for each request on the core since the start, in nanoseconds of a core of speed 1. */
+    /** Work done for each running request since the start, in nanoseconds of a core of speed 1. */
     private double attainedService;
 
     private long attainedServiceAt;
@@ -31,16 +32,16 @@
     private double slowdown = 1;
     private boolean stalled;
     boolean draining;
-    /** Rejects every request. */
+    /** Whether it rejects every request. */
     boolean rejectsAll;
 
     boolean stopped;
-    /** Answers with an error at once, as a server with a broken disk would. */
+    /** Whether it responds to every request with an error at once, as a server with a broken disk may. */
     boolean failsFast;
-    /** Its machine has vanished: nothing more comes from it. */
+    /** Whether its machine has vanished, so that it never responds again. */
     boolean silent;
 
-    /** One request, queued or running; ordered by when the shared core will have done its work. */
+    /** One request, queued or running; ordered by the work at which it completes. */
     private final class Job implements Comparable<Job> {
         final double work;
         final long externalWaitNanos;
@@ -112,21 +113,21 @@
         }
     }
 
-    /** Stalls or goes on: a stalled server accepts requests and does no work. */
+    /** Stalls or resumes the server: a stalled server accepts requests and does no work. */
     void setStalled(boolean newStalled) {
         advanceService();
         stalled = newStalled;
         scheduleCompletion();
     }
 
-    /** Works this many times slower than its own speed. */
+    /** Makes the server this many times slower than its own speed. */
     void setSlowdown(double newSlowdown) {
         advanceService();
         slowdown = newSlowdown;
         scheduleCompletion();
     }
 
-    /** Becomes silent: neither new nor running requests are ever answered. */
+    /** Makes the server silent: it never responds to new or running requests. */
     void goSilent() {
         silent = true;
         queuedJobs.clear();
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/BucketedCounter.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/BucketedCounter.java
@@ -2,16 +2,14 @@
 
 import java.util.Arrays;
 
-/**
- * A counter in buckets of a tenth of a second of virtual time. Not thread-safe; times are nanoseconds from 0.
- */
+/** A counter in buckets of a tenth of a second of virtual time. Not thread-safe. Times are nanoseconds from 0. */
 final class BucketedCounter {
     private static final long BUCKET_NANOS = 100_000_000L;
 
     private long[] counts = new long[64];
     private int bucketCount;
 
-    /** Adds to the bucket of this time. */
+    /** Adds {@code count} to the bucket of this time. */
     void add(long at, long count) {
         int bucket = (int) (at / BUCKET_NANOS);
         if (bucket >= counts.length) {
@@ -21,7 +19,7 @@
         bucketCount = Math.max(bucketCount, bucket + 1);
     }
 
-    /** The maximum of all buckets from the one that contains {@code from} on; 0 if there are none. */
+    /** Returns the maximum of all buckets from the one that contains {@code from} on; 0 if there are none. */
     long peak(long from) {
         return Arrays.stream(counts, Math.min(bucketCount, (int) (from / BUCKET_NANOS)), bucketCount)
                 .max()
@@ -29,8 +27,8 @@
     }
 
     /**
-     * The sum of the buckets from the one that contains {@code from} up to, not including, the one that
-     * contains {@code to}.
+     * Returns the sum of the buckets from the one that contains {@code from}, inclusive, to the one that contains
+     * {@code to}, exclusive.
      */
     long sumBetween(long from, long to) {
         return Arrays.stream(counts, Math.min(bucketCount, (int) (from / BUCKET_NANOS)), Math.min(bucketCount, (int)
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/ColdStart.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/ColdStart.java
@@ -7,9 +7,9 @@
 import weldhitch.simulator.cluster.EventScheduler;
 
 /**
- * Simulates many nodes that start within a second and poll one discovery service for the endpoint list, by the
- * decisions of a real node ({@link DiscoveryPolling}); the service may be down at first, and a second start may follow
- * the first. Single-threaded.
+ * Simulates many nodes that start within a second and poll one discovery service for the endpoint list, with the
+ * decisions of a real node ({@link DiscoveryPolling}). The service may be down at first, and a second start may
+ * follow the first. Single-threaded.
  */
 public final class ColdStart {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -17,16 +17,16 @@
     private static final long MIN_WATCH = 2 * NANOS_PER_SECOND;
     private static final long MAX_POLL_INTERVAL = 10 * NANOS_PER_SECOND;
     private static final long FIRST_POLL_SPREAD_PER_NODE = 50 * NANOS_PER_MILLI;
-    /** Longest time until the first answer of a coordinator at the start. */
+    /** Longest time until a coordinator first responds after a node's start, in nanoseconds. */
     private static final long MAX_FIRST_COORDINATOR_DELAY = 50 * NANOS_PER_MILLI;
-    /** Longest time until a coordinator answers later, when a heartbeat may be held open. */
+    /** Longest time until a coordinator responds later, when it may hold a heartbeat open; in nanoseconds. */
     private static final long MAX_COORDINATOR_DELAY = 500 * NANOS_PER_MILLI;
 
     /** How nodes pace their polls. */
     public enum PollPacing {
         /** Paced for a service that all nodes share. */
         SHARED_SERVICE,
-        /** Paced for a local agent of each node; nodes once polled a shared service in this way too. */
+        /** Paced for a local agent of each node; earlier builds polled a shared service in this way too. */
         LOCAL_AGENT,
         /** Paced for a shared service, by poll slots that coordinators grant. */
         POLL_SLOTS
@@ -35,10 +35,10 @@
     /**
      * The parameters of a simulation. Immutable.
      *
-     * @param pollsPerSecond polls that bring no list which the service can answer a second
-     * @param linesPerSecond lines of lists that it can write a second if it does nothing else
-     * @param maxQueueLength queued polls beyond which it rejects
-     * @param outageSeconds seconds from the first start in which the service is down; 0 for none
+     * @param pollsPerSecond polls without a list in the response that the service can answer per second
+     * @param linesPerSecond lines of lists that it can write per second if it does nothing else
+     * @param maxQueueLength number of queued polls beyond which it rejects
+     * @param outageSeconds seconds from the first start during which the service is down; 0 for none
      * @param silentOutage whether it is unresponsive while it is down, instead of refusing connections
      * @param restartAtSeconds seconds after which all nodes restart; 0 for never
      * @param durationSeconds length of the simulation in seconds
@@ -58,14 +58,13 @@
      * The measurements of a simulation. Immutable.
      *
      * @param peakPolls maximum number of polls in any tenth of a second
-     * @param peakPollsAfterOutage the same, after the service was back
+     * @param peakPollsAfterOutage the same, from the later of the end of the outage and the restart
      * @param peakFullListPolls maximum number of polls for a complete list in any tenth of a second
      * @param polls total number of polls
      * @param linesWritten total number of lines written
-     * @param secondsToFullCoverage seconds from the later of the last start and the service's return until
-     *      every node had a
-     *     list; infinite if some never did
-     * @param steadyPollsPerSecond polls a second over the last five seconds
+     * @param secondsToFullCoverage seconds from the later of the restart of all nodes and the end of the outage until
+     *     every node had a list; infinite if some node never did
+     * @param steadyPollsPerSecond polls per second over the last five seconds
      * @param peakQueueLength maximum number of polls queued at the service
      */
     public record Result(
@@ -107,7 +106,7 @@
         nodes = new PollingNode[plan.nodeCount];
     }
 
-    /** Runs a simulation; deterministic in plan, pacing and seed. */
+    /** Runs a simulation; the result is determined by plan, pacing and seed. */
     public static Result run(Plan plan, PollPacing pacing, long seed) {
         return new ColdStart(plan, pacing, seed).simulate();
     }
@@ -135,7 +134,7 @@
                 service.peakQueueLength);
     }
 
-    /** Restarts all nodes within a second, without any state. */
+    /** Starts all nodes within a second, without any state, and stops those that ran before. */
     private void startNodes() {
         nodesWithList = 0;
         fullCoverageAt = -1;
@@ -168,7 +167,7 @@
                 scheduler.schedule((long) (random.nextDouble() * MAX_FIRST_COORDINATOR_DELAY), () -> pollInSlot(0));
                 return;
             }
-            // The same spread as the first polls of the nodes of a real fleet have.
+            // The same spread as that of the first polls of the nodes of a real fleet.
             scheduler.schedule(
                     (long) (random.nextDouble()
                             * Math.min(0.4 * MAX_POLL_INTERVAL, plan.nodeCount * FIRST_POLL_SPREAD_PER_NODE)),
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/DiscoveryService.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/DiscoveryService.java
@@ -6,9 +6,9 @@
 import weldhitch.simulator.cluster.EventScheduler;
 
 /**
- * A discovery service of fixed capacity: answers polls one after another, also those whose callers have given
- * up, and rejects polls that find the queue full. While it is down, connections are refused or, in a network
- * outage, nothing answers at all. Single-threaded, on the event scheduler.
+ * A discovery service of fixed capacity. It answers polls one after another, even those that the node has
+ * abandoned, and rejects polls that find the queue full. While it is down, connections are refused or, in a
+ * network outage, nothing responds at all. Single-threaded, on the event scheduler.
  */
 final class DiscoveryService {
     /** The result of one poll. */
@@ -19,14 +19,12 @@
         CONNECTION_FAILED
     }
 
-    /** Receives the result of a poll; never called if the service went silent meanwhile. */
+    /** Receives the result of a poll; never called if the service has become silent meanwhile. */
     interface PollCallback {
         void onResult(PollResult result);
     }
 
-    /**
-     * How it fails while it is down: connections are refused, or new ones time out and open ones stay silent.
-     */
+    /** How it fails while it is down: it refuses connections, or new ones time out and open ones stay silent. */
     enum OutageMode {
         REFUSES_CONNECTIONS,
         SILENT
@@ -38,9 +36,9 @@
     /**
      * The capacity of the service. Immutable.
      *
-     * @param pollCostNanos work of one poll in nanoseconds
-     * @param lineCostNanos work of one line of an answer in nanoseconds
-     * @param maxQueueLength polls that can be queued; further ones are rejected
+     * @param pollCostNanos time for handling one poll, in nanoseconds
+     * @param lineCostNanos time for writing one line of a response, in nanoseconds
+     * @param maxQueueLength number of polls that can be queued; further ones are rejected
      */
     record Capacity(long pollCostNanos, long lineCostNanos, int maxQueueLength) {}
 
@@ -76,7 +74,8 @@
     }
 
     /**
-     * Drops every open poll, with an error unless the outage is silent; until {@link #endOutage} none is answered.
+     * Starts an outage: drops every open poll, with an error unless the outage is silent. No poll is answered until
+     * {@link #endOutage}.
      */
     void startOutage() {
         available = false;
@@ -91,12 +90,12 @@
         }
     }
 
-    /** Answers polls again. */
+    /** Ends the outage: polls are answered again. */
     void endOutage() {
         available = true;
     }
 
-    /** The list changes: every waiting poll is answered, one after the other. */
+    /** Publishes a change of the list: every waiting poll is answered, one after the other. */
     void publishChange() {
         List<PendingPoll> notified = new ArrayList<>(watches);
         watches.clear();
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/package-info.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Simulation of a cold start: many nodes poll one discovery service that all of them share, in virtual time.
- */
+/** Simulates a cold start: many nodes poll one shared discovery service, in virtual time. */
 package weldhitch.simulator.coldstart;
--- a/simulator/src/main/java/weldhitch/simulator/report/CaptureTap.java
+++ b/simulator/src/main/java/weldhitch/simulator/report/CaptureTap.java
@@ -18,8 +18,8 @@
 import weldhitch.simulator.cluster.BalancerTap;
 
 /**
- * Writes a capture of one simulated node in the format of a real node, complete and without dropped events.
- * Single-threaded; blocks on the files.
+ * Writes a capture of one simulated node in the format of a real node's capture, complete and without dropped
+ * events. Single-threaded; blocks on file I/O.
  */
 public final class CaptureTap implements BalancerTap, Closeable {
     private static final long SNAPSHOT_INTERVAL_NANOS = 60_000_000_000L;
@@ -37,7 +37,7 @@
     private long contentBytes;
 
     /**
-     * Begins a capture.
+     * Starts a capture.
      *
      * @param directory created if missing; must not contain a capture yet
      */
@@ -84,7 +84,7 @@
 
     private void append(CaptureEntry entry) {
         if (!writer.add(entry)) {
-            throw new IllegalStateException("does not fit into a capture: " + entry);
+            throw new IllegalStateException("entry cannot be encoded in a capture: " + entry);
         }
         if (writer.isBlockFull()) {
             try {
@@ -95,12 +95,12 @@
         }
     }
 
-    /** Events written so far. */
+    /** Returns the number of events written so far. */
     public long eventCount() {
         return eventCount;
     }
 
-    /** Size of the records in bytes before compression; of all of them only once closed. */
+    /** Returns the size of the records in bytes before compression; complete only after {@link #close}. */
     public long contentBytes() {
         return contentBytes;
     }
--- a/simulator/src/main/java/weldhitch/simulator/report/PairedDifference.java
+++ b/simulator/src/main/java/weldhitch/simulator/report/PairedDifference.java
@@ -4,7 +4,7 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * The mean change of a metric over paired samples, with a confidence interval (Student's t over paired
+ * Calculates the mean change of a metric over paired samples, with a confidence interval (Student's t over paired
  * differences). Stateless.
  */
 public final class PairedDifference {
@@ -16,7 +16,7 @@
      * @param seedCount number of pairs
      */
     public record MeanChange(double before, double after, double low, double high, int seedCount) {
-        /** Whether the interval excludes 0. */
+        /** Returns whether the interval excludes 0. */
         public boolean isSignificant() {
             return low > 0 || high < 0;
         }
@@ -25,9 +25,9 @@
     private PairedDifference() {}
 
     /**
-     * Compares two arrays of one length, two or more, pair by pair.
+     * Compares two arrays of the same length, two or more, pair by pair.
      *
-     * @param confidence between 0 and 1
+     * @param confidence confidence level, between 0 and 1
      */
     public static MeanChange meanChange(double[] before, double[] after, double confidence) {
         SummaryStatistics statisticsBefore = new SummaryStatistics();
--- a/simulator/src/main/java/weldhitch/simulator/report/RunComparison.java
+++ b/simulator/src/main/java/weldhitch/simulator/report/RunComparison.java
@@ -12,8 +12,8 @@
 import java.util.stream.Stream;
 
 /**
- * Compares two sets of runs over the same seeds, of two builds or two settings: the mean change by seed, with a
- * confidence interval. Stateless.
+ * Compares two sets of runs over the same seeds, of two builds or two settings. The result is the mean change by
+ * seed, with a confidence interval. Stateless.
  */
 public final class RunComparison {
     private static final List<String> METRICS =
@@ -28,7 +28,7 @@
      * Reads the {@code seed-N.json} files of two directories and compares the seeds that both have.
      *
      * @param confidence level of the intervals, between 0 and 1
-     * @throws IOException if a directory can't be read, or fewer than two seeds are in both
+     * @throws IOException if a directory cannot be read, or fewer than two seeds are in both
      */
     public static List<MetricChange> compare(Path before, Path after, double confidence) throws IOException {
         Map<Long, JsonNode> runsBefore = readRuns(before);
--- a/simulator/src/main/java/weldhitch/simulator/report/RunReport.java
+++ b/simulator/src/main/java/weldhitch/simulator/report/RunReport.java
@@ -40,9 +40,9 @@
     private final RunStatistics statistics;
 
     /**
-     * A report of a finished run.
+     * Creates a report of a finished run.
      *
-     * @param scenarioName of the scenario
+     * @param scenarioName name of the scenario
      */
     public RunReport(String scenarioName, long seed, RunStatistics statistics) {
         this.scenarioName = scenarioName;
@@ -50,7 +50,7 @@
         this.statistics = statistics;
     }
 
-    /** The statistics that {@link RunComparison} reads: totals, by class, by reason. */
+    /** Returns the statistics that {@link RunComparison} reads: totals, by class and by reason. */
     public ObjectNode toJson() {
         ObjectNode report = JsonNodeFactory.instance
                 .objectNode()
@@ -84,7 +84,7 @@
                 .put("p99Ms", counts.latencyMs(99));
     }
 
-    /** Writes {@code seed-N.json}, {@code seed-N.csv} and {@code seed-N.html}. */
+    /** Writes {@code seed-N.json}, {@code seed-N.csv} and {@code seed-N.html} for the seed N. */
     public void write(Path directory) throws IOException {
         Files.createDirectories(directory);
         String base = "seed-" + seed;
@@ -118,8 +118,6 @@
         return csv.toString();
     }
 
-    // ---- the page ----
-
     private String toHtml() throws IOException {
         StringBuilder page = new StringBuilder("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escapeHtml(scenarioName))
@@ -134,15 +132,15 @@
                 .append(statistics.bySecond.size() - 1)
                 .append(" s, ")
                 .append(statistics.total.offered)
-                .append(" first tries.</p>");
+                .append(" client requests, not counting retries.</p>");
         appendTable(page);
         page.append(toSvg(lineChart(
-                "Goodput: worth served of worth asked for",
+                "Goodput: fraction of the offered priority weight that was served",
                 "part",
                 new PlotSeries("goodput", RequestStatistics::goodput),
                 new PlotSeries("in time", RequestStatistics::inTimeFraction))));
         page.append(toSvg(lineChart(
-                "First tries by what became of them",
+                "Client requests by outcome",
                 "a second",
                 new PlotSeries("offered", c -> c.offered),
                 new PlotSeries("in time", c -> c.inTime),
@@ -150,19 +148,19 @@
                 new PlotSeries("refused", c -> c.rejected),
                 new PlotSeries("failed", c -> c.failed + c.unreachable))));
         page.append(toSvg(lineChart(
-                "Latency of what was served",
+                "Latency of served requests",
                 "ms",
                 new PlotSeries("p50", c -> c.latencyMs(50)),
                 new PlotSeries("p99", c -> c.latencyMs(99)))));
         page.append(toSvg(lineChart(
-                "Tries and attempts",
+                "Attempts of clients and nodes",
                 "for a first try",
                 new PlotSeries("callers' tries", c -> ratio(c.clientAttempts, c.offered)),
                 new PlotSeries("nodes' attempts", c -> ratio(c.nodeAttempts, c.offered)))));
         page.append(toSvg(attemptsByServerChart()));
         if (!statistics.unservedByCause.isEmpty()) {
             page.append(toSvg(barChart(
-                    "Refused and failed, by cause",
+                    "Rejected and failed requests by cause",
                     new ArrayList<>(statistics.unservedByCause.keySet()),
                     statistics.unservedByCause.values().stream()
                             .map(Long::doubleValue)
@@ -212,7 +210,7 @@
                 .yAxisTitle(unit)
                 .build();
         chart.getStyler().setYAxisMin(0.0);
-        // About 600 points at most: more than that cannot be seen in a plot, and they make the page large.
+        // At most about 600 points: more cannot be distinguished in a plot, and they make the page large.
         int step = Math.max(1, statistics.bySecond.size() / 600);
         for (PlotSeries line : series) {
             List<Double> x = new ArrayList<>();
--- a/simulator/src/main/java/weldhitch/simulator/scenario/Distribution.java
+++ b/simulator/src/main/java/weldhitch/simulator/scenario/Distribution.java
@@ -8,16 +8,16 @@
 
 /**
  * A probability distribution, sampled with a generator that the caller passes. Immutable. Durations are in
- * nanoseconds, other values plain numbers.
+ * nanoseconds; other values are plain numbers.
  */
 public sealed interface Distribution {
     /** Draws one sample. */
     double sample(UniformRandomProvider random);
 
-    /** The expected value. */
+    /** Returns the expected value. */
     double mean();
 
-    /** Always the same value. */
+    /** A distribution that always yields the same value. */
     record Constant(double mean) implements Distribution {
         @Override
         public double sample(UniformRandomProvider random) {
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Uniform between {@code low} and {@code high}. */
+    /** Uniform distribution between {@code low} and {@code high}. */
     record Uniform(double low, double high) implements Distribution {
         /**
          * Checks that the bounds are in order.
@@ -33,7 +33,7 @@
          * @throws IllegalArgumentException if {@code high} is below {@code low}
          */
         public Uniform {
-            require(high >= low, "high at least low");
+            require(high >= low, "expected high to be at least low");
         }
 
         @Override
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Exponential, as the gaps of a Poisson process. */
+    /** Exponential distribution, as that of the gaps of a Poisson process. */
     record Exponential(double mean) implements Distribution {
         @Override
         public double sample(UniformRandomProvider random) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Log-normal with this mean and coefficient of variation. */
+    /** Log-normal distribution with this mean and coefficient of variation. */
     record LogNormal(double mean, double coefficientOfVariation) implements Distribution {
         @Override
         public double sample(UniformRandomProvider random) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Heavy-tailed, with this mean; the smaller the shape (above 1), the heavier the tail. */
+    /** Heavy-tailed Pareto distribution with this mean; the smaller the shape (above 1), the heavier the tail. */
     record Pareto(double mean, double shape) implements Distribution {
         @Override
         public double sample(UniformRandomProvider random) {
--- a/simulator/src/main/java/weldhitch/simulator/scenario/Scenario.java
+++ b/simulator/src/main/java/weldhitch/simulator/scenario/Scenario.java
@@ -4,23 +4,25 @@
 import weldhitch.decision.settings.RequestClass;
 
 /**
- * A scenario that the simulator runs, as read from a file. Immutable. Durations and times are nanoseconds,
- * times from the start.
+ * A scenario that the simulator runs, as read from a file. Immutable. Durations and times are in nanoseconds, times
+ * from the start.
  *
- * @param duration duration of the measured part; after it clients send nothing new, and what is in flight ends
- * @param tier the tier of the nodes, 0 for the first, which alone limits admission
- * @param discoveryDelay how late each node learns of a change of the endpoint list
+ * @param duration duration of the measured part; after it, clients send no new requests, and those in flight end
+ * @param tier the tier of the nodes; only nodes of tier 0, the first, limit admission
+ * @param discoveryDelay time until a node learns of a change of the endpoint list
  * @param hedgingAllowed whether hedged requests are allowed
- * @param maxAttempts attempts of a node for one request at most
+ * @param maxAttempts maximum number of attempts of a node for one request
  * @param crossZoneCost the balancer's cost of a request to another zone
- * @param sameZoneDelay one-way network delay inside a zone
+ * @param sameZoneDelay one-way network delay within a zone
  * @param crossZoneDelay one-way network delay between zones
  * @param messageLoss fraction of messages that are lost
- * @param offeredLoad first tries' fraction of the total capacity of the servers, if {@code perSecond} is 0
- * @param requestsPerSecond first tries a second at load factor 1; 0 to go by {@code load}
- * @param maxRetries retries of one client at most
- * @param attemptTimeoutFraction timeout of one try of an idempotent request, as a fraction of its deadline
- * @param backoff wait of a client before a retry; a third of the clients do not wait
+ * @param offeredLoad client requests, not counting retries, as a fraction of the servers' total capacity; used if
+ *     {@code requestsPerSecond} is 0
+ * @param requestsPerSecond client requests per second, not counting retries, at load factor 1; 0 to use
+ *     {@code offeredLoad}
+ * @param maxRetries maximum number of retries of one client
+ * @param attemptTimeoutFraction timeout of one client attempt of an idempotent request, as a fraction of its deadline
+ * @param backoff time that a client waits before a retry; a third of the clients do not wait
  * @param honoursRetryAfterProbability fraction of clients that honour Retry-After
  */
 public record Scenario(
@@ -46,7 +48,7 @@
         double honoursRetryAfterProbability,
         List<LoadPoint> loadCurve,
         List<Fault> faults) {
-    /** Copies the lists. */
+    /** Makes unmodifiable copies of the lists. */
     public Scenario {
         zones = List.copyOf(zones);
         serverGroups = List.copyOf(serverGroups);
@@ -56,7 +58,7 @@
     }
 
     /**
-     * A group of like servers; work takes {@code 1 / speed} of its nominal time.
+     * A group of servers with the same settings; work takes {@code 1 / speed} of its nominal time.
      *
      * @param zone null to spread them over all zones
      * @param initialCapacity fraction of its speed that a server has when it starts
@@ -74,22 +76,22 @@
     /**
      * The workload of one request class.
      *
-     * @param trafficWeight its weight among the classes
+     * @param trafficWeight its share of the traffic, relative to the other classes
      * @param work nanoseconds on a core of speed 1
-     * @param externalWait nanoseconds that a request waits on others
+     * @param externalWait nanoseconds that a request waits for other services
      */
     public record ClassWorkload(
             RequestClass requestClass, double trafficWeight, Distribution work, Distribution externalWait) {}
 
     /**
-     * A point of the load curve, which is linear between two points.
+     * A point of the load curve, which is interpolated linearly between two points.
      *
      * @param factor multiple of the base load
      * @param requestClass null for all classes
      */
     public record LoadPoint(long offset, double factor, String requestClass) {}
 
-    /** The types of faults; the names are those of scenario files. */
+    /** The types of faults; their names are those used in scenario files. */
     public enum FaultType {
         STALL,
         FULL,
@@ -104,11 +106,11 @@
     /**
      * A fault that the scenario injects.
      *
-     * @param duration its duration in nanoseconds
-     * @param serverCount how many servers of the zone it hits; below 0, their fraction in thousandths
+     * @param duration duration of the fault in nanoseconds
+     * @param serverCount number of affected servers of the zone; if negative, their fraction in thousandths
      * @param zone null for all zones
-     * @param slowdown slowdown of {@code SLOW}
-     * @param interval interval between two servers of a release, nanoseconds
+     * @param slowdown factor by which a {@code SLOW} fault slows its servers down
+     * @param interval interval between two servers of a release, in nanoseconds
      */
     public record Fault(
             long offset,
@@ -121,10 +123,10 @@
             long interval) {}
 
     /**
-     * A copy of another size, at the same load for each server.
+     * Returns a copy of another size, with the same load per server.
      *
-     * @param newNodeCount number of nodes; 0 to leave as it is
-     * @param newServerCount total number of servers, to which all groups are scaled; 0 to leave as it is
+     * @param newNodeCount number of nodes; 0 to leave it as it is
+     * @param newServerCount total number of servers, to which all groups are scaled; 0 to leave it as it is
      */
     public Scenario withSize(int newNodeCount, int newServerCount) {
         int serverCount = serverGroups.stream().mapToInt(ServerGroup::count).sum();
@@ -167,7 +169,7 @@
                 faults);
     }
 
-    /** A copy of another length, in nanoseconds. */
+    /** Returns a copy with another duration, in nanoseconds. */
     public Scenario withDuration(long nanos) {
         return new Scenario(
                 name,
--- a/simulator/src/main/java/weldhitch/simulator/scenario/ScenarioFile.java
+++ b/simulator/src/main/java/weldhitch/simulator/scenario/ScenarioFile.java
@@ -26,9 +26,7 @@
 import weldhitch.simulator.scenario.Scenario.LoadPoint;
 import weldhitch.simulator.scenario.Scenario.ServerGroup;
 
-/**
- * Reads a scenario file: TOML, validated against the published JSON schema and then for consistency. Stateless.
- */
+/** Reads a scenario file: TOML, validated against the published JSON schema and then for consistency. Stateless. */
 public final class ScenarioFile {
     private static final Pattern DURATION = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)(us|ms|s|m|h)");
     private static final Map<String, Double> NANOS_BY_UNIT =
@@ -38,7 +36,7 @@
 
     private ScenarioFile() {}
 
-    /** Lists all problems of a scenario file, each with file, key and expected value. */
+    /** Thrown for an invalid scenario file; lists all problems, each with file, key and expected value. */
     public static final class InvalidScenarioException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient List<String> problems;
@@ -48,19 +46,19 @@
             this.problems = List.copyOf(problems);
         }
 
-        /** All problems, one message each. */
+        /** Returns all problems, one message each. */
         public List<String> problems() {
             return problems;
         }
     }
 
-    /** Reads and validates a file; blocks on it. */
+    /** Reads and validates a file; blocks on file I/O. */
     public static Scenario read(Path file) throws IOException, InvalidScenarioException {
         return parse(file.toString(), Files.readString(file));
     }
 
     /**
-     * Validates the text of a scenario.
+     * Reads and validates the text of a scenario.
      *
      * @param file name of the file in problem messages
      */
@@ -70,7 +68,7 @@
             root = new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 0 : e.getLocation().getLineNr();
-            throw new InvalidScenarioException(List.of(file + ":" + line + ": is no TOML: "
+            throw new InvalidScenarioException(List.of(file + ":" + line + ": is not valid TOML: "
                     + e.getOriginalMessage().lines().findFirst().orElse("")));
         }
         List<String> problems = new ArrayList<>();
@@ -91,7 +89,7 @@
         throw new InvalidScenarioException(problems);
     }
 
-    /** The JSON schema of scenario files; the caller closes the stream. */
+    /** Opens the JSON schema of scenario files; the caller closes the stream. */
     public static InputStream openSchema() {
         return ScenarioFile.class.getResourceAsStream("/weldhitch/simulator/scenario.schema.json");
     }
@@ -191,7 +189,7 @@
         List<String> classNames =
                 scenario.workloads().stream().map(k -> k.requestClass().name()).toList();
         if (classNames.stream().distinct().count() < classNames.size()) {
-            problems.add(file + ": class: two have one name, expected a name of its own for each of " + classNames);
+            problems.add(file + ": class: two have the same name, expected a different name for each of " + classNames);
         }
         for (ServerGroup group : scenario.serverGroups()) {
             validateZone(file, "servers.zone", group.zone(), scenario, problems);
@@ -202,14 +200,14 @@
                 problems.add(file + ": curve.class: " + point.requestClass() + ", expected one of " + classNames);
             }
             if (point.requestClass() == null && point.offset() < previousOffset) {
-                problems.add(file + ": curve.at: earlier than the point before it, expected points in their order");
+                problems.add(file + ": curve.at: earlier than the previous point, expected points in order of time");
             }
             previousOffset = point.requestClass() == null ? point.offset() : previousOffset;
         }
         for (Fault fault : scenario.faults()) {
             validateZone(file, "event.zone", fault.zone(), scenario, problems);
             if (fault.type() == FaultType.CUT_ZONE && fault.zone() == null) {
-                problems.add(file + ": event: cut-zone names no zone, expected one of " + scenario.zones());
+                problems.add(file + ": event: cut-zone without a zone, expected one of " + scenario.zones());
             }
             if (fault.nodeIndex() >= scenario.nodeCount()) {
                 problems.add(
--- a/simulator/src/main/java/weldhitch/simulator/scenario/package-info.java
+++ b/simulator/src/main/java/weldhitch/simulator/scenario/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Scenarios: the model of a scenario file, its reader and validator, and the probability distributions that it
- * names.
- */
+/** Scenarios: the model of a scenario file, its reader and validator, and its probability distributions. */
 package weldhitch.simulator.scenario;
--- a/simulator/src/main/java/weldhitch/simulator/whatif/CapturedAttempts.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/CapturedAttempts.java
@@ -14,15 +14,15 @@
 import weldhitch.decision.snapshot.BalancerSnapshot;
 
 /**
- * The attempts of a contiguous segment of a capture, each with the number of attempts that this node had in
- * flight at its server when it was sent. Built once by the server model and read only afterwards. Times are
+ * The attempts of a contiguous segment of a capture, each with the number of attempts that this node had in flight
+ * at its server when it was sent. Built once by the server model and not modified afterwards. Times are in
  * nanoseconds.
  */
 final class CapturedAttempts {
-    /** Length of the windows in which the behaviour of a server counts as constant, in nanoseconds. */
+    /** Length of the windows in which the behaviour of a server is assumed to be constant, in nanoseconds. */
     static final long WINDOW_NANOS = 1_000_000_000L;
 
-    /** One attempt. {@code outcome} is null if it had none when the segment ended. */
+    /** One attempt. {@code outcome} is null if the attempt was still in flight when the segment ended. */
     static final class CapturedAttempt {
         final String endpointId;
         final String requestClass;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Attempts in flight at one server over time, as nanoseconds of attempts by window. */
+    /** The attempts in flight at one server over time, as attempts times nanoseconds for each window. */
     private static final class EndpointLoad {
         final TreeMap<Long, Double> attemptNanosByWindow = new TreeMap<>();
         int outstanding;
@@ -138,7 +138,7 @@
         }
     }
 
-    /** The mean number of attempts in flight at the server in the window of this time. */
+    /** Returns the mean number of attempts in flight at the server in the window that contains this time. */
     double meanOutstanding(String endpointId, long at) {
         long window = Math.floorDiv(at, WINDOW_NANOS);
         EndpointLoad load = loadByEndpoint.get(endpointId);
--- a/simulator/src/main/java/weldhitch/simulator/whatif/ClientRetryModel.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/ClientRetryModel.java
@@ -15,27 +15,29 @@
 import weldhitch.decision.settings.Idempotency;
 
 /**
- * The retry behaviour of clients, estimated from a segment of a capture. A capture does not tell to which
- * request a retry belongs, and it may come to another node; as the front end distributes evenly, as many come
- * here as go elsewhere. In the rerun with the captured rules the captured retries arrive. With other rules
- * fewer of them arrive, in proportion, if fewer requests in that second were unserved, and more if more were:
- * each request beyond the number with the captured rules is retried with one probability, the ratio of retries
- * to unserved requests, by class, and over all classes if a class had few. So the errors that the model makes
- * in both reruns cancel out. The backoff of clients is not in a capture: it is assumed to be uniform up to
- * 200 ms. Requests that must not run twice are retried only after a rejection. Read only once built.
+ * A model of how clients retry, estimated from a segment of a capture.
+ *
+ * <p>A capture does not tell which request a retry belongs to, and a retry may go to another node. As the front end
+ * distributes requests evenly, as many retries come to this node from elsewhere as go from it to other nodes.
+ *
+ * <p>In the rerun with the captured rules, the captured retries arrive. With other rules, fewer of them arrive, in
+ * proportion, if fewer requests of that second were unserved. If more were unserved, more retries arrive: each
+ * request beyond the number with the captured rules is retried with the same probability, the ratio of retries to
+ * unserved requests of its class, or of all classes if its class had few. So errors that the model makes in both
+ * reruns cancel out.
+ *
+ * <p>A capture does not contain the backoff of clients, which is assumed to be uniform up to 200 ms. Requests that
+ * must not run twice are retried only after a rejection. Not modified once built.
  */
 final class ClientRetryModel {
-    /** With fewer unserved requests than this a class uses the ratio over all classes. */
+    /** A class with fewer unserved requests than this uses the ratio over all classes. */
     private static final int MIN_SAMPLES = 30;
     /** Upper bound of the assumed backoff, in nanoseconds. */
     private static final double MAX_RETRY_DELAY_NANOS = 200e6;
-    /**
-     * Maximum number of retries of one request, as unlimited retries would never end; real clients make up to
-     * three.
-     */
+    /** Maximum number of retries of one request, as unlimited ones might never end; real clients make up to three. */
     private static final int MAX_RETRIES = 3;
 
-    /** Unserved requests and retries of one class, or of all. */
+    /** Number of unserved requests and of retries, of one class or of all. */
     private static final class RetryStatistics {
         long unserved;
         long retries;
@@ -95,7 +97,7 @@
         return idempotentByClass.getOrDefault(String.valueOf(requestClass), false);
     }
 
-    /** The probability that an unserved request of the class is retried. */
+    /** Returns the probability that an unserved request of the class is retried. */
     double retryProbability(String requestClass) {
         RetryStatistics statistics = statisticsByClass.get(String.valueOf(requestClass));
         return statistics == null || statistics.unserved < MIN_SAMPLES
@@ -106,11 +108,11 @@
     /**
      * Draws whether, and when, the client of an unserved request retries.
      *
-     * @param rejected whether it was rejected; otherwise it failed or was abandoned
-     * @param attempts sent so far
+     * @param rejected whether it was rejected; otherwise it failed or its client disconnected
+     * @param attempts number of client attempts so far
      * @param remainingNanos nanoseconds until the deadline of the request
-     * @param random the generator of this request alone
-     * @return nanoseconds to wait, and nanoseconds from then to the deadline; null for no retry
+     * @param random generator that is used for this request only
+     * @return the time until the retry and the time from then to its deadline, in nanoseconds; null for no retry
      */
     long[] drawRetry(
             String requestClass, boolean rejected, int attempts, long remainingNanos, UniformRandomProvider random) {
--- a/simulator/src/main/java/weldhitch/simulator/whatif/ContiguousSegment.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/ContiguousSegment.java
@@ -6,8 +6,8 @@
 import weldhitch.capture.format.CaptureEntry;
 
 /**
- * A contiguous segment of a capture: events without gaps, and the snapshot before the first. The list of events
- * grows while the capture is read.
+ * A contiguous segment of a capture: events without gaps, and the snapshot before the first event. The list of
+ * events grows while the capture is read.
  */
 record ContiguousSegment(CaptureEntry.SnapshotRecord startRecord, List<CaptureEntry.EventRecord> events) {
 
--- a/simulator/src/main/java/weldhitch/simulator/whatif/FittedServer.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/FittedServer.java
@@ -10,14 +10,14 @@
 import weldhitch.simulator.whatif.ServerModel.ServerCondition;
 
 /**
- * A server as the fitted model describes it: a core shared evenly by the attempts of this node and those of the
- * other nodes, which are assumed to have as many there as this one had over the last second. Cancelled attempts
- * run to their end all the same. Single-threaded, on the event scheduler.
+ * A server according to the fitted model: a core that is shared evenly by the attempts of this node and those of
+ * the other nodes. Each other node is assumed to have as many attempts in flight there as this one had on average
+ * over the last second. Cancelled attempts still run to their end. Single-threaded, on the event scheduler.
  */
 final class FittedServer implements SimEndpoint {
     /**
-     * Time constant, in nanoseconds, of the mean of this node's attempts that stands for those of the other
-     * nodes.
+     * Time constant, in nanoseconds, of the mean number of this node's attempts in flight, which is also used as that
+     * of each other node.
      */
     private static final double AVERAGING_NANOS = CapturedAttempts.WINDOW_NANOS;
 
@@ -29,7 +29,7 @@
     private final PriorityQueue<Job> runningJobs = new PriorityQueue<>();
     private int ownCalls;
     private double meanOwnCalls;
-    /** Work done for each attempt since the start, in nanoseconds of a core of its own. */
+    /** Work done for each running attempt since the start, in nanoseconds of an unshared core. */
     private double attainedService;
 
     private long attainedServiceAt;
--- a/simulator/src/main/java/weldhitch/simulator/whatif/SegmentRerun.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/SegmentRerun.java
@@ -31,8 +31,8 @@
 import weldhitch.simulator.cluster.SimNode;
 
 /**
- * One rerun of a contiguous segment of a capture: the captured arrivals and endpoint lists, with modelled
- * servers and a real balancer. Used once, single-threaded.
+ * Reruns a contiguous segment of a capture once: with the captured arrivals and endpoint lists, modelled servers
+ * and a real balancer. Used once, single-threaded.
  */
 final class SegmentRerun {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -41,7 +41,7 @@
     private final ServerModel model;
     private final ClientRetryModel retryModel;
     private final long segmentEnd;
-    /** Unserved requests of the rerun with the captured rules; null in that rerun itself. */
+    /** Unserved requests of the rerun with the captured rules; null if this is that rerun. */
     private final UnservedRequests baselineUnserved;
 
     final UnservedRequests unserved = new UnservedRequests();
@@ -54,13 +54,13 @@
     private final Map<String, FittedServer> serverByEndpoint = new LinkedHashMap<>();
     private final Map<String, RequestClass> classesByName = new LinkedHashMap<>();
     private final Map<String, OpenRequest> openRequests = new LinkedHashMap<>();
-    /** Attempts in flight when the segment began, as request id and attempt number. */
+    /** Attempts in flight at the start of the segment, as request id and attempt number. */
     private final Set<String> earlierAttempts = new LinkedHashSet<>();
 
     /**
      * Prepares a rerun.
      *
-     * @param baselineUnserved unserved requests of the rerun with the captured rules; null in that rerun itself
+     * @param baselineUnserved unserved requests of the rerun with the captured rules; null if this is that rerun
      * @param summary receives every event and action
      */
     SegmentRerun(
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Runs the segment to its end, and on until its requests have ended.
+     * Runs the segment to its end, and then until its requests have ended.
      *
      * @param overrideRoutes whether {@code routes} (none if null) replace the captured ones
      */
@@ -180,7 +180,7 @@
         scheduler.runUntil(scheduler.now() + Math.min(maxRemaining, 600 * NANOS_PER_SECOND) + NANOS_PER_SECOND);
     }
 
-    /** Whether a captured retry arrives in this rerun. */
+    /** Decides whether a captured retry arrives in this rerun. */
     private boolean retryArrives(RequestArrived retry) {
         int baselineCount = baselineUnserved == null
                 ? 0
@@ -192,7 +192,7 @@
 
     private SimCall createCall(RequestArrived arrival, UniformRandomProvider requestRandom) {
         double spread = model.fitFor(arrival.requestClass()).logDeviation();
-        // Log-normal with mean 1, so that the classes keep their means.
+        // Log-normal with mean 1, so that the mean work of each class is preserved.
         double work = spread > 0
                 ? LogNormalSampler.of(
                                 ZigguratSampler.NormalizedGaussian.of(requestRandom), -spread * spread / 2, spread)
@@ -228,8 +228,8 @@
         RequestArrived arrival = request.arrival;
         unserved.add(arrival.requestClass(), scheduler.now());
         int unservedCount = unserved.countInLastSecond(arrival.requestClass(), scheduler.now());
-        // Only unserved requests beyond the number with the captured rules make retries: those of the others
-        // are captured.
+        // Only unserved requests beyond the number with the captured rules cause modelled retries: the retries of
+        // the others are captured.
         if (baselineUnserved == null
                 || request.requestRandom.nextDouble() * unservedCount
                         >= unservedCount
--- a/simulator/src/main/java/weldhitch/simulator/whatif/ServerModel.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/ServerModel.java
@@ -11,47 +11,52 @@
 import weldhitch.simulator.whatif.CapturedAttempts.CapturedAttempt;
 
 /**
- * A model of the servers, fitted to a segment of a capture. The node sees only its own calls; the other nodes
- * are assumed to call each server as this one does on average (a mean field). So with {@code x} = its own calls
- * in flight at the server + (nodes - 1) times their mean in that second, a served call of a class takes {@code
- * slowness * (fixed + each * x)}: time spent waiting elsewhere, and a core shared evenly. {@code fixed} and
- * {@code each} are least-squares estimates over all servers; {@code slowness} is that of the server in that
- * second, shrunk towards its overall value with the weight of five calls. Failures are fractions in that
- * second; rejection as "full" begins at the {@code x} that as many calls of that second reached as were
- * rejected. Read only once built.
+ * A model of the servers, fitted to a segment of a capture. The node sees only its own calls; each other node is
+ * assumed to load each server as this node does on average (a mean field). The concurrency of a call is thus this
+ * node's calls in flight at the server plus (nodes - 1) times their mean in that second.
+ *
+ * <p>A served call of a class takes {@code slowdown * (fixedNanos + nanosPerCall * concurrency)}: time spent
+ * waiting for other services, and time on a core that is shared evenly. {@code fixedNanos} and {@code nanosPerCall}
+ * are least-squares estimates over all servers. {@code slowdown} is that of the server in that second, shrunk
+ * towards its overall value with the weight of five calls.
+ *
+ * <p>Failures are fractions of the calls in that second. The server rejects with "full" from the concurrency on
+ * that as many calls of that second reached as were rejected. Not modified once built.
  */
 final class ServerModel {
-    /** Weight, in calls, of a server's overall slowness against that of one second. */
+    /** Weight, in calls, of a server's overall slowdown against that of one second. */
     private static final double PRIOR_CALLS = 5;
-    /** For so many windows after the last call its state holds; after that the overall state does. */
+    /** Number of windows after the last call for which the server's last condition holds; then the overall one does. */
     private static final long CONDITION_VALID_WINDOWS = 5;
     /**
-     * A call that exceeds its expected time by this factor, in a second in which no call was answered, counts
-     * as lost.
+     * A call counts as lost if it exceeds its expected time by this factor, in a second in which no call was
+     * answered.
      */
     private static final double LOST_CALL_SLOWDOWN = 3;
 
     /**
-     * Service time of a class, in nanoseconds.
+     * The fitted service time of a class, in nanoseconds.
      *
-     * @param fixedNanos part that does not depend on load
+     * @param fixedNanos part that does not depend on the load
      * @param nanosPerCall part for each call that shares the core
      * @param logDeviation standard deviation of the logarithm of the residuals
-     * @param samples calls that it was fitted to
+     * @param samples number of calls that it was fitted to
      */
     record LatencyFit(double fixedNanos, double nanosPerCall, double logDeviation, long samples) {
-        /** Expected service time in nanoseconds at a load of {@code x}, at slowness 1. */
+        /** Returns the expected service time in nanoseconds at this concurrency, without slowdown. */
         double latencyAt(double concurrency) {
             return fixedNanos + nanosPerCall * concurrency;
         }
     }
 
     /**
-     * The state of a server in one window.
+     * The condition of a server in one window.
      *
-     * @param slowdown multiple of the service time
-     * @param capacity the x from which it rejects; infinite if it did not
-     * @param errorFraction fraction of calls, as the two that follow
+     * @param slowdown multiple of the expected service time
+     * @param capacity concurrency from which on it rejects; infinite if it did not reject
+     * @param errorFraction fraction of calls that ended with an error, not counting abandoned and unsent calls
+     * @param connectFailureFraction the same for failed connections
+     * @param resetFraction the same for reset connections
      * @param silent whether no call was answered
      */
     record ServerCondition(
@@ -61,7 +66,7 @@
             double connectFailureFraction,
             double resetFraction,
             boolean silent) {
-        /** A state without failures. */
+        /** Returns a condition without failures. */
         static ServerCondition typical(double slowdown) {
             return new ServerCondition(slowdown, Double.POSITIVE_INFINITY, 0, 0, 0, false);
         }
@@ -111,8 +116,8 @@
     }
 
     /**
-     * Least squares without negative parameters: a line through the origin, or a constant, if a parameter would
-     * be.
+     * Fits a line by least squares without negative parameters: if a parameter would be negative, fits a line through
+     * the origin or a constant.
      */
     private LatencyFit fitLine(List<CapturedAttempt> served) {
         SimpleRegression withIntercept = new SimpleRegression();
@@ -134,7 +139,7 @@
                 : new LatencyFit(0, throughOrigin.getSlope(), 0, served.size());
     }
 
-    /** The service time of a class; that over all classes if it was not in the capture. */
+    /** Returns the service time of a class, or that over all classes if the capture does not contain the class. */
     LatencyFit fitFor(String requestClass) {
         return fitByClass.getOrDefault(String.valueOf(requestClass), overallFit);
     }
@@ -160,8 +165,7 @@
     }
 
     /**
-     * Adds the actual and the expected times of a call; an abandoned one counts only if it took longer than
-     * expected.
+     * Adds the actual and the expected time of a call; an abandoned call counts only if it took longer than expected.
      */
     private void addObserved(double[] sums, CapturedAttempt attempt, double slowdown) {
         double expectedNanos = fitFor(attempt.requestClass).latencyAt(estimatedConcurrency(attempt));
@@ -233,7 +237,7 @@
                 .orElse(0));
     }
 
-    /** The state of the server at this time. */
+    /** Returns the condition of the server at this time. */
     ServerCondition conditionOf(String endpointId, long at) {
         long window = Math.floorDiv(at, CapturedAttempts.WINDOW_NANOS);
         TreeMap<Long, ServerCondition> conditions = conditionsByEndpoint.get(endpointId);
@@ -244,9 +248,7 @@
         return latest.getValue();
     }
 
-    /**
-     * The mean number of attempts of one node in flight at the server in the window in which the segment began.
-     */
+    /** Returns the mean number of this node's attempts in flight at the server in the segment's first window. */
     double initialOutstanding(String endpointId) {
         return attempts.meanOutstanding(endpointId, segmentStart);
     }
--- a/simulator/src/main/java/weldhitch/simulator/whatif/UnservedRequests.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/UnservedRequests.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * The times at which requests of each class ended unserved, added in order of time. Not thread-safe; times are
+ * The times at which requests of each class ended unserved, added in order of time. Not thread-safe. Times are in
  * nanoseconds.
  */
 final class UnservedRequests {
@@ -17,10 +17,8 @@
                 .computeIfAbsent(String.valueOf(requestClass), c -> new ArrayList<>())
                 .add(at);
     }
-
-    /**
-     * How many there were in the second up to this time: the requests whose retries arrive now are among them.
-     */
+/** Counts the requests of the second up to this time; those whose retries arrive now are among them. */
+    /** Counts those of the second up to this time; the requests whose retries arrive now are among them. */
     int countInLastSecond(String requestClass, long at) {
         List<Long> times = timesByClass.getOrDefault(String.valueOf(requestClass), List.of());
         return countUpTo(times, at) - countUpTo(times, at - CapturedAttempts.WINDOW_NANOS);
--- a/simulator/src/main/java/weldhitch/simulator/whatif/WhatIfAnalysis.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/WhatIfAnalysis.java
@@ -13,15 +13,15 @@
 import weldhitch.simulator.report.PairedDifference;
 
 /**
- * Estimates what other routes, or this build, would have made of a capture. Measured on the captured events:
- * where decisions differ. Modelled, with servers fitted to the capture: the outcome; beside it the captured
- * rules with the same model, whose distance to the captured outcome is the error of the model. Reads a capture
- * as a consumer of its entries; single-threaded.
+ * Estimates what other routes, or this build, would have changed in a capture. Two things are determined: where
+ * decisions differ, measured on the captured events; and the outcome, modelled with servers fitted to the capture.
+ * The captured rules are run with the same model for comparison: their distance to the captured outcome is the
+ * error of the model. Reads a capture as a consumer of its entries; single-threaded.
  */
 public final class WhatIfAnalysis implements Consumer<CaptureEntry> {
     /**
-     * The metrics of a class, in order: requests including retries, fractions of them, attempts for each,
-     * milliseconds.
+     * The metrics of a class, in order: the number of requests including retries, the fractions of them by outcome,
+     * attempts per request, and latencies in milliseconds.
      */
     public static final List<String> METRICS =
             List.of("arrived", "in time", "late", "refused", "failed", "gone", "attempts", "p50 ms", "p99 ms");
@@ -32,10 +32,10 @@
     /**
      * One metric of a class.
      *
-     * @param measured in the capture
+     * @param measured value in the capture
      * @param baseline modelled with the captured rules, mean over the seeds
      * @param alternative modelled with the other rules, mean over the seeds
-     * @param change {@code other} less {@code captured}
+     * @param change {@code alternative} less {@code baseline}, with its confidence interval
      */
     public record MetricLine(
             String requestClass,
@@ -49,9 +49,8 @@
      * The result of the model.
      *
      * @param segmentCount number of contiguous segments
-     * @param modelDescriptions a description of the fitted model of each class: nanoseconds fixed, and for each
-     *      call that
-     *     shares the server
+     * @param modelDescriptions a description of the fitted model of each class: the fixed time, and the time for each
+     *     call that shares the server, both in milliseconds
      */
     public record Result(List<MetricLine> lines, int segmentCount, int seedCount, List<String> modelDescriptions) {}
 
@@ -62,7 +61,7 @@
     private final RouteTable routes;
 
     /**
-     * An analysis that has read nothing yet.
+     * Creates an analysis that has not read anything yet.
      *
      * @param routesOverridden whether {@code routes} (none if null) replace the captured ones; otherwise this build is
      *     evaluated
@@ -85,12 +84,12 @@
         }
     }
 
-    /** Where decisions differ on the captured events; one for each snapshot at most. */
+    /** Returns where decisions differ on the captured events; at most one difference for each snapshot. */
     public List<Replayer.Divergence> divergences() {
         return replayer.divergences();
     }
 
-    /** Number of snapshots from which captured events were replayed. */
+    /** Returns the number of snapshots from which captured events were replayed. */
     public long restores() {
         return replayer.restores();
     }
@@ -128,7 +127,7 @@
             new ServerModel(segment)
                     .fitByClass.forEach((className, fit) -> modelDescriptions.add(String.format(
                             java.util.Locale.ROOT,
-                            "%s: %.1f ms and %.1f ms for each call at its server, spread %.2f, %d calls",
+                            "%s: %.1f ms plus %.1f ms for each call in flight at the server, spread %.2f, %d calls",
                             className,
                             fit.fixedNanos() / 1e6,
                             fit.nanosPerCall() / 1e6,
--- a/simulator/src/test/java/weldhitch/simulator/ColdStartTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/ColdStartTest.java
@@ -13,13 +13,14 @@
 import weldhitch.simulator.coldstart.ColdStart.Result;
 
 /**
- * What the start of a fleet costs a shared discovery service, with the present pacing of polls and the former
- * one.
+ * Tests the load that the start of a fleet puts on a shared discovery service: with the pacing of polls for a shared
+ * service, with the pacing for a local agent, which nodes of earlier builds used for a shared service too, and with
+ * poll slots.
  */
 class ColdStartTest {
     private static final int SEED_COUNT = 10;
 
-    /** A service that writes a hundred lists of 1,000 endpoints a second. */
+    /** A service that can write a hundred lists of 1,000 endpoints per second. */
     private static Plan plan(int nodeCount, double outageSeconds, boolean silentOutage, double restartAtSeconds) {
         return new Plan(nodeCount, 1000, 500, 100_000, 100, outageSeconds, silentOutage, restartAtSeconds, 40);
     }
@@ -33,8 +34,8 @@
     }
 
     /**
-     * Ten times the nodes, at most three times the peak: the remaining growth is the long polls, one a node in
-     * 2 to 4 s.
+     * Ten times as many nodes cause at most three times the peak. The remaining growth is due to the long polls, one
+     * per node every 2 to 4 s.
      */
     @ParameterizedTest
     @CsvSource({"0, false, 0", "8, false, 0", "8, true, 0", "0, false, 6"})
@@ -49,7 +50,7 @@
         assertTrue(largeFleetPeak <= 3 * smallFleetPeak, largeFleetPeak + " against " + smallFleetPeak);
         assertTrue(
                 largeFleetPeak < (outageSeconds > 0 ? 0.5 : 0.85) * agentPacingPeak,
-                largeFleetPeak + " against " + agentPacingPeak + " before");
+                largeFleetPeak + " against " + agentPacingPeak + " with agent pacing");
     }
 
     @ParameterizedTest
@@ -68,20 +69,19 @@
         for (int seed = 1; seed <= SEED_COUNT; seed++) {
             Result result = ColdStart.run(
                     plan(nodeCount, outageSeconds, silentOutage, restartAtSeconds), PollPacing.SHARED_SERVICE, seed);
-            // 400 lists alone are 4 s of the service's work, and a first rejection costs a node up to 5 s.
+            // 400 lists alone take the service 4 s, and the first rejection delays a node by up to 5 s.
             assertTrue(result.secondsToFullCoverage() < (nodeCount > 200 ? 15 : 10), seed + ": " + result);
             int starts = restartAtSeconds > 0 ? 2 : 1;
-            // A poll by a node that has a list, without waiting, costs a line; a complete list costs a
-            // thousand.
-            assertTrue(result.linesWritten() < (nodeCount * starts + 1) * 1000L, "no list written in vain: " + result);
+            // A poll without waiting by a node that has a list writes one line; a complete list has a thousand lines.
+            assertTrue(result.linesWritten() < (nodeCount * starts + 1) * 1000L, "unnecessary lists: " + result);
             assertTrue(result.steadyPollsPerSecond() < 75, result.toString());
         }
     }
 
     /**
-     * A service that can write five lists a second and answer twenty other polls: with the former pacing,
-     * abandoned polls kept it busy for good; now all nodes have a list in about the time that it needs to write
-     * them.
+     * The service can write 20 lists of 1,000 endpoints or answer 100 polls without a list per second. With the pacing
+     * for a local agent, abandoned polls keep it overloaded forever. With the pacing for a shared service, all nodes
+     * have a list in about the time that it needs to write them.
      */
     @Test
     void serviceOverloadEndsWithItsCause() {
@@ -92,9 +92,9 @@
             assertEquals(
                     Double.POSITIVE_INFINITY,
                     agentPacing.secondsToFullCoverage(),
-                    "held up for good before: " + agentPacing);
+                    "agent pacing recovered from the overload: " + agentPacing);
             assertTrue(sharedPacing.secondsToFullCoverage() < 40, sharedPacing.toString());
-            assertTrue(sharedPacing.linesWritten() <= 220_000, "written in vain: " + sharedPacing);
+            assertTrue(sharedPacing.linesWritten() <= 220_000, "unnecessary lists: " + sharedPacing);
             assertTrue(
                     agentPacing.steadyPollsPerSecond() > 4 * sharedPacing.steadyPollsPerSecond(),
                     agentPacing + " and " + sharedPacing);
@@ -102,9 +102,9 @@
     }
 
     /**
-     * With poll slots granted by coordinators the peak of polls for complete lists, which are most of the
-     * service's work, does not grow with the fleet, and all nodes have a list as soon; the peak of all polls
-     * grows less than with random spreading, as the long polls add to it.
+     * With poll slots granted by coordinators, the peak of polls for complete lists, which are most of the service's
+     * work, does not grow with the fleet, and all nodes have a list as soon as with random spreading. The peak of all
+     * polls grows less than with random spreading; it still grows, as the long polls add to it.
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "8, 0", "0, 6"})
@@ -128,9 +128,9 @@
         }
         System.out.println(String.format(
                 Locale.ROOT,
-                "away %.0f s, again after %.0f: peak of calls for lists at 20, 200, 400 nodes by turns "
-                        + "%.1f, %.1f, %.1f;"
-                        + " by chance %.1f, %.1f, %.1f",
+                "outage %.0f s, restart after %.0f s: peak of polls for complete lists at 20, 200, 400 nodes: "
+                        + "%.1f, %.1f, %.1f with poll slots;"
+                        + " %.1f, %.1f, %.1f with random spreading",
                 outageSeconds,
                 restartAtSeconds,
                 peaks[0],
@@ -152,8 +152,8 @@
     }
 
     /**
-     * The table of docs/design/fleet-startup.md: {@code mvn -pl simulator -am test -Dtest=ColdStartTest
-     * -Dcoldstart.table=true}.
+     * Prints the table of docs/design/fleet-startup.md. To run it: {@code mvn -pl simulator -am test
+     * -Dtest=ColdStartTest -Dcoldstart.table=true}.
      */
     @Test
     @org.junit.jupiter.api.condition.EnabledIfSystemProperty(named = "coldstart.table", matches = "true")
--- a/simulator/src/test/java/weldhitch/simulator/OverloadRecoveryTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/OverloadRecoveryTest.java
@@ -25,9 +25,9 @@
 import weldhitch.simulator.scenario.ScenarioFile;
 
 /**
- * Simulated clusters after a trigger: does the service recover when the trigger is over, or do the retries of
- * rejected requests sustain the overload (Bronson et al., "Metastable Failures in Distributed Systems", 2021)?
- * Runs are deterministic in their seed, so the result is too.
+ * Tests that a simulated cluster recovers when the trigger of an overload is over, instead of staying overloaded by
+ * the retries of rejected requests (Bronson et al., "Metastable Failures in Distributed Systems", 2021). Runs are
+ * deterministic in their seed, so the result is too.
  */
 class OverloadRecoveryTest {
     private static final Path RESOURCES = Path.of("simulator/src/test/resources/weldhitch/simulator");
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The fraction of the priority weight that was served in each second, by seed. */
+    /** Returns the fraction of the priority weight that was served in each second, by seed. */
     private static List<double[]> goodputBySeed(int seeds, LongFunction<Scenario> scenarioBySeed) {
         return LongStream.range(0, seeds)
                 .parallel()
@@ -60,22 +60,19 @@
         for (int seed = 0; seed < goodputs.size(); seed++) {
             for (int second = fromSecond; second < DURATION_SECONDS; second++) {
                 double goodput = goodputs.get(seed)[second];
-                assertTrue(goodput >= minGoodput, "seed " + seed + " serves " + goodput + " of second " + second);
+                assertTrue(goodput >= minGoodput, "seed " + seed + ": goodput " + goodput + " in second " + second);
             }
         }
     }
 
-    /**
-     * The control: if everything is admitted, as in a tier without admission control, the cluster stays
-     * overloaded.
-     */
+    /** The control: if everything is admitted, as in a tier without admission control, the cluster stays overloaded. */
     @Test
     void withoutAdmissionControlRetriesSustainTheOverload() {
         Scenario full = scenario("full-tier-1");
         long stillOverloaded = goodputBySeed(100, seed -> full).stream()
                 .filter(goodput -> goodput[20] < 0.7)
                 .count();
-        assertTrue(stillOverloaded >= 20, stillOverloaded + " of 100 are still down 10 s after the trigger");
+        assertTrue(stillOverloaded >= 20, stillOverloaded + " of 100 are still overloaded 10 s after the trigger");
     }
 
     @Test
@@ -95,7 +92,7 @@
                 .average()
                 .orElseThrow();
         assertTrue(
-                goodputDuringRelease >= 0.88, "while half of the servers are away, on average " + goodputDuringRelease);
+                goodputDuringRelease >= 0.88, "mean goodput while half the servers are away: " + goodputDuringRelease);
     }
 
     @Test
@@ -109,7 +106,7 @@
                 .toString();
     }
 
-    /** Records all decisions of the first node. */
+    /** Computes a digest over all decisions of the first node. */
     private static final class DigestTap implements BalancerTap {
         private long digest;
 
@@ -126,9 +123,9 @@
     }
 
     /**
-     * Compares every decision of a node in 1,000 runs with digests written by an earlier build; {@code
-     * -DargLine=-Dweldhitch.digests=write} rewrites them, which a change of a rule or of the simulator does and
-     * states.
+     * Compares every decision of a node in 1,000 runs with digests that an earlier build has written. An intended
+     * change of a rule or of the simulator rewrites them with {@code -DargLine=-Dweldhitch.digests=write} and states
+     * that it does.
      */
     @Test
     void decisionsMatchRecordedDigests() throws Exception {
@@ -150,7 +147,7 @@
         List<String> recorded = Files.readAllLines(file, StandardCharsets.UTF_8);
         assertEquals(DIGEST_COUNT, recorded.size());
         for (int i = 0; i < DIGEST_COUNT; i++) {
-            assertEquals(recorded.get(i), actual.get(i), "seed, decisions");
+            assertEquals(recorded.get(i), actual.get(i), "seed and digest of its decisions");
         }
     }
 }
--- a/simulator/src/test/java/weldhitch/simulator/SimulatorTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/SimulatorTest.java
@@ -52,10 +52,7 @@
                 .orElseThrow();
     }
 
-    /**
-     * Each scenario runs, its counts add up, and its capture replays to the same decisions without a violated
-     * invariant.
-     */
+    /** Each scenario runs, its counts add up, and its capture replays to the same decisions without violations. */
     @TestFactory
     Stream<DynamicTest> shippedScenariosRunAndTheirCapturesReplay() throws IOException {
         try (Stream<Path> files = Files.list(SCENARIOS)) {
@@ -116,9 +113,7 @@
         assertTrue(minGoodput(grey, 45, 59) > 0.98, "after the grey failure: " + minGoodput(grey, 45, 59));
     }
 
-    /**
-     * Seven times the enrolments exceed the capacity: most are served, and all of them once the surge is over.
-     */
+    /** Seven times the enrolments exceed the capacity: most are served, and goodput recovers once the spike is over. */
     @Test
     void trafficSpikeIsMostlyServedAndGoodputRecoversAfterIt() throws Exception {
         RunStatistics statistics = run(shippedScenario("campaign"), 4);
@@ -139,7 +134,8 @@
         RunStatistics statistics = run(large, 1);
         assertTrue(statistics.total.offered > 20_000, statistics.total.offered + " offered");
         assertTrue(statistics.total.goodput() > 0.98, "goodput " + statistics.total.goodput());
-        assertTrue(statistics.attemptsByServer.size() > 500, statistics.attemptsByServer.size() + " servers sent to");
+        assertTrue(
+                statistics.attemptsByServer.size() > 500, statistics.attemptsByServer.size() + " servers got attempts");
     }
 
     @Test
@@ -203,9 +199,9 @@
         assertRejected("kind = \"slow\"", "kind = \"slwo\"", "$.event[0].kind");
         assertRejected("load = 0.5", "load = 0.5\nper-second = 3", "$.callers");
         assertRejected("aim = \"600ms\"", "aim = 600", "$.class[0].aim", "$.class[1].aim");
-        assertRejected("high = \"143ms\"", "high = \"1ms\"", "high at least low");
-        assertRejected("name = \"book-visit\"", "name = \"view-slots\"", "two have one name");
-        assertRejected("length = \"60s\"", "length = ", "is no TOML");
+        assertRejected("high = \"143ms\"", "high = \"1ms\"", "expected high to be at least low");
+        assertRejected("name = \"book-visit\"", "name = \"view-slots\"", "two have the same name");
+        assertRejected("length = \"60s\"", "length = ", "is not valid TOML");
         assertRejected("second-copies", "second-coppies", "second-coppies");
     }
 }
--- a/simulator/src/test/java/weldhitch/simulator/WhatIfAnalysisTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/WhatIfAnalysisTest.java
@@ -29,14 +29,14 @@
 import weldhitch.simulator.whatif.WhatIfAnalysis;
 
 /**
- * The simulator is the ground truth that the model must predict: the same cluster and seed, run with the other
- * rules.
+ * Compares the predictions of the model with the ground truth: the simulator, run for the same cluster and seed with
+ * the other rules.
  */
 class WhatIfAnalysisTest {
     private static final int SEED_COUNT = 4;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** Keeps the entries of a capture of the first node in memory. */
+    /** Keeps a capture of the first node in memory. */
     private static final class InMemoryTap implements BalancerTap {
         final List<CaptureEntry> entries = new ArrayList<>();
         private BalancerSettings settings;
@@ -89,7 +89,7 @@
                 List.of(new RouteTable.Route("r", 0, new RoutePattern("view-slots", null, List.of(), true), policy)));
     }
 
-    /** One attempt with a timeout of 250 ms, less than clients allow it. */
+    /** Returns routes that allow one attempt with a timeout of 250 ms, which is less than clients allow. */
     private static RouteTable strictTimeout() {
         return routesForLookUps(
                 new RoutePolicy(250_000_000L, 0, 1, null, RoutePolicy.RETRYABLE, null, null, null, Map.of()));
@@ -183,9 +183,7 @@
         }
     }
 
-    /**
-     * Shorter timeouts and immediate client retries: the overload sustains itself, and the model predicts it.
-     */
+    /** With shorter timeouts and immediate client retries, the overload sustains itself, and the model predicts it. */
     @Test
     void modelPredictsRetryAmplifiedOverload() throws Exception {
         Scenario scenario = shippedScenario("overload", 45);
@@ -195,7 +193,7 @@
         WhatIfAnalysis.Result predicted = analysis.simulate(SEED_COUNT, 0.95);
         WhatIfAnalysis.Result actual = analyze(capture(scenario, 3, strictTimeout()), strictTimeout());
         double inTimeChange = measured(actual, "in time") - measured(predicted, "in time");
-        assertTrue(inTimeChange < -0.25, "the truth is no fall: " + inTimeChange);
+        assertTrue(inTimeChange < -0.25, "fraction in time does not fall in the simulation: " + inTimeChange);
         assertNear(
                 "in time",
                 inTimeChange,
@@ -228,9 +226,9 @@
                 snapshotRecord.withDropped(
                         new DroppedEvents(snapshotRecord.timestamp() - 1, snapshotRecord.timestamp(), 7)));
         assertEquals(2, analyze(entries, strictTimeout()).segmentCount());
-        entries.set(snapshotIndex - 1, new CaptureEntry.Corruption("f", 1, 1, "torn"));
+        entries.set(snapshotIndex - 1, new CaptureEntry.Corruption("f", 1, 1, "truncated"));
         assertEquals(2, analyze(entries, strictTimeout()).segmentCount());
-        // Damage without a snapshot after it ends a segment, and the events that follow are ignored.
+        // Corruption without a snapshot after it ends a segment, and the events that follow are ignored.
         List<CaptureEntry> truncated = new ArrayList<>(entries.subList(0, snapshotIndex));
         assertEquals(1, analyze(truncated, strictTimeout()).segmentCount());
     }
--- a/simulator/src/test/java/weldhitch/simulator/ZoneSpilloverTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/ZoneSpilloverTest.java
@@ -24,22 +24,20 @@
 import weldhitch.simulator.scenario.ScenarioFile;
 
 /**
- * Locality rules in a cluster that runs the complete balancer: quotas granted by coordinators, against the
- * local view of each node, against the cross-zone price that nodes use without rules. Three zones in two
- * regions; faults in one.
+ * Tests locality rules in a cluster that runs the complete balancer. Compares quotas granted by coordinators with
+ * the local view of each node, and with the cross-zone cost that nodes use without rules. The cluster has three
+ * zones in two regions, and a fault occurs in one zone.
  */
 class ZoneSpilloverTest {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final double TARGET_UTILIZATION = 0.85;
-    /** Capacity of a server: one core, and 20 ms of work a request. */
+    /** Capacity of a server in requests per second: it has one core, and a request takes 20 ms of work. */
     private static final double CAPACITY_PER_SERVER = 50;
 
     @TempDir
     Path directory;
 
-    /**
-     * How zones are chosen: by cross-zone price, by the local view, by quotas, or by quotas with message loss.
-     */
+    /** How zones are chosen: by cross-zone cost, by the local view, by quotas, or by quotas with message loss. */
     private enum PlacementMode {
         CROSS_ZONE_COST,
         UNCOORDINATED,
@@ -54,7 +52,7 @@
         public String toString() {
             return String.format(
                     Locale.ROOT,
-                    "worth %.3f, crossings %.2f, peaks %s, step changes %d",
+                    "goodput %.3f, cross-zone %.2f, peaks %s, level transitions %d",
                     goodput,
                     crossZoneFraction,
                     peakUtilization,
@@ -67,7 +65,7 @@
         Files.writeString(file, """
             version = 1
             name = "Spillover"
-            about = "Three zones; something befalls one of them."
+            about = "Three zones with a fault in one of them."
             length = "%ds"
 
             [site]
@@ -177,16 +175,16 @@
     }
 
     private static final Map<String, String> FAULTS = Map.of(
-            "half of a vanishes",
+            "half of zone a goes silent",
             "kind = \"silent\"\nshare = 0.5\nfor = \"15s\"",
-            "all of a vanishes",
+            "all of zone a goes silent",
             "kind = \"silent\"\nshare = 1.0\nfor = \"15s\"",
-            "a is four times slower",
+            "zone a is four times slower",
             "kind = \"slow\"\nshare = 1.0\nfactor = 4\nfor = \"15s\"",
-            "a is cut off",
+            "zone a is partitioned",
             "kind = \"cut-zone\"\nfor = \"8s\"");
 
-    /** Run manually: {@code -Dspill.nodes=200 -Dspill.servers=1000}. */
+    /** Prints the results of each placement mode. To run it: {@code -Dspill.nodes=200 -Dspill.servers=1000}. */
     @Test
     @EnabledIfSystemProperty(named = "spill.nodes", matches = "[0-9]+")
     void comparePlacementModes() throws Exception {
@@ -203,14 +201,14 @@
 
     @Test
     void quotaGrantsServeAsMuchAndKeepEveryZoneUnderItsThreshold() throws Exception {
-        Scenario scenario = scenario(FAULTS.get("half of a vanishes"), 0.5, 35);
+        Scenario scenario = scenario(FAULTS.get("half of zone a goes silent"), 0.5, 35);
         RunSummary crossZoneCost = run(scenario, 1, PlacementMode.CROSS_ZONE_COST);
         RunSummary uncoordinated = run(scenario, 1, PlacementMode.UNCOORDINATED);
         RunSummary quotaGrants = run(scenario, 1, PlacementMode.QUOTA_GRANTS);
         System.out.println(
-                "price of crossing: " + crossZoneCost + "\nalone: " + uncoordinated + "\nleave: " + quotaGrants);
+                "cross-zone cost: " + crossZoneCost + "\nlocal view: " + uncoordinated + "\nquotas: " + quotaGrants);
         assertTrue(quotaGrants.goodput >= uncoordinated.goodput, quotaGrants + " against " + uncoordinated);
-        // Ten servers: 500 requests a second, of which a tenth is random variation.
+        // Ten servers: 500 requests per second, of which a tenth is random variation.
         assertTrue(
                 quotaGrants.peakUtilization.get("b") <= TARGET_UTILIZATION + 0.1
                         && quotaGrants.peakUtilization.get("c") <= TARGET_UTILIZATION + 0.1,
