--- a/capture/src/main/java/weldhitch/capture/format/BlockFormat.java
+++ b/capture/src/main/java/weldhitch/capture/format/BlockFormat.java
@@ -27,16 +27,15 @@
     private BlockFormat() {}
 
     /**
-     /**
-      * The header before a block's compressed bytes. Immutable.
-      *
-      * @param storedBytes compressed length in bytes
-      * @param contentBytes uncompressed length in bytes
-      * @param checksum CRC-32C of the compressed bytes
-      * @param flags bit set, see {@link #FLAG_SELF_CONTAINED}
-      * @param blockNumber number of the block in its segment, from 0
-      * @param baseTime time that the first record's time is relative to, in nanoseconds
-      */
+     * The header before a block's compressed bytes. Immutable.
+     *
+     * @param storedBytes compressed length in bytes
+     * @param contentBytes uncompressed length in bytes
+     * @param checksum CRC-32C of the compressed bytes
+     * @param flags bit set, see {@link #FLAG_SELF_CONTAINED}
+     * @param blockNumber number of the block in its segment, from 0
+     * @param baseTime time that the first record's time is relative to, in nanoseconds
+     */
     record Header(int storedBytes, int contentBytes, int checksum, int flags, long blockNumber, long baseTime) {
         boolean isSelfContained() {
             return (flags & FLAG_SELF_CONTAINED) != 0;
--- a/capture/src/main/java/weldhitch/capture/format/CaptureFiles.java
+++ b/capture/src/main/java/weldhitch/capture/format/CaptureFiles.java
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Reads the given files in order; a directory stands for its segments, the oldest first.
+     * Reads the given files in order. For a directory, reads its segments, the oldest first.
      *
      * @throws CaptureFormatException if a file is not a capture of this format
      */
--- a/capture/src/main/java/weldhitch/capture/format/DocumentNames.java
+++ b/capture/src/main/java/weldhitch/capture/format/DocumentNames.java
@@ -33,9 +33,10 @@
 import weldhitch.decision.snapshot.BalancerSnapshot.TokenBucketSnapshot;
 
 /**
- * The names of the balancer's settings, snapshots and routes in the documents of a capture. Captures of other
- * versions contain them, so they never change, even where the component has another name in the code. They are
- * Jackson mix-ins, so that the types themselves do not depend on Jackson. Stateless and thread-safe.
+ * The names under which the components of settings, snapshots and routes are written to the documents of a
+ * capture. Captures of other versions contain these names, so they never change, even where a component has another
+ * name in the code. They are given by Jackson mix-ins, so that the types themselves do not depend on Jackson.
+ * Stateless and thread-safe.
  */
 final class DocumentNames {
     private DocumentNames() {}
--- a/capture/src/main/java/weldhitch/capture/format/Manifest.java
+++ b/capture/src/main/java/weldhitch/capture/format/Manifest.java
@@ -27,7 +27,7 @@
     /**
      * Writes and syncs the manifest, replacing the previous one.
      *
-     * @param segments the oldest first, the last one in use
+     * @param segments the oldest first, the current one last
      */
     public static void write(Path directory, List<SegmentFile> segments) throws IOException {
         ObjectNode manifest = JsonNodeFactory.instance.objectNode().put("format", BlockFormat.FORMAT_VERSION);
--- a/capture/src/main/java/weldhitch/capture/format/SegmentReader.java
+++ b/capture/src/main/java/weldhitch/capture/format/SegmentReader.java
@@ -138,7 +138,7 @@
         ByteBuffer bytes =
                 ByteBuffer.allocate((int) Math.min(maxBytes, size - offset)).order(ByteOrder.LITTLE_ENDIAN);
         while (bytes.hasRemaining() && channel.read(bytes, offset + bytes.position()) >= 0) {
-            // Repeats until the buffer is full or the end is reached, as the file may have been truncated meanwhile.
+            // Repeats until the buffer is full, or the end is reached because the file has been truncated meanwhile.
         }
         return bytes.flip();
     }
--- a/capture/src/main/java/weldhitch/capture/format/SegmentWriter.java
+++ b/capture/src/main/java/weldhitch/capture/format/SegmentWriter.java
@@ -108,7 +108,7 @@
             compressedBuffer = ByteBuffer.allocateDirect(maxCompressedBytes);
         }
         compressedBuffer.clear();
-        // Uses direct buffers, as compressing an array would block the garbage collector and thereby the event loop.
+        // Uses direct buffers: compressing an array would block the garbage collector and thereby the event loop.
         int compressedBytes;
         try {
             compressedBytes = (int) Zstd.compressDirectByteBuffer(
--- a/capture/src/main/java/weldhitch/capture/live/CaptureRecorder.java
+++ b/capture/src/main/java/weldhitch/capture/live/CaptureRecorder.java
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Drops the event, as the balancer failed on it; the next one needs a snapshot. To be called instead of
+     * Drops the event because the balancer failed on it; the next one needs a snapshot. To be called instead of
      * {@link #afterEvent}.
      */
     public void onEventFailed(long timestamp) {
--- a/capture/src/main/java/weldhitch/capture/policy/TapPolicy.java
+++ b/capture/src/main/java/weldhitch/capture/policy/TapPolicy.java
@@ -56,7 +56,10 @@
         return Decision.ENQUEUE;
     }
 
-    /** Records that the current event is dropped because the balancer failed on it, so that its state is unknown. */
+    /**
+     * Records that an event that was to be enqueued is dropped: the balancer failed on it, and the balancer's state is
+     * unknown.
+     */
     public void onEventFailed(long now) {
         drop(now);
     }
--- a/capture/src/test/java/weldhitch/capture/format/SegmentFormatTest.java
+++ b/capture/src/test/java/weldhitch/capture/format/SegmentFormatTest.java
@@ -320,7 +320,7 @@
     }
 
     /**
-     * Flips a bit in every byte of a middle block. The block is reported as corrupt, and all others are read, as the
+     * Flips a bit in every byte of a middle block. The block is reported as corrupt. All others are read, because the
      * next one starts with a snapshot.
      */
     @Test
@@ -443,14 +443,17 @@
 
     /**
      * Arbitrary bytes as a block's records yield entries or a {@link CaptureFormatException}, never another
-     * exception. No memory is allocated by the lengths that they claim.
+     * exception. The decoder does not allocate memory according to the lengths that they claim.
      */
     @Property(tries = 3000, seed = "20261201")
     void arbitraryBytesDecodeOrFailWithFormatException(@ForAll @Size(max = 400) byte[] bytes) {
         decodeOrFailCleanly(bytes);
     }
 
-    /** Tests the same for valid records with some bytes changed, which reaches deeper into the decoder. */
+    /**
+     * Valid records with some bytes changed decode, or fail with a {@link CaptureFormatException}. They reach deeper
+     * into the decoder than arbitrary bytes do.
+     */
     @Property(tries = 1500, seed = "20261201")
     void mutatedRecordsDecodeOrFailWithFormatException(
             @ForAll @IntRange(max = 20) int seed,
@@ -481,7 +484,10 @@
         }
     }
 
-    /** A header that claims more content than its compressed bytes can hold is invalid, so that none is allocated. */
+    /**
+     * A header that claims more content than its compressed bytes can contain is invalid, so that no memory is
+     * allocated for the content.
+     */
     @Test
     void headerWithImplausibleLengthsIsInvalid() {
         assertTrue(new BlockFormat.Header(100, 100, 0, 0, 0, 0).isPlausible());
--- a/simulator/src/main/java/weldhitch/simulator/cluster/RunStatistics.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/RunStatistics.java
@@ -31,7 +31,7 @@
         public long clientAttempts;
         /** Attempts that nodes sent to servers for these requests. */
         public long nodeAttempts;
-        /** Priority weight of all requests. */
+        /** Total priority weight of the requests. */
         public double weightOffered;
         /** Priority weight of the answered requests; late ones count with their late weight. */
         public double weightServed;
--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimCluster.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimCluster.java
@@ -348,8 +348,8 @@
     }
 
     /**
-     * Replaces the servers one after another: each is told to drain and is removed {@link #DRAIN_GRACE_PERIOD} later;
-     * its replacement starts the fault's duration after the drain began.
+     * Replaces the servers one after another: each starts to drain and is removed {@link #DRAIN_GRACE_PERIOD} later.
+     * The time from the start of the drain to the start of the replacement is the fault's duration.
      */
     private void rollServers(Fault fault) {
         List<SimServer> affected = selectServers(fault);
@@ -435,7 +435,7 @@
         }
         double requestsPerNano = Math.max(1e-9, totalWeight) * requestsPerSecond / NANOS_PER_SECOND;
         long gap = (long) (-Math.log(1 - arrivalRandom.nextDouble()) / requestsPerNano);
-        // At a load near 0 the gap is very long: check again after a second, as the load may have risen.
+        // At a load near 0 the gap is very long: check again after a second, because the load may have risen.
         long delay = Math.min(gap, NANOS_PER_SECOND);
         scheduler.schedule(delay, () -> {
             if (scheduler.now() < endTime) {
--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimServer.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimServer.java
@@ -41,7 +41,7 @@
     /** Whether its machine has vanished, so that it never responds again. */
     boolean silent;
 
-    /** One request, queued or running; ordered by the work at which it completes. */
+    /** One request, queued or running; ordered by the attained service at which it completes. */
     private final class Job implements Comparable<Job> {
         final double work;
         final long externalWaitNanos;
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/ColdStart.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/ColdStart.java
@@ -148,7 +148,7 @@
         }
     }
 
-    /** The polls of one node, as its discovery client makes them. */
+    /** One node, which polls the service as the discovery client of a real node does. */
     private final class PollingNode {
         final DiscoveryPolling polling;
         private final String name = "n" + nextNodeNumber++;
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/DiscoveryService.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/DiscoveryService.java
@@ -24,7 +24,10 @@
         void onResult(PollResult result);
     }
 
-    /** How it fails while it is down: it refuses connections, or new ones time out and open ones stay silent. */
+    /**
+     * How the service fails while it is down: connections are refused, or new ones time out and open ones stay
+     * silent.
+     */
     enum OutageMode {
         REFUSES_CONNECTIONS,
         SILENT
@@ -59,9 +62,9 @@
     private boolean available = true;
     private boolean busy;
     private long generation;
-    /** Polls by tenth of a second since the start. */
+    /** Number of polls in each tenth of a second since the start. */
     final BucketedCounter polls = new BucketedCounter();
-    /** Lines written by tenth of a second since the start. */
+    /** Number of lines written in each tenth of a second since the start. */
     final BucketedCounter linesWritten = new BucketedCounter();
 
     int peakQueueLength;
--- a/simulator/src/main/java/weldhitch/simulator/scenario/Distribution.java
+++ b/simulator/src/main/java/weldhitch/simulator/scenario/Distribution.java
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Exponential distribution, as that of the gaps of a Poisson process. */
+    /** Exponential distribution, which the gaps between the events of a Poisson process have. */
     record Exponential(double mean) implements Distribution {
         @Override
         public double sample(UniformRandomProvider random) {
--- a/simulator/src/main/java/weldhitch/simulator/whatif/ClientRetryModel.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/ClientRetryModel.java
@@ -17,8 +17,8 @@
 /**
  * A model of how clients retry, estimated from a segment of a capture.
  *
- * <p>A capture does not tell which request a retry belongs to, and a retry may go to another node. As the front end
- * distributes requests evenly, as many retries come to this node from elsewhere as go from it to other nodes.
+ * <p>A capture does not tell which request a retry belongs to, and a retry may go to another node. Because the
+ * front end distributes requests evenly, as many retries come to this node from elsewhere as go from it to other nodes.
  *
  * <p>In the rerun with the captured rules, the captured retries arrive. With other rules, fewer of them arrive, in
  * proportion, if fewer requests of that second were unserved. If more were unserved, more retries arrive: each
@@ -34,7 +34,7 @@
     private static final int MIN_SAMPLES = 30;
     /** Upper bound of the assumed backoff, in nanoseconds. */
     private static final double MAX_RETRY_DELAY_NANOS = 200e6;
-    /** Maximum number of retries of one request, as unlimited ones might never end; real clients make up to three. */
+    /** Maximum number of retries of one request: unlimited ones would never end. Real clients make up to three. */
     private static final int MAX_RETRIES = 3;
 
     /** Number of unserved requests and of retries, of one class or of all. */
--- a/simulator/src/main/java/weldhitch/simulator/whatif/FittedServer.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/FittedServer.java
@@ -16,8 +16,8 @@
  */
 final class FittedServer implements SimEndpoint {
     /**
-     * Time constant, in nanoseconds, of the mean number of this node's attempts in flight, which is also used as that
-     * of each other node.
+     * Time constant, in nanoseconds, of the moving average of this node's attempts in flight. Each other node is
+     * assumed to have as many attempts in flight as this average.
      */
     private static final double AVERAGING_NANOS = CapturedAttempts.WINDOW_NANOS;
 
@@ -35,7 +35,7 @@
     private long attainedServiceAt;
     private int completionTimerId;
 
-    /** One running attempt; ordered by the work at which it completes. */
+    /** One running attempt; ordered by the attained service at which it completes. */
     private record Job(double completesAtService, AttemptCallback callback) implements Comparable<Job> {
         @Override
         public int compareTo(Job other) {
--- a/simulator/src/main/java/weldhitch/simulator/whatif/ServerModel.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/ServerModel.java
@@ -20,13 +20,17 @@
  * are least-squares estimates over all servers. {@code slowdown} is that of the server in that second, shrunk
  * towards its overall value with the weight of five calls.
  *
- * <p>Failures are fractions of the calls in that second. The server rejects with "full" from the concurrency on
- * that as many calls of that second reached as were rejected. Not modified once built.
+ * <p>Failures are fractions of the calls in that second. The server rejects with "full" at a concurrency of
+ * its capacity or more. The capacity is chosen such that as many calls of that second reached it as were rejected.
+ * Not modified once built.
  */
 final class ServerModel {
     /** Weight, in calls, of a server's overall slowdown against that of one second. */
     private static final double PRIOR_CALLS = 5;
-    /** Number of windows after the last call for which the server's last condition holds; then the overall one does. */
+    /**
+     * Number of windows after the last call in which the server keeps its last condition; after them, its overall
+     * slowdown is used.
+     */
     private static final long CONDITION_VALID_WINDOWS = 5;
     /**
      * A call counts as lost if it exceeds its expected time by this factor, in a second in which no call was
--- a/simulator/src/main/java/weldhitch/simulator/whatif/UnservedRequests.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/UnservedRequests.java
@@ -17,8 +17,11 @@
                 .computeIfAbsent(String.valueOf(requestClass), c -> new ArrayList<>())
                 .add(at);
     }
-/** Counts the requests of the second up to this time; those whose retries arrive now are among them. */
-    /** Counts those of the second up to this time; the requests whose retries arrive now are among them. */
+
+    /**
+     * Counts the requests that ended unserved in the second up to this time. The requests whose retries arrive now
+     * are among them.
+     */
     int countInLastSecond(String requestClass, long at) {
         List<Long> times = timesByClass.getOrDefault(String.valueOf(requestClass), List.of());
         return countUpTo(times, at) - countUpTo(times, at - CapturedAttempts.WINDOW_NANOS);
--- a/simulator/src/main/java/weldhitch/simulator/whatif/WhatIfAnalysis.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/WhatIfAnalysis.java
@@ -127,7 +127,7 @@
             new ServerModel(segment)
                     .fitByClass.forEach((className, fit) -> modelDescriptions.add(String.format(
                             java.util.Locale.ROOT,
-                            "%s: %.1f ms plus %.1f ms for each call in flight at the server, spread %.2f, %d calls",
+                            "%s: %.1f ms and %.1f ms for each call at its server, spread %.2f, %d calls",
                             className,
                             fit.fixedNanos() / 1e6,
                             fit.nanosPerCall() / 1e6,
--- a/simulator/src/test/java/weldhitch/simulator/ColdStartTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/ColdStartTest.java
@@ -104,7 +104,7 @@
     /**
      * With poll slots granted by coordinators, the peak of polls for complete lists, which are most of the service's
      * work, does not grow with the fleet, and all nodes have a list as soon as with random spreading. The peak of all
-     * polls grows less than with random spreading; it still grows, as the long polls add to it.
+     * polls grows less than with random spreading; it still grows because the long polls add to it.
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "8, 0", "0, 6"})
--- a/simulator/src/test/java/weldhitch/simulator/SimulatorTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/SimulatorTest.java
@@ -52,7 +52,10 @@
                 .orElseThrow();
     }
 
-    /** Each scenario runs, its counts add up, and its capture replays to the same decisions without violations. */
+    /**
+     * Each scenario runs, its counts add up, and its capture replays to the same decisions without violating an
+     * invariant.
+     */
     @TestFactory
     Stream<DynamicTest> shippedScenariosRunAndTheirCapturesReplay() throws IOException {
         try (Stream<Path> files = Files.list(SCENARIOS)) {
--- a/simulator/src/test/java/weldhitch/simulator/WhatIfAnalysisTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/WhatIfAnalysisTest.java
@@ -193,7 +193,7 @@
         WhatIfAnalysis.Result predicted = analysis.simulate(SEED_COUNT, 0.95);
         WhatIfAnalysis.Result actual = analyze(capture(scenario, 3, strictTimeout()), strictTimeout());
         double inTimeChange = measured(actual, "in time") - measured(predicted, "in time");
-        assertTrue(inTimeChange < -0.25, "fraction in time does not fall in the simulation: " + inTimeChange);
+        assertTrue(inTimeChange < -0.25, "fraction in time must fall by over 0.25 in the simulation: " + inTimeChange);
         assertNear(
                 "in time",
                 inTimeChange,
