--- a/consensus/src/main/java/weldhitch/consensus/Acceptor.java
+++ b/consensus/src/main/java/weldhitch/consensus/Acceptor.java
@@ -40,7 +40,7 @@
         return state.committed();
     }
 
-    /** Returns whether a promise or an accepted value of the current generation is not yet committed. */
+    /** Returns whether the current generation has a promise or an accepted value and is not yet committed. */
     public boolean hasOpenProposal() {
         return state.generation() > state.committed().generation() && state.promised() != null;
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Returns a proposer that completes the open generation in the name of this acceptor. */
+    /** Returns a proposer that completes the open generation under the name of this acceptor. */
     public Proposer recoveryProposer(List<String> acceptors, long round) {
         return new Proposer(name, acceptors, state.committed(), Command.noOp(name), round);
     }
--- a/consensus/src/main/java/weldhitch/consensus/Proposer.java
+++ b/consensus/src/main/java/weldhitch/consensus/Proposer.java
@@ -13,9 +13,9 @@
 
 /**
  * A Paxos proposer of one command, in the generation after the one that its operator has seen. Its outcome is known
- * when that generation is committed, with this command or with another one; it stays pending without a majority of the
- * acceptors. If another proposer has started a command, that command is completed instead of this one, so that a
- * proposal whose operator crashed does not stay incomplete.
+ * when that generation is committed, with this command or with another one. The outcome stays pending until a majority
+ * of the acceptors has accepted a command. If another proposer has started a command, that command is completed instead
+ * of this one, so that a proposal whose operator crashed does not stay incomplete.
  *
  * <p>Not thread-safe; its owner sends the returned messages to all acceptors.
  */
--- a/consensus/src/main/java/weldhitch/consensus/Reply.java
+++ b/consensus/src/main/java/weldhitch/consensus/Reply.java
@@ -14,7 +14,7 @@
     /** A higher ballot has already been promised. */
     record Preempted(String acceptor, Ballot ballot, Ballot promised) implements Reply {}
 
-    /** The generation, or a later one, is committed; {@code state} is the last one that this acceptor knows. */
+    /** The generation or a later one is committed; {@code state} is the last committed state known to this acceptor. */
     record AlreadyCommitted(String acceptor, CommittedState state) implements Reply {}
 
     /** This acceptor does not vote, because it may have lost a promise. */
--- a/consensus/src/main/java/weldhitch/consensus/durable/ConsensusJson.java
+++ b/consensus/src/main/java/weldhitch/consensus/durable/ConsensusJson.java
@@ -11,8 +11,8 @@
 import weldhitch.consensus.Reply;
 
 /**
- * The JSON names of the consensus types, in the state log and in messages between processes. Other versions have
- * written them, so they are fixed even where the component of the record has another name. The consensus types
+ * The JSON names of the consensus types, in the state log and in messages between processes. The names are fixed, even
+ * where the record component has another name, because other versions read and write them. The consensus types
  * themselves do not depend on Jackson. Stateless and thread-safe.
  */
 public final class ConsensusJson {
--- a/consensus/src/main/java/weldhitch/rollout/RestartBackoff.java
+++ b/consensus/src/main/java/weldhitch/rollout/RestartBackoff.java
@@ -13,7 +13,7 @@
     /** The result of {@link #onExited} when the instance is not to be restarted. */
     public static final long CRASH_LOOP = -1;
 
-    /** Number of doublings after which the delay is at its maximum in any case, and a shift could overflow. */
+    /** Number of doublings beyond which the delay is always the maximum, because a larger shift could overflow. */
     private static final int MAX_DOUBLINGS = 40;
 
     private final long initialDelay;
--- a/consensus/src/main/java/weldhitch/rollout/Rollout.java
+++ b/consensus/src/main/java/weldhitch/rollout/Rollout.java
@@ -54,7 +54,7 @@
     }
 
     private void planWaves(List<Instance> site, Set<String> targets, double maxUnavailableFraction) {
-        // An instance that is already unavailable and not a target reduces the wave size of the whole rollout.
+        // Instances of the site that are already unavailable and are not targets reduce the size of all its waves.
         long alreadyUnavailable = site.stream()
                 .filter(instance -> !instance.ready() && !targets.contains(instance.name()))
                 .count();
--- a/consensus/src/main/java/weldhitch/rollout/package-info.java
+++ b/consensus/src/main/java/weldhitch/rollout/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions over many instances: selection, minimum capacity, rolling updates and restart backoff. */
+/** Decisions about groups of instances: selection, minimum capacity, rolling updates and restart backoff. */
 package weldhitch.rollout;
--- a/consensus/src/main/java/weldhitch/statelog/StateLog.java
+++ b/consensus/src/main/java/weldhitch/statelog/StateLog.java
@@ -111,8 +111,8 @@
         }
         truncatedBytes = size - endOffset;
         if (suspect && !Files.exists(suspectMarker())) {
-            // The marker is created before the bytes are truncated: the next open must not take the file for
-            // intact.
+            // Created before the bytes are truncated; after a crash in between, the next open would otherwise treat the
+            // log as intact.
             openOwnerOnly(suspectMarker(), StandardOpenOption.CREATE).close();
             syncDirectory();
         }
@@ -220,8 +220,8 @@
             }
             previous.close();
         } catch (IOException e) {
-            // The file in use is complete, whether compacted or not; the compaction of a long one is retried at the
-            // next write.
+            // The file in use is complete, whether compacted or not. A compaction that failed is retried at the next
+            // write.
         }
     }
 
--- a/consensus/src/test/java/weldhitch/consensus/ConcurrentProposersTest.java
+++ b/consensus/src/test/java/weldhitch/consensus/ConcurrentProposersTest.java
@@ -203,7 +203,7 @@
                     assertTrue(
                             conflict.state().generation() > 1
                                     || conflict.state().equals(first),
-                            "seed " + seed);
+                            "the conflict names a state that was not committed, seed " + seed);
                     conflictCount++;
                 }
             }
--- a/consensus/src/test/java/weldhitch/rollout/RolloutDecisionsTest.java
+++ b/consensus/src/test/java/weldhitch/rollout/RolloutDecisionsTest.java
@@ -86,7 +86,7 @@
                 instance("e", "y", 1, true));
         CapacityGuard guard = new CapacityGuard(0.5);
         assertEquals(
-                List.of(), guard.findShortages(instances, Set.of("a", "d")), "unavailable instances are no loss");
+                List.of(), guard.findShortages(instances, Set.of("a", "d")), "an unavailable instance has no capacity");
         assertEquals(2, guard.findShortages(instances, Set.of("c")).size(), "expected a shortage of site and tier");
     }
 
@@ -128,7 +128,7 @@
                         .count();
                 assertTrue(
                         wave.size() == 1 || wave.size() + otherUnavailable <= maxUnavailableFraction * siteSize + 1e-6,
-                        "seed " + seed);
+                        "the wave exceeds the maximum unavailable fraction, seed " + seed);
                 assertEquals(List.of(), rollout.nextWave(), "a wave starts before the previous one is ready");
                 for (String name : wave) {
                     if (mayFail && random.nextInt(5) == 0) {
@@ -140,11 +140,11 @@
                         break;
                     }
                     rollout.markReady(name);
-                    assertTrue(updated.add(name), "updated twice");
+                    assertTrue(updated.add(name), "an instance is updated twice");
                 }
             }
             assertEquals(List.of(), rollout.nextWave());
-            assertTrue(rollout.state() == State.FAILED || updated.equals(targets), "seed " + seed);
+            assertTrue(rollout.state() == State.FAILED || updated.equals(targets), "targets not updated, seed " + seed);
         }
     }
 
@@ -175,14 +175,14 @@
         now += 60 * SECOND;
         assertEquals(SECOND, backoff.onExited(now));
         backoff.onStarted(now);
-        assertEquals(-1, backoff.onExited(now + SECOND), "seven exits in ten minutes");
+        assertEquals(-1, backoff.onExited(now + SECOND), "expected a crash loop after seven exits in ten minutes");
         backoff.reset();
         backoff.onStarted(now);
         assertEquals(SECOND, backoff.onExited(now + SECOND));
     }
 
     @Test
-    void exitsFarApartAreNoCrashLoop() {
+    void exitsFarApartAreNotACrashLoop() {
         RestartBackoff backoff = new RestartBackoff(SECOND, 8 * SECOND, 60 * SECOND, 3, 100 * SECOND);
         for (int i = 0; i < 50; i++) {
             long now = i * 80 * SECOND;
--- a/decision/src/main/java/weldhitch/decision/balancing/AdaptiveConcurrencyLimit.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/AdaptiveConcurrencyLimit.java
@@ -97,7 +97,7 @@
 
     /**
      * Ends slow start after an endpoint rejected a request as full. The limit is not lowered, because a single full
-     * endpoint may be chance; in that case the next endpoint has capacity.
+     * endpoint does not mean that all are full; the next endpoint may have capacity.
      */
     void onEndpointFull() {
         inSlowStart = false;
--- a/decision/src/main/java/weldhitch/decision/balancing/Endpoint.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/Endpoint.java
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Adds the round trip of a successful attempt to the window, clears the failure counts, lowers the error rate. */
+    /** Adds a successful attempt's round trip to the window, clears the failure counts and lowers the error rate. */
     void recordLatency(double roundTrip, long now) {
         beforeChange();
         latencySum += roundTrip - (sampleCount == LATENCY_WINDOW ? latencies[nextSample] : 0);
--- a/decision/src/main/java/weldhitch/decision/balancing/EndpointUpdates.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/EndpointUpdates.java
@@ -13,7 +13,7 @@
 final class EndpointUpdates {
     /** Number of rejections in a row after which the backoff no longer grows. */
     private static final int MAX_COUNTED_REJECTIONS = 6;
-    /** Base of the backoff after a rejection in nanoseconds, doubled with each rejection. */
+    /** Base of the backoff after a rejection, in nanoseconds; it doubles with each rejection. */
     private static final double BASE_BACKOFF = 1e9;
     /** Longest backoff, as a fraction of the longest poll interval. */
     private static final double MAX_BACKOFF_FRACTION = 0.8;
--- a/decision/src/main/java/weldhitch/decision/balancing/IncrementalSnapshot.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/IncrementalSnapshot.java
@@ -13,7 +13,7 @@
  * {@link #snapshot}.
  */
 public final class IncrementalSnapshot {
-    /** Assembles the snapshot from the saved endpoints and the rest of the state, which it already holds. */
+    /** Assembles the snapshot from the saved endpoints and the other state, which was saved when the snapshot began. */
     interface SnapshotAssembler {
         BalancerSnapshot assemble(List<EndpointSnapshot> endpoints);
     }
--- a/decision/src/main/java/weldhitch/decision/balancing/RatioBalancer.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RatioBalancer.java
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Restores a balancer from a snapshot. Its further decisions are bit for bit those of the original.
+     * Restores a balancer from a snapshot. Given the same events, it makes exactly the decisions of the original.
      *
      * @param settings the settings of the balancer that the snapshot was taken from
      * @param listener receives the reasons of decisions, or null
@@ -190,8 +190,8 @@
     }
 
     /**
-     * Sends an attempt to the better of two endpoints drawn by weight (section 3.2), and returns whether an endpoint
-     * could take it. Called by the {@link RequestDispatcher}.
+     * Sends an attempt to the better of two endpoints drawn by weight (section 3.2). Returns false if no endpoint can
+     * accept the attempt now. Called by the {@link RequestDispatcher}.
      */
     private boolean sendAttempt(RequestState request) {
         long now = context.now();
--- a/decision/src/main/java/weldhitch/decision/balancing/RequestDispatcher.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RequestDispatcher.java
@@ -175,7 +175,7 @@
 
     private void hedge(RequestState request, boolean allowed) {
         AttemptState lastAttempt = request.attempts.get(request.attempts.size() - 1);
-        // A route may define a much shorter hedge delay than that of the class, after which an attempt is overdue.
+        // The route's hedge delay may be much shorter than that of the class; only the latter makes an attempt overdue.
         lastAttempt.exceededHedgeDelay =
                 request.route == null || context.now() - lastAttempt.sentAt >= request.hedgeDelay();
         if (allowed && retryPolicy.takeRetryToken(request, false)) {
--- a/decision/src/main/java/weldhitch/decision/balancing/RouteState.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/RouteState.java
@@ -18,7 +18,7 @@
     static final long NO_BACKOFF = -1;
 
     final RoutePolicy policy;
-    /** Null if the route has no retry budget of its own. */
+    /** Null if the route does not define a retry budget. */
     final RetryBudget retryBudget;
 
     final Map<String, TokenBucket> tenantBuckets;
@@ -97,14 +97,14 @@
         return policy.deadline() > 0 ? Math.min(requested, now + policy.deadline()) : requested;
     }
 
-    /** Returns the maximum number of attempts: that of the route, at most {@code allowed}, that of the platform. */
+    /** Returns the maximum number of attempts of the route, limited to the platform's maximum, {@code allowed}. */
     int maxAttempts(int allowed) {
         return policy.maxAttempts() > 0 ? Math.min(allowed, policy.maxAttempts()) : allowed;
     }
 
     /**
-     * Returns the timeout in nanoseconds of an attempt sent now: that of the route, or else {@code defaultTimeout}, at
-     * most the time remaining until the deadline. If both are 0, it is the remaining time if the route defines a
+     * Returns the timeout in nanoseconds of an attempt sent now: the route's timeout, or else {@code defaultTimeout},
+     * limited to the time remaining until the deadline. If both are 0, it is the remaining time if the route defines a
      * deadline, otherwise 0 for no timeout.
      */
     long attemptTimeout(long defaultTimeout, long remaining) {
--- a/decision/src/main/java/weldhitch/decision/balancing/SlowStartCredits.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/SlowStartCredits.java
@@ -18,7 +18,7 @@
     private static final double CREDIT_PER_ARRIVAL = 0.7;
     /** Time constant of the average of the served rate, in nanoseconds. */
     private static final double SERVED_RATE_WINDOW = 5e9;
-    /** Maximum idle time in nanoseconds for which the served rate decays; more idleness says nothing about capacity. */
+    /** Maximum idle time in nanoseconds for which the served rate decays; longer idle times do not reflect capacity. */
     private static final long MAX_IDLE_GAP = 1_000_000_000L;
 
     private final PlatformRules rules;
@@ -26,7 +26,7 @@
     private final List<Endpoint> ready;
     /** Ready endpoints that were in slow start when last checked. */
     final List<Endpoint> warmingUp = new ArrayList<>();
-    /** Served rate: attempts per nanosecond that a warm endpoint serves for this node; the last known, 0 if none. */
+    /** Served rate: attempts per nanosecond that a warm endpoint serves for this node; last known value, 0 if none. */
     double servedRate;
     /** Time at which {@link #servedRate} was last updated, or credit was last earned from it. */
     long servedRateAt;
--- a/decision/src/main/java/weldhitch/decision/balancing/WeightedEndpointPicker.java
+++ b/decision/src/main/java/weldhitch/decision/balancing/WeightedEndpointPicker.java
@@ -10,8 +10,9 @@
  * Picks the endpoint of an attempt by the Ratio approach (Küting et al., "Client-Based Adaptive Load Balancing in
  * Service-Oriented Systems", section 3.2) in its averaged variant (section 5.3). With t_b the lowest mean,
  * f_i = t_b / t_i and p_i = f_i / sum(f), two endpoints are drawn by p_i with replacement, and the one with the lower
- * mean is picked. Failures lower the weight of an endpoint (section 3.4, with a formula that is not from the paper). So
- * do slow start and the cost of crossing zones, which are not part of the paper; nor is the subset of a large fleet.
+ * mean is picked. Failures lower the weight of an endpoint (section 3.4, with a formula that is not from the paper).
+ * Slow start and the cost of crossing zones also lower it; these, and the subsets of a large fleet, are not part of
+ * the paper.
  * Called by {@link RatioBalancer} on its thread; not thread-safe.
  */
 final class WeightedEndpointPicker {
@@ -148,7 +149,7 @@
         return candidate;
     }
 
-    /** Returns whether the endpoint has slow-start credit if it needs it, and is in the deduplication scope. */
+    /** Returns whether the endpoint is in the deduplication scope and, in slow start, has credit. */
     private boolean isEligible(RequestState request, Endpoint endpoint, long now) {
         if (endpoint.warmingUp && endpoint.slowStartCredit < 1 && endpoints.slowStart.updateWarmingUp(endpoint, now)) {
             return false;
--- a/decision/src/main/java/weldhitch/decision/connection/ConnectionReusePolicy.java
+++ b/decision/src/main/java/weldhitch/decision/connection/ConnectionReusePolicy.java
@@ -6,7 +6,7 @@
  * nanoseconds.
  *
  * <p>A request written to a connection that its endpoint has just closed ends with a reset, and a request that is not
- * idempotent has then failed. An endpoint may close a connection earlier than the settings state, so only a recently
+ * idempotent has then failed. An endpoint may close a connection earlier than the settings assume, so only a recently
  * used connection is safe. However, each handshake costs the endpoint work, and a node of a large fleet uses each
  * endpoint so rarely that hardly any connection was recently used. The policy therefore learns from idempotent requests
  * on connections that were idle for longer: it allows half of the longest idle time after which a request was answered
--- a/decision/src/main/java/weldhitch/decision/connection/PollHistory.java
+++ b/decision/src/main/java/weldhitch/decision/connection/PollHistory.java
@@ -7,16 +7,18 @@
  * when bytes arrived, but each poll reports everything that has arrived by then: input that a poll reports for the
  * first time arrived after the previous poll.
  *
- * <p>A node polls at least every {@link #MAX_POLL_INTERVAL}, so a longer age means that its event loop was delayed. Not
- * thread-safe; performs no I/O and reads no clock: times are nanoseconds of the caller's clock.
+ * <p>A node polls at least every {@link #MAX_POLL_INTERVAL}, so a longer time since the previous poll means that its
+ * event loop was delayed. Not thread-safe; performs no I/O and reads no clock: times are nanoseconds of the caller's
+ * clock.
  */
 public final class PollHistory {
     private static final long MILLI = 1_000_000L;
     /** The longest interval between two polls of an event loop that is not delayed. */
     public static final long MAX_POLL_INTERVAL = 30 * MILLI;
     /**
-     * Ages up to this are treated as 0: two poll intervals and the handling between them. The remaining time that is
-     * sent to a server may exceed the client's by 150 ms; the rest of the 150 ms is left for the way to the server.
+     * Ages of input up to this are treated as 0: two poll intervals and the handling between them. The remaining time
+     * that is sent to an endpoint may exceed the client's by 150 ms; the rest of the 150 ms is left for the way to the
+     * endpoint.
      */
     static final long IGNORED_AGE = 2 * MAX_POLL_INTERVAL + 15 * MILLI;
     /** Intervals between polls that are longer than this are stalls, which are logged. */
@@ -63,7 +65,7 @@
 
     /**
      * Returns the earliest time at which a signal that is handled now can have been sent. A signal is handled on a
-     * thread of its own and may reach the event loop some polls after the stall in which it was sent.
+     * separate thread and may reach the event loop some polls after the stall in which it was sent.
      */
     public long signalledNotBefore(long now) {
         return now - stalledUntil < SIGNAL_DELAY ? stalledFrom : previousPollAt;
@@ -81,9 +83,9 @@
     }
 
     /**
-     * Returns the time from which a request that is read now counts: the earliest time at which it can have arrived
-     * plus {@link #IGNORED_AGE}, but no later than now. A result that is too early deprives the request of time that
-     * its client may still grant; one that is too late promises time that the client does not grant.
+     * Returns the assumed arrival time of a request that is read now: the earliest time at which it can have arrived
+     * plus {@link #IGNORED_AGE}, but no later than now. If the result is too early, the request gets less time than its
+     * client still waits; if it is too late, it gets more.
      */
     public static long assumedArrival(long now, long notBefore) {
         return Math.min(now, notBefore + IGNORED_AGE);
--- a/decision/src/main/java/weldhitch/decision/discovery/DiscoveryPolling.java
+++ b/decision/src/main/java/weldhitch/decision/discovery/DiscoveryPolling.java
@@ -74,8 +74,8 @@
 
     private static final long MAX_WATCH = 10_000 * MILLI;
     /**
-     * The longest time over which the nodes' polls of an unreachable service are spread. With a connect it stays below
-     * the 10 s within which all nodes must have a list once the service is reachable again.
+     * The longest time over which the nodes' polls of an unreachable service are spread. Together with a connect, it is
+     * below the 10 s within which all nodes must have a list once the service is reachable again.
      */
     private static final long MAX_SPREAD = 5000 * MILLI;
 
@@ -90,7 +90,10 @@
      * wait.
      */
     private static final long SHARED_WATCH_TIMEOUT = 1500 * MILLI;
-    /** Longest backoff of a node that has a list: with a hanging connect it stays within the 6 s of an update. */
+    /**
+     * Longest backoff of a node that has a list. Together with a hanging connect, it is below the 6 s after which an
+     * update counts as delivered.
+     */
     private static final long MAX_BACKOFF_WITH_LIST = 4000 * MILLI;
 
     private static final long MAX_BACKOFF_AFTER_TIMEOUT = 2000 * MILLI;
@@ -198,7 +201,7 @@
     /** Returns the response timeout, which starts after the wait that a poll requested. */
     public long responseTimeout() {
         if (!shared) {
-            // From the second consecutive failure on, the failed poll was no watch, so a slow agent gets the full
+            // From the second consecutive failure on, the failed poll was not a watch, so a slow agent gets the full
             // timeout again.
             return consecutiveFailures == 1
                     ? Math.min(responseTimeout, AGENT_TIMEOUT_AFTER_FAILED_WATCH)
--- a/decision/src/main/java/weldhitch/decision/lifecycle/GracefulShutdown.java
+++ b/decision/src/main/java/weldhitch/decision/lifecycle/GracefulShutdown.java
@@ -18,8 +18,8 @@
     /** The platform waits for the longest deadline, but no longer than this. */
     private static final long MAX_AWAITED_DEADLINE = 3000 * MILLI;
     /**
-     * Upper bound of the latency objective in this plan: an objective as long as the whole shutdown would cause all
-     * requests to be rejected at once.
+     * Upper bound of the latency objective in this plan. With an objective as long as the shutdown itself, all requests
+     * would be rejected at once.
      */
     private static final long MAX_LATENCY_OBJECTIVE = MAX_AWAITED_DEADLINE / 2;
     /**
@@ -31,7 +31,9 @@
     /** New connections are accepted for at least this long: load balancers and clients notice the shutdown late. */
     private static final long MIN_LISTEN_TIME = 500 * MILLI;
 
+    /** Without open connections, the listener closes once no connection was accepted for this long. */
     private static final long QUIET_PERIOD = 250 * MILLI;
+    /** Without open connections, the listener closes after this long even if connections were accepted recently. */
     private static final long MAX_LISTEN_TIME = 1500 * MILLI;
     /** The period over which clients are asked to disconnect. */
     private static final long CONNECTION_CLOSE_WINDOW = 400 * MILLI;
@@ -125,8 +127,10 @@
     }
 
     /**
-     * Returns how many of the idle connections stay open now: at first all of them, then evenly fewer, and none at
-     * the end.
+     * Returns how many of the idle connections stay open now: all of them until clients are asked to disconnect, then a
+     * number that falls linearly to 0.
+     *
+     * @param idleAtWindowStart the number of idle connections when clients are first asked to disconnect
      */
     public int idleConnectionsToKeep(long now, int idleAtWindowStart) {
         if (!started || now < closeWindowStart()) {
--- a/decision/src/main/java/weldhitch/decision/settings/BalancerSettings.java
+++ b/decision/src/main/java/weldhitch/decision/settings/BalancerSettings.java
@@ -12,7 +12,7 @@
  * @param overQuotaWeight the factor on the priority weight of a tenant's requests above its quota
  * @param weightByCost whether the priority weight of a request is multiplied by its cost hint
  * @param pollsEndpoints whether the node polls for endpoint updates
- * @param weightKind what endpoint weights mean
+ * @param weightKind the meaning of endpoint weights
  * @param loadReportFields the fields of a load report
  * @param crossZoneCost the cost of a call to another zone
  * @param clockResolution the clock resolution in nanoseconds: the smallest difference between the times of two events
--- a/decision/src/main/java/weldhitch/decision/settings/FlatSettingsParser.java
+++ b/decision/src/main/java/weldhitch/decision/settings/FlatSettingsParser.java
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Returns the balancer's settings; a setting that is not given has its default. */
+    /** Returns the balancer's settings, with defaults for settings that are not given. */
     public BalancerSettings settings() {
         List<RequestClass> classes = new ArrayList<>();
         for (int i = 0; i < count("classes"); i++) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /** Returns, in nanoseconds, a duration that is given in seconds; 0 if it is not given. */
+    /** Returns a duration in nanoseconds; the setting is in seconds, and 0 is returned if it is not given. */
     public long durationNanos(String path) {
         return Math.round(number(path, 0) * 1e9);
     }
--- a/decision/src/test/java/weldhitch/decision/balancing/BalancerSnapshotTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/BalancerSnapshotTest.java
@@ -210,7 +210,7 @@
 
     private static BalancerSnapshot withParts(
             BalancerSnapshot s,
-            List<BalancerSnapshot.EndpointSnapshot> servers,
+            List<BalancerSnapshot.EndpointSnapshot> endpoints,
             List<BalancerSnapshot.RequestSnapshot> requests,
             int admitted,
             List<BalancerSnapshot.TimerSnapshot> timers) {
@@ -219,7 +219,7 @@
                 s.version(),
                 s.randomState(),
                 s.zones(),
-                servers,
+                endpoints,
                 s.warmingUp(),
                 s.servedRate(),
                 s.servedRateAt(),
--- a/decision/src/test/java/weldhitch/decision/balancing/EndpointUpdateTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/EndpointUpdateTest.java
@@ -50,7 +50,7 @@
                 seed);
     }
 
-    private static List<BalancerAction> withCachedList(BalancerHarness harness) {
+    private static List<BalancerAction> applyCachedList(BalancerHarness harness) {
         return harness.handle(
                 new EndpointsChanged(EndpointUpdateKind.CACHED, List.of(harness.entry("a", EndpointState.READY, 0))));
     }
@@ -91,10 +91,10 @@
 
     @Test
     void firstSubscriptionsAreJittered() {
-        long first = single(withCachedList(pollingNode(1)), ScheduleTimer.class)
+        long first = single(applyCachedList(pollingNode(1)), ScheduleTimer.class)
                 .orElseThrow()
                 .delay();
-        long second = single(withCachedList(pollingNode(2)), ScheduleTimer.class)
+        long second = single(applyCachedList(pollingNode(2)), ScheduleTimer.class)
                 .orElseThrow()
                 .delay();
         assertTrue(first != second);
@@ -104,7 +104,7 @@
     @Test
     void rejectedSubscriptionIsRetriedWithBackoff() {
         BalancerHarness harness = pollingNode(3);
-        List<BalancerAction> actions = harness.fireTimer(withCachedList(harness));
+        List<BalancerAction> actions = harness.fireTimer(applyCachedList(harness));
         assertTrue(single(actions, SubscribeToEndpoints.class).isPresent());
         long total = 0;
         for (int i = 0; i < 5; i++) {
@@ -122,7 +122,7 @@
     @Test
     void subscribedNodeDoesNotResubscribe() {
         BalancerHarness harness = pollingNode(4);
-        harness.fireTimer(withCachedList(harness));
+        harness.fireTimer(applyCachedList(harness));
         assertTrue(
                 harness.applyDelta(harness.entry("b", EndpointState.READY, 0)).isEmpty());
         harness.now += 60 * SECOND;
--- a/decision/src/test/java/weldhitch/decision/balancing/FleetSlowStartTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/FleetSlowStartTest.java
@@ -63,8 +63,8 @@
     private double capacity = CAPACITY;
     private RatioBalancer[] nodes;
     /**
-     * Largest number of attempts in a window beyond N + 2 * sqrt(N) + 2, the bound that allows for random variation;
-     * negative if the bound was never exceeded.
+     * Largest number of attempts in a window beyond N + 2 * sqrt(N) + 2, where N is the number that the rule allows and
+     * the other terms are for random variation; negative if the bound was never exceeded.
      */
     private double excess = Double.NEGATIVE_INFINITY;
 
@@ -213,9 +213,9 @@
         "20, 5, true, 1.5, 1, 30"
     })
     void smallFleetExceedsTheLimitByChanceOnly(
-            int nodeCount, int replaced, boolean restart, double multiple, int span, double perSecond) {
+            int nodeCount, int replaced, boolean restart, double multiple, int windowSeconds, double perSecond) {
         capacity = perSecond;
-        rules = new PlatformRules(0.3, 8 * SECOND, multiple, span * SECOND, SECOND, 10 * MS, 10 * SECOND);
+        rules = new PlatformRules(0.3, 8 * SECOND, multiple, windowSeconds * SECOND, SECOND, 10 * MS, 10 * SECOND);
         for (int seed = 0; seed < 5; seed++) {
             random.setSeed(seed);
             scheduledTasks.clear();
@@ -224,11 +224,9 @@
             now = 100 * SECOND;
             simulate(nodeCount, replaced, restart, 1.1);
         }
-        System.out.println(
-                nodeCount + " nodes, " + replaced + " of " + ENDPOINTS + " endpoints replaced, multiple " + multiple
-                        + " over " + span + " s, " + perSecond + " attempts per second: fullest window " + worstFraction
-                        + " of N, " + excess
-                        + " attempts beyond N + 2 * sqrt(N) + 2");
+        System.out.println(nodeCount + " nodes, " + replaced + " of " + ENDPOINTS + " endpoints replaced, multiple "
+                + multiple + " over " + windowSeconds + " s, " + perSecond + " attempts per second: fullest window "
+                + worstFraction + " of N, " + excess + " attempts beyond N + 2 * sqrt(N) + 2");
         assertTrue(excess <= 0, excess + " attempts beyond the allowance for random variation");
     }
 
--- a/decision/src/test/java/weldhitch/decision/balancing/RecordedDecisionsTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/RecordedDecisionsTest.java
@@ -11,7 +11,8 @@
 
 /**
  * Compares all decisions of 1,000 seeded workloads with digests recorded by an earlier build. A change must not alter
- * decisions unintentionally; a change that is meant to alter them records the digests again and says so in its commit.
+ * decisions unintentionally. A change that is meant to alter them records the digests again, and its commit message
+ * states so.
  */
 class RecordedDecisionsTest {
     private static final Path DIGESTS = Path.of("decision/src/test/resources/weldhitch/decision/digests.txt");
@@ -41,7 +42,7 @@
         List<String> recorded = Files.readAllLines(DIGESTS, StandardCharsets.UTF_8);
         assertEquals(SEEDS, recorded.size());
         for (int i = 0; i < SEEDS; i++) {
-            assertEquals(recorded.get(i), actual.get(i), "seed and digest of its workload");
+            assertEquals(recorded.get(i), actual.get(i), "seed of the workload and digest of its decisions");
         }
     }
 }
--- a/decision/src/test/java/weldhitch/decision/balancing/SlowStartTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/SlowStartTest.java
@@ -89,9 +89,9 @@
     }
 
     /**
-     * If all endpoints are replaced, clients that fail send fewer requests. The credit of the new endpoints must not
-     * fall with the request rate; otherwise a fleet without load rejects nearly every request until the first endpoint
-     * is warm.
+     * If all endpoints are replaced, clients whose requests fail send fewer of them. The credit of the new endpoints
+     * must not fall with the request rate; otherwise a fleet with little load rejects nearly every request until the
+     * first endpoint is warm.
      */
     @Test
     void warmingUpEndpointsServeLowTraffic() {
--- a/decision/src/test/java/weldhitch/decision/balancing/Workload.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/Workload.java
@@ -82,7 +82,7 @@
     private final List<OutstandingAttempt> outstanding = new ArrayList<>();
     private final java.util.LinkedHashMap<String, Integer> attempts = new java.util.LinkedHashMap<>();
     private final java.util.Set<String> finishedRequests = new java.util.HashSet<>();
-    /** Separate generator for the zones of requests, so that the other draws do not change; null without zones. */
+    /** Separate generator for zones, which keeps the other draws the same with and without zones; null without. */
     private final SplittableRandom zoneRandom;
 
     private final int endpointCount;
--- a/decision/src/test/java/weldhitch/decision/connection/PollHistoryTest.java
+++ b/decision/src/test/java/weldhitch/decision/connection/PollHistoryTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests what {@link PollHistory} determines from the times of polls, and that an assumed arrival is never later than
- * the actual one by more than the ignored age.
+ * Tests the times that {@link PollHistory} determines from polls, and that an assumed arrival is never later than the
+ * actual one by more than the ignored age.
  */
 class PollHistoryTest {
     private static final long MILLI = 1_000_000L;
@@ -79,7 +79,7 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void assumedArrivalIsNeverLaterThanTheArrival(boolean newConnections) {
+    void assumedArrivalIsLaterThanTheArrivalByTheIgnoredAgeAtMost(boolean newConnections) {
         for (long seed = 0; seed < 2000; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             PollHistory polls = new PollHistory(0);
--- a/decision/src/test/java/weldhitch/decision/discovery/DiscoveryPollingTest.java
+++ b/decision/src/test/java/weldhitch/decision/discovery/DiscoveryPollingTest.java
@@ -25,7 +25,8 @@
                 long timeout = polling.responseTimeout();
                 long backoff = polling.recordFailure(failure);
                 assertTrue(
-                        backoff >= 0 && timeout + backoff < 4 * SECOND, failure + ": " + timeout + " and " + backoff);
+                        backoff >= 0 && timeout + backoff < 4 * SECOND,
+                        failure + ": timeout in ns " + timeout + ", backoff in ns " + backoff);
             }
         }
     }
@@ -71,7 +72,7 @@
             polling.recordSuccess(0);
             assertEquals(0, polling.consecutiveFailures());
         }
-        assertTrue(fourth > 5 * first, first + " and " + fourth);
+        assertTrue(fourth > 5 * first, first + " ns after first failures in total, after fourth ones " + fourth);
     }
 
     @Test
@@ -90,9 +91,9 @@
     }
 
     /**
-     * An update must be delivered within 6 s after discovery had it and was reachable, whatever failed. Up to two polls
-     * fail, the one in progress at that moment and one more: each is lost, rejected, broken, answered malformed, or
-     * hangs in connect.
+     * An update must be delivered within 6 s after discovery had it and was reachable, whatever failed before. Up to
+     * two polls fail, the one in progress at that moment and one more. Each is lost, rejected, broken or answered with
+     * an invalid list, or its connect hangs.
      */
     @Test
     void agentChangeArrivesWithinSixSecondsAfterAnyFailure() {
@@ -103,11 +104,11 @@
             for (int i = random.nextInt(6); i > 0; i--) {
                 polling.recordSuccess(random.nextLong(1250 * MS));
             }
-            long reachable = random.nextLong(20 * SECOND);
+            long reachableAt = random.nextLong(20 * SECOND);
             int failuresLeft = random.nextInt(2);
             long now = 0;
-            while (now < reachable || failuresLeft > 0) {
-                failuresLeft -= now < reachable ? 0 : 1;
+            while (now < reachableAt || failuresLeft > 0) {
+                failuresLeft -= now < reachableAt ? 0 : 1;
                 PollFailure failure = PollFailure.values()[random.nextInt(PollFailure.values().length)];
                 now += switch (failure) {
                     case TIMED_OUT -> polling.requestedWait() + polling.responseTimeout();
@@ -117,11 +118,11 @@
                 };
                 now += polling.recordFailure(failure);
             }
-            max = Math.max(max, now + 50 * MS - reachable);
+            max = Math.max(max, now + 50 * MS - reachableAt);
         }
         System.out.println("agent: update received " + max / MS
                 + " ms after discovery was reachable, the latest of 20,000 histories");
-        assertTrue(max < 6 * SECOND, max / MS + " ms");
+        assertTrue(max < 6 * SECOND, max / MS + " ms until an update was received");
     }
 
     /** Regression: after a failed poll, answers of an agent that took 2 s or more were never received again. */
@@ -178,15 +179,16 @@
                 PollFailure.TIMED_OUT, PollFailure.CONNECTION_FAILED, PollFailure.MALFORMED, PollFailure.STALE
             };
             PollFailure failure = kinds[random.nextInt(kinds.length)];
-            boolean connects = failure == PollFailure.CONNECTION_FAILED && random.nextBoolean();
+            boolean connectHangs = failure == PollFailure.CONNECTION_FAILED && random.nextBoolean();
             long requestedWait = polling.requestedWait();
             long endedAt = failure == PollFailure.TIMED_OUT
                     ? requestedWait + polling.responseTimeout()
-                    : connects ? polling.connectTimeout() : random.nextLong(requestedWait + 1);
-            // A poll that is answered or broken at its end would have delivered the updates until then.
-            long changedAt = failure == PollFailure.TIMED_OUT || connects ? random.nextLong(endedAt) : endedAt;
+                    : connectHangs ? polling.connectTimeout() : random.nextLong(requestedWait + 1);
+            // A poll that was answered or broken would have delivered earlier updates before its end.
+            long changedAt = failure == PollFailure.TIMED_OUT || connectHangs ? random.nextLong(endedAt) : endedAt;
             long receivedAt = endedAt + polling.recordFailure(failure) + 200 * MS;
-            // An update that a lost watch missed late counts as delivered even later, which no node can know.
+            // An update that occurs late in a lost watch counts as delivered later than this, but no node can know when
+            // it occurred.
             long limit = failure == PollFailure.TIMED_OUT && requestedWait > 0
                     ? requestedWait + 2 * SECOND
                     : changedAt + 6 * SECOND;
--- a/decision/src/test/java/weldhitch/decision/lifecycle/GracefulShutdownTest.java
+++ b/decision/src/test/java/weldhitch/decision/lifecycle/GracefulShutdownTest.java
@@ -98,7 +98,7 @@
         assertEquals(
                 3500 * MILLI,
                 longDeadlines.allowedTime(timeAfter(0), 13_967 * MILLI, 5587 * MILLI),
-                "a latency objective that ends after the kill");
+                "a latency objective that ends after the kill is capped");
         assertEquals(1500 * MILLI, longDeadlines.allowedTime(timeAfter(2000), 6981 * MILLI, 2793 * MILLI));
         assertEquals(0, longDeadlines.allowedTime(timeAfter(2001), 6981 * MILLI, 2793 * MILLI));
         assertTrue(longDeadlines.acceptsConnections(timeAfter(1599), timeAfter(1590), 9));
--- a/decision/src/test/java/weldhitch/decision/lifecycle/ProcessLifecycleTest.java
+++ b/decision/src/test/java/weldhitch/decision/lifecycle/ProcessLifecycleTest.java
@@ -40,7 +40,7 @@
     private static void runSequence(int[] events) {
         ProcessLifecycle lifecycle = new ProcessLifecycle();
         int startupPhase = 0;
-        boolean terminated = false;
+        boolean terminationRequested = false;
         boolean draining = false;
         boolean ended = false;
         boolean reloading = false;
@@ -52,14 +52,14 @@
                 action = lifecycle.onHangUp();
             } else if (event == 1) {
                 action = lifecycle.onTerminate();
-                if (terminated) {
+                if (terminationRequested) {
                     assertEquals(LifecycleAction.NONE, action, "a second SIGTERM has an effect");
                 } else {
                     assertEquals(startupPhase > 0 ? LifecycleAction.DRAIN : LifecycleAction.EXIT, action);
                 }
                 draining |= action == LifecycleAction.DRAIN;
                 ended |= action == LifecycleAction.EXIT;
-                terminated = true;
+                terminationRequested = true;
             } else if (event == 2 && startupPhase == 0 && !ended) {
                 assertTrue(lifecycle.tryOpenListener());
                 startupPhase = 1;
