--- a/decision/src/test/java/weldhitch/decision/balancing/SubsettingTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/SubsettingTest.java
@@ -79,7 +79,7 @@
         assertEquals(100, contactedEndpoints(harness(0, 1, 100)).size());
     }
 
-    /** A node must use other endpoints if its whole subset has failed. */
+    /** A node must use other endpoints if all endpoints of its subset have failed. */
     @Test
     void failedEndpointsAreReplacedInTheSubset() {
         BalancerHarness harness = harness(0, 50, 100);
--- a/decision/src/test/java/weldhitch/decision/discovery/DiscoveryPollingTest.java
+++ b/decision/src/test/java/weldhitch/decision/discovery/DiscoveryPollingTest.java
@@ -48,13 +48,13 @@
     /** The polls of all nodes fail at the same moment. */
     @Test
     void pollsAfterASharedFailureAreJittered() {
-        int[] byTenth = new int[10];
+        int[] pollsPer100Ms = new int[10];
         for (int node = 0; node < 28; node++) {
-            byTenth[
+            pollsPer100Ms[
                     (int) (new DiscoveryPolling(1000 + node, 28).recordFailure(PollFailure.CONNECTION_FAILED)
                             / (100 * MS))]++;
         }
-        for (int count : byTenth) {
+        for (int count : pollsPer100Ms) {
             assertTrue(count <= 9, count + " of 28 polls within 100 ms");
         }
     }
--- a/decision/src/test/java/weldhitch/decision/routing/RouteTableTest.java
+++ b/decision/src/test/java/weldhitch/decision/routing/RouteTableTest.java
@@ -121,17 +121,17 @@
         }
     }
 
-    private static String randomPath(SplittableRandom random, String[] patternSegments) {
+    private static String randomPath(SplittableRandom random, String[] segments) {
         StringBuilder path = new StringBuilder();
         for (int n = random.nextInt(4); n > 0; n--) {
-            path.append('/').append(patternSegments[random.nextInt(patternSegments.length)]);
+            path.append('/').append(segments[random.nextInt(segments.length)]);
         }
         return path.toString();
     }
 
     private static String bestByLinearScan(List<Route> routes, String method, String target) {
         List<String> segments = Arrays.stream(target.split("/"))
-                .filter(pattern -> !pattern.isEmpty())
+                .filter(segment -> !segment.isEmpty())
                 .toList();
         Route best = null;
         for (Route route : routes) {
