--- a/cli/src/main/java/weldhitch/cli/CaptureCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureCommands.java
@@ -42,8 +42,8 @@
     private CaptureCommands() {}
 
     /**
-     * Checks a capture against the four invariants of {@code InvariantChecker}. Exit status 1 if one is violated, 3 if
-     * the capture can't be read.
+     * Checks a capture against the four invariants of {@code InvariantChecker}. Exits with status 1 if one is violated,
+     * 3 if the capture can't be read.
      */
     @Command(
             name = "verify",
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Cuts a slice of a capture with names replaced. Exit status 1 if that fails, 3 if the capture can't be read. */
+    /** Cuts a slice of a capture and replaces names. Exits with status 1 if that fails, 3 if it can't be read. */
     @Command(
             name = "cut",
             mixinStandardHelpOptions = true,
@@ -157,7 +157,7 @@
     }
 
     /**
-     * Counts the requests and attempts of a capture. Exit status 1 if it has no events, 3 if it can't be read.
+     * Counts the requests and attempts of a capture. Exits with status 1 if it has no events, 3 if it can't be read.
      */
     @Command(
             name = "summary",
--- a/cli/src/main/java/weldhitch/cli/CertificateCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CertificateCommands.java
@@ -28,8 +28,8 @@
         description = "Issues the certificates of a fleet: its certificate authority, agents and operators.")
 final class CertificateCommands {
     /**
-     * How long before its creation a certificate is already valid. Certificates are dated back because the clocks of a
-     * fleet may differ by some minutes.
+     * Time by which the start of a certificate's validity precedes its creation, because the clocks of a fleet may
+     * differ by some minutes.
      */
     private static final Duration CLOCK_SKEW = Duration.ofMinutes(10);
 
--- a/cli/src/main/java/weldhitch/cli/CheckCommand.java
+++ b/cli/src/main/java/weldhitch/cli/CheckCommand.java
@@ -10,7 +10,7 @@
 import weldhitch.routeconfig.ConfigProblem;
 import weldhitch.routeconfig.RouteConfig;
 
-/** Prints all problems of a route configuration. Exit status 0 if a node would load it, 1 otherwise. */
+/** Prints all problems of a route configuration. Exits with status 0 if a node would load the file, 1 otherwise. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/weldhitch/cli/DemoCommand.java
+++ b/cli/src/main/java/weldhitch/cli/DemoCommand.java
@@ -64,7 +64,8 @@
             Process nodeProcess = startJvm(arguments, configFile);
             try (BufferedReader log = nodeProcess.errorReader(StandardCharsets.UTF_8)) {
                 String line = log.readLine();
-                // With port 0 the node logs the port that it got; a free port found here could be taken by then.
+                // With port 0 the node logs the port that it got. A free port chosen here could be taken before the
+                // node binds to it.
                 Matcher matcher = Pattern.compile("listens on .*:(\\d+)$").matcher(String.valueOf(line));
                 if (!matcher.find()) {
                     System.err.println("weldhitch: node did not start: " + line);
@@ -77,7 +78,7 @@
                 System.out.println("To send a non-idempotent request, which is never executed twice:");
                 System.out.println(
                         "    curl -H 'X-Trace-Id: '$RANDOM$RANDOM -d cow http://127.0.0.1:" + nodePort + "/enrol");
-                System.out.println("Kill a server (kill -9 with its number above) and send more. Ctrl-C stops all.");
+                System.out.println("Kill a server (kill -9 with its process id) and send more. Ctrl-C stops all.");
                 for (line = log.readLine(); line != null; line = log.readLine()) {
                     System.out.println("node: " + line);
                 }
--- a/cli/src/main/java/weldhitch/cli/ExplainCommand.java
+++ b/cli/src/main/java/weldhitch/cli/ExplainCommand.java
@@ -11,8 +11,8 @@
 import weldhitch.routeconfig.RouteConfig.Explanation;
 
 /**
- * Prints which route of a route configuration a request matches and the source of each of its rules. Exit status 1
- * if the file has errors.
+ * Prints which route of a route configuration a request matches and the source of each of its rules. Exits with
+ * status 1 if the file has errors.
  */
 @Command(
         name = "explain",
--- a/cli/src/main/java/weldhitch/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldhitch/cli/ReplayCommand.java
@@ -193,7 +193,7 @@
     /**
      * Passes on the entries from one snapshot up to one event, both counted from 1. Not thread-safe.
      *
-     * @param counts snapshots and events counted so far
+     * @param counts the number of snapshots and the number of events so far, in this order
      */
     private record EventWindow(Consumer<CaptureEntry> target, long firstSnapshot, long lastEvent, long[] counts)
             implements Consumer<CaptureEntry> {
@@ -282,7 +282,7 @@
                 seconds);
         if (replayer.skippedEvents() + replayer.droppedEvents() + replayer.corruptions() > 0) {
             out.printf(
-                    "%d events dropped by the node, %d damaged parts, %d events skipped for lack of a snapshot%n",
+                    "%d events dropped by the node, %d damaged parts, %d events skipped without a preceding snapshot%n",
                     replayer.droppedEvents(), replayer.corruptions(), replayer.skippedEvents());
         }
         if (firstDifference == null) {
@@ -314,7 +314,7 @@
         }
     }
 
-    /** Returns the state of the requests and servers that the actions of either side name. */
+    /** Returns the state of the requests and servers of the captured and the replayed attempts. */
     private static List<JsonNode> affectedParts(Divergence firstDifference, BalancerSnapshot snapshot) {
         List<BalancerAction> actions = new java.util.ArrayList<>(firstDifference.replayedActions());
         if (firstDifference.captured() != null) {
--- a/cli/src/main/java/weldhitch/cli/SimulatorCommands.java
+++ b/cli/src/main/java/weldhitch/cli/SimulatorCommands.java
@@ -40,7 +40,7 @@
     SimulatorCommands() {}
 
     /**
-     * Runs a scenario for one or several seeds. Exit status 1 if the scenario or the route configuration has
+     * Runs a scenario for one or several seeds. Exits with status 1 if the scenario or the route configuration has
      * errors, 3 if a file can't be read or written.
      */
     @Command(
@@ -72,7 +72,7 @@
 
         @Option(
                 names = "--servers",
-                description = "Number of servers, instead of the scenario's; the kinds keep their proportions.")
+                description = "Number of servers, instead of the scenario's; the server kinds keep their proportions.")
         private int servers;
 
         @Option(
@@ -194,7 +194,7 @@
         }
     }
 
-    /** Compares two sets of results seed by seed. Exit status 3 if a file can't be read. */
+    /** Compares two sets of results seed by seed. Exits with status 3 if a file can't be read. */
     @Command(
             name = "compare",
             mixinStandardHelpOptions = true,
@@ -211,7 +211,8 @@
         @Parameters(
                 index = "1",
                 paramLabel = "AFTER",
-                description = "The same for the other build or configuration, with the same seeds.")
+                description = "Directory that simulator run --out wrote for the other build or configuration, with the "
+                        + "same seeds.")
         private Path afterDirectory;
 
         @Option(
--- a/cli/src/main/java/weldhitch/cli/WhyCommand.java
+++ b/cli/src/main/java/weldhitch/cli/WhyCommand.java
@@ -19,15 +19,15 @@
 
 /**
  * Explains, by replaying a capture, why a request went to its endpoints, or why an endpoint was or was not picked.
- * Exit status 1 if the capture contains no decision about it.
+ * Exits with status 1 if the capture contains no decision about that request or endpoint.
  */
 @Command(
         name = "why",
         mixinStandardHelpOptions = true,
         description =
                 "Explains why a request went to its servers, or why a server was or was not picked, by replaying a "
-                        + "capture. "
-                        + "Exits with status 1 if the capture has no decision about it, 3 if it can't be read.")
+                        + "capture. Exits with status 1 if the capture has no decision about the request or server, "
+                        + "3 if the capture can't be read.")
 final class WhyCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -64,7 +64,9 @@
             if (capture.json()) {
                 capture.out().println(toJson(explanation).toPrettyString());
             } else if (explanation.steps().isEmpty()) {
-                capture.out().println("no decision about it in " + replayer.replayedEvents() + " events");
+                capture.out()
+                        .println("no decision about this request or server in " + replayer.replayedEvents()
+                                + " events");
             } else {
                 capture.out().print(explanation.text());
             }
--- a/cli/src/test/java/weldhitch/cli/CoordinatedFleet.java
+++ b/cli/src/test/java/weldhitch/cli/CoordinatedFleet.java
@@ -38,6 +38,7 @@
     private static final ThreadLocal<Map<String, ReservedPort>> COORDINATOR_PORTS =
             ThreadLocal.withInitial(LinkedHashMap::new);
 
+    /** The node whose platform settings differ; a thread-local for the same reason. */
     private static final ThreadLocal<String> DIFFERENT_NODE = new ThreadLocal<>();
 
     private final Map<String, ReservedPort> coordinatorPorts;
@@ -237,7 +238,7 @@
                 .collect(Collectors.toMap(
                         RequestRecord::node,
                         request -> Long.parseLong(request.routeVersion()),
-                        (request, latest) -> latest));
+                        (earlier, latest) -> latest));
     }
 
     /**
@@ -245,7 +246,7 @@
      * version. A request that was sent after another one had completed was decided after it. The result is at
      * most 0 if all nodes switched at one moment, and {@code Long.MIN_VALUE} if either version served nothing.
      * Counts only class {@code read}, on which the versions differ, because a member in doubt continues to
-     * serve the classes on which they don't.
+     * serve the classes on which the versions agree.
      */
     long overlap(long older, long newer) {
         long firstNewAt = loadGenerator.requests().stream()
--- a/cli/src/test/java/weldhitch/cli/LocalityIT.java
+++ b/cli/src/test/java/weldhitch/cli/LocalityIT.java
@@ -240,8 +240,9 @@
                         "a request of class book left its region");
             }
             assertTrue(spilledCallsToB > 20, "too few requests spilled to zone b: " + spilledCallsToB);
-            // The peak is taken over 2 s, which hold about 200 requests. Between runs of one build it varies by a tenth
-            // (0.84 to 0.90) with chance, the clients' timing and the machine; without coordination it exceeds 1.2.
+            // The peak is taken over 2 s, which contain about 200 requests. Between runs of one build it varies by a
+            // tenth (0.84 to 0.90), depending on chance, the clients' timing and the machine; without coordination it
+            // exceeds 1.2.
             // FleetSpilloverTest checks the bound of the quota grants to 5%.
             for (Map<String, Double> peakByZone : List.of(peaks, peaksAtLeaderChange, peaksDuringZoneLoss)) {
                 assertTrue(
--- a/client/src/main/java/weldhitch/client/ConnectionPool.java
+++ b/client/src/main/java/weldhitch/client/ConnectionPool.java
@@ -24,7 +24,7 @@
 /** Owns the connections of a client, grouped by node. Used only on the event loop. */
 final class ConnectionPool implements NodeConnection.Owner {
     private final EventLoop eventLoop;
-    private final int connectMillis;
+    private final int connectTimeoutMillis;
     private final int maxConcurrentConnects;
     private final Consumer<String> onConnectionLost;
     private final Map<String, ArrayDeque<NodeConnection>> idleByNode = new LinkedHashMap<>();
@@ -36,12 +36,15 @@
     /**
      * Creates a pool without connections.
      *
-     * @param onConnectionLost called with the node when its last connection was closed without being announced
+     * @param onConnectionLost called with the node when its last connection was closed without an announcement
      */
     ConnectionPool(
-            EventLoop eventLoop, int connectMillis, int maxConcurrentConnects, Consumer<String> onConnectionLost) {
+            EventLoop eventLoop,
+            int connectTimeoutMillis,
+            int maxConcurrentConnects,
+            Consumer<String> onConnectionLost) {
         this.eventLoop = eventLoop;
-        this.connectMillis = connectMillis;
+        this.connectTimeoutMillis = connectTimeoutMillis;
         this.maxConcurrentConnects = maxConcurrentConnects;
         this.onConnectionLost = onConnectionLost;
     }
@@ -109,7 +112,7 @@
         new Bootstrap()
                 .group(eventLoop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
--- a/client/src/main/java/weldhitch/client/WeldhitchClient.java
+++ b/client/src/main/java/weldhitch/client/WeldhitchClient.java
@@ -59,7 +59,7 @@
     private boolean closed;
     private long lastCallId;
 
-    /** A call that has not completed; belongs to the event loop. */
+    /** A call that has not completed; used only on the event loop. */
     private static final class PendingCall {
         final Request request;
         final CompletableFuture<Response> response;
--- a/client/src/main/java/weldhitch/client/policy/AttemptOutcome.java
+++ b/client/src/main/java/weldhitch/client/policy/AttemptOutcome.java
@@ -6,7 +6,7 @@
     OK(false),
     /** Status 429 or 503: the node states that the request was not executed. */
     REJECTED(true),
-    /** Any other status, which does not tell whether the request was executed. */
+    /** Any other status, from which it is unknown whether the request was executed. */
     ERROR_RESPONSE(false),
     /** Not completely written, or no connection was established. */
     NOT_SENT(true),
--- a/client/src/main/java/weldhitch/client/policy/CallStateMachine.java
+++ b/client/src/main/java/weldhitch/client/policy/CallStateMachine.java
@@ -35,7 +35,7 @@
     /**
      * Reports that an attempt has ended; not sent for a cancelled attempt.
      *
-     * @param retryAfter the nanoseconds that a rejection asks to wait; 0 for none
+     * @param retryAfter the wait that a rejection requests, in nanoseconds; 0 for none
      */
     public record AttemptEnded(long callId, int attempt, AttemptOutcome outcome, long retryAfter) implements Event {}
 
@@ -157,7 +157,7 @@
                 new OutgoingCall(started.callId(), started.requestClass(), started.idempotency(), started.deadline());
         calls.put(call.id, call);
         retryBudget.recordCall(now);
-        call.paid = true;
+        call.recordedInRetryBudget = true;
         sendAttempt(call);
     }
 
--- a/client/src/main/java/weldhitch/client/policy/ClientPolicy.java
+++ b/client/src/main/java/weldhitch/client/policy/ClientPolicy.java
@@ -51,13 +51,13 @@
                 initialBackoff >= MS && initialBackoff <= 60 * SECOND,
                 "initialBackoff",
                 initialBackoff,
-                "1 ms to 1 minute");
+                "1 ms to 1 minute, in nanoseconds");
         check(
                 errors,
                 maxBackoff >= initialBackoff && maxBackoff <= 600 * SECOND,
                 "maxBackoff",
                 maxBackoff,
-                "initialBackoff to 10 minutes");
+                "initialBackoff to 10 minutes, in nanoseconds");
         check(errors, retryRatio >= 0 && retryRatio <= 1, "retryRatio", retryRatio, "0 to 1");
         check(
                 errors,
@@ -82,15 +82,15 @@
                 minReconnectWindow >= 10 * MS && minReconnectWindow <= 600 * SECOND,
                 "minReconnectWindow",
                 minReconnectWindow,
-                "10 ms to 10 minutes");
+                "10 ms to 10 minutes, in nanoseconds");
         check(
                 errors,
                 maxReconnectWindow >= minReconnectWindow && maxReconnectWindow <= 3600 * SECOND,
                 "maxReconnectWindow",
                 maxReconnectWindow,
-                "minReconnectWindow to 1 hour");
+                "minReconnectWindow to 1 hour, in nanoseconds");
         check(errors, subsetSize >= 1, "subsetSize", subsetSize, "1 or more");
-        check(errors, deduplicationWindow >= 0, "deduplicationWindow", deduplicationWindow, "0 or more");
+        check(errors, deduplicationWindow >= 0, "deduplicationWindow", deduplicationWindow, "0 or more nanoseconds");
         if (!errors.isEmpty()) {
             throw new IllegalArgumentException(String.join("; ", errors));
         }
--- a/client/src/main/java/weldhitch/client/policy/OutgoingCall.java
+++ b/client/src/main/java/weldhitch/client/policy/OutgoingCall.java
@@ -26,8 +26,8 @@
     long resumeAt;
 
     long backoff;
-    /** Whether the call has started, which entitles it to its first attempt without a retry token. */
-    boolean paid;
+    /** Whether the call has been recorded in the retry budget; its first attempt takes no retry token. */
+    boolean recordedInRetryBudget;
 
     boolean unbudgetedRetryUsed;
 
--- a/client/src/main/java/weldhitch/client/policy/ReconnectJitter.java
+++ b/client/src/main/java/weldhitch/client/policy/ReconnectJitter.java
@@ -22,8 +22,8 @@
      */
     long nextDelay(long outage, UniformRandomProvider random) {
         long window = Math.max(minWindow, Math.min(maxWindow, outage));
-        // At least a tenth of the window, because several draws near 0 in a row would make the client reconnect in a
-        // tight loop.
+        // The delay is at least a tenth of the window, because several draws near 0 in a row would make the client
+        // reconnect in a tight loop.
         return (long) (window * (0.1 + 0.9 * random.nextDouble()));
     }
 }
--- a/client/src/test/java/weldhitch/client/policy/CallStateMachineTest.java
+++ b/client/src/test/java/weldhitch/client/policy/CallStateMachineTest.java
@@ -61,7 +61,7 @@
         void handle(Event event) {
             for (Action action : stateMachine.handle(now, event)) {
                 if (action instanceof SendAttempt attempt) {
-                    assertFalse(completions.containsKey(attempt.callId()), "attempt after the end: " + attempt);
+                    assertFalse(completions.containsKey(attempt.callId()), "attempt after completion: " + attempt);
                     assertFalse(outstanding.containsKey(attempt.callId()), "two concurrent attempts: " + attempt);
                     assertEquals(deadlineByCall.get(attempt.callId()) - now, attempt.remainingTime());
                     assertTrue(attempt.remainingTime() > 0, "attempt after the deadline");
@@ -224,8 +224,8 @@
         harness.advanceTo(harness.now + 4 * S);
         assertEquals(callCount, harness.completions.size(), "number of calls that ended");
         assertEquals(0, harness.stateMachine.pendingCallCount());
-        // First attempts take no retry token, nor does one retry of each call after a stale connection or an unsent
-        // attempt.
+        // First attempts take no retry token. One retry of each call after a stale connection or an unsent attempt
+        // takes none either.
         long retries = harness.attempts.stream().filter(t -> t.attempt() > 0).count();
         double allowedRetries = 10 * Math.max(policy.retryRatio() * 10, policy.minRetriesPerSecond())
                 + 1
@@ -248,8 +248,8 @@
         assertEquals(2, harness.attempts.size());
         harness.advanceTo(retryAfterEnd + S);
         assertEquals(4, harness.attempts.size());
-        // A call that must end before the node's Retry-After has passed is rejected at once, and its own Retry-After
-        // is the time that remains of the node's.
+        // A call that must end before the node's Retry-After has passed is rejected at once. The result states the
+        // remaining time of the node's Retry-After.
         harness.endAttempt(2, AttemptOutcome.REJECTED, 5 * S);
         harness.startCall(4, Idempotency.IDEMPOTENT, S);
         assertEquals(CallResult.REJECTED, harness.result(4));
--- a/replay/src/main/java/weldhitch/replay/DecisionExplainer.java
+++ b/replay/src/main/java/weldhitch/replay/DecisionExplainer.java
@@ -36,15 +36,15 @@
 
     private final String requestId;
     private final String endpointId;
-    private final long notAfter;
+    private final long notAfterNanos;
     private final List<Step> steps = new ArrayList<>();
     private PickTrace latestPick;
     private long arrivedAt;
 
-    private DecisionExplainer(String requestId, String endpointId, long notAfter) {
+    private DecisionExplainer(String requestId, String endpointId, long notAfterNanos) {
         this.requestId = requestId;
         this.endpointId = endpointId;
-        this.notAfter = notAfter;
+        this.notAfterNanos = notAfterNanos;
     }
 
     /** Returns an explainer of one request. */
@@ -71,7 +71,7 @@
                                     + trace.firstDraw() + " and " + trace.secondDraw() + ", the lower mean is picked",
                     trace);
         } else if (endpointId != null
-                && trace.at() <= notAfter
+                && trace.at() <= notAfterNanos
                 && trace.candidates().stream().anyMatch(c -> c.endpointId().equals(endpointId))) {
             latestPick = trace;
         }
--- a/replay/src/main/java/weldhitch/replay/policy/InvariantChecker.java
+++ b/replay/src/main/java/weldhitch/replay/policy/InvariantChecker.java
@@ -223,7 +223,7 @@
         } else if (event instanceof AttemptEnded e) {
             onAttemptEnded(e);
         } else if (event instanceof ResponseStarted e) {
-            onFinalAnswer(requests.get(e.requestId()), "its answer began");
+            onFinalAnswer(requests.get(e.requestId()), "a response began");
         } else if (event instanceof ClientDisconnected e) {
             TrackedRequest request = requests.get(e.requestId());
             if (request != null) {
--- a/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
@@ -18,8 +18,8 @@
             List.of("on", "directory", "segment-size", "segment-age", "total-size", "snapshot-every", "queue");
     private static final Pattern SIZE_PATTERN = Pattern.compile("([0-9]{1,9})(KiB|MiB|GiB)");
     private static final Map<String, Long> BYTES_PER_UNIT = Map.of("KiB", 1L << 10, "MiB", 1L << 20, "GiB", 1L << 30);
-    private static final long MAX_TOTAL_SIZE = 1L << 50;
-    private static final long DAY = 24 * 3600 * CaptureLimits.NANOS_PER_SECOND;
+    private static final long MAX_TOTAL_BYTES = 1L << 50;
+    private static final long DAY_NANOS = 24 * 3600 * CaptureLimits.NANOS_PER_SECOND;
 
     private final TomlValueReader values;
 
@@ -38,9 +38,10 @@
         Path directory = readDirectory(capture);
         Long segmentSize = readSize(
                 capture, "segment-size", 64L << 20, CaptureLimits.MIN_SEGMENT_BYTES, CaptureLimits.MAX_SEGMENT_BYTES);
-        Long totalSize = readSize(capture, "total-size", 1L << 30, 2 * CaptureLimits.MIN_SEGMENT_BYTES, MAX_TOTAL_SIZE);
-        Long segmentAge = readDuration(capture, "segment-age", DAY / 24, 7 * DAY);
-        Long snapshotInterval = readDuration(capture, "snapshot-every", 60 * CaptureLimits.NANOS_PER_SECOND, DAY / 24);
+        Long totalSize = readSize(capture, "total-size", 1L << 30, 2 * CaptureLimits.MIN_SEGMENT_BYTES, MAX_TOTAL_BYTES);
+        Long segmentAge = readDuration(capture, "segment-age", DAY_NANOS / 24, 7 * DAY_NANOS);
+        Long snapshotInterval =
+                readDuration(capture, "snapshot-every", 60 * CaptureLimits.NANOS_PER_SECOND, DAY_NANOS / 24);
         Integer queueSize = capture.has("queue")
                 ? values.readInteger(capture.get("queue"), "capture.queue", 64, 1 << 20)
                 : Integer.valueOf(1 << 14);
--- a/routeconfig/src/main/java/weldhitch/routeconfig/ConfigProblem.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/ConfigProblem.java
@@ -4,8 +4,8 @@
  * A problem in a route configuration. Immutable.
  *
  * @param file the name of the file
- * @param line the line number, counted from 1; 0 if the problem concerns the whole file
- * @param key the key's full name, such as {@code route[2].hedge.after}; empty for the whole file
+ * @param line the line number, counted from 1; 0 if the problem concerns the entire file
+ * @param key the key's full name, such as {@code route[2].hedge.after}; empty if it concerns the entire file
  * @param description what is wrong
  * @param remedy what to write instead
  * @param warning whether the file can be used nevertheless
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfig.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfig.java
@@ -88,7 +88,7 @@
     /**
      * Validates a file's text.
      *
-     * @param file the name of the file in problems
+     * @param file the file name that problems state
      * @param bytes the text in UTF-8
      * @param platform the platform's settings; if null, checks that depend on them are skipped
      */
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigParser.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigParser.java
@@ -34,7 +34,7 @@
     /**
      * Creates a parser.
      *
-     * @param file the name of the file in problems
+     * @param file the file name that problems state
      * @param platform the platform's settings, or null if they are not known
      */
     RouteConfigParser(String file, BalancerSettings platform) {
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigValidator.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigValidator.java
@@ -229,7 +229,7 @@
                 error(
                         problemKey(section, attempts, attemptTimeout, backoff, deadlineSetting),
                         maxAttempts + " attempts"
-                                + (attempts == null ? " (the platform's limit, as attempts is not set)" : "")
+                                + (attempts == null ? " (the platform's limit, because attempts is not set)" : "")
                                 + " with their timeouts and backoff can take "
                                 + ValueFormat.formatDuration(worstCaseTime) + ", longer than "
                                 + deadlineText
@@ -293,8 +293,8 @@
             if (limit > 0 && fixedDelay.delay() >= limit) {
                 error(
                         problemKey(section, hedge, attemptTimeout, settings.get(RuleKey.DEADLINE)),
-                        "hedge after " + ValueFormat.formatDuration(fixedDelay.delay())
-                                + " never happens: the " + (attemptTimeout == null ? "deadline" : "attempt-timeout")
+                        "a hedged request after " + ValueFormat.formatDuration(fixedDelay.delay())
+                                + " is never sent: the " + (attemptTimeout == null ? "deadline" : "attempt-timeout")
                                 + " is "
                                 + ValueFormat.formatDuration(limit),
                         "make it shorter");
--- a/routeconfig/src/main/java/weldhitch/routeconfig/SpillPolicyReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/SpillPolicyReader.java
@@ -10,9 +10,9 @@
  * each rule. Not thread-safe.
  */
 final class SpillPolicyReader {
-    private static final long MIN_DWELL = 100_000_000L;
-    private static final long MAX_DWELL = 600_000_000_000L;
-    private static final long DEFAULT_DWELL = 5_000_000_000L;
+    private static final long MIN_DWELL_NANOS = 100_000_000L;
+    private static final long MAX_DWELL_NANOS = 600_000_000_000L;
+    private static final long DEFAULT_DWELL_NANOS = 5_000_000_000L;
     private static final HysteresisBand DEFAULT_UTILIZATION = new HysteresisBand(0.85, 0.7);
     private static final HysteresisBand DEFAULT_HEALTHY_FRACTION = new HysteresisBand(0.5, 0.8);
     private static final HysteresisBand DEFAULT_LATE_FRACTION = new HysteresisBand(0.3, 0.1);
@@ -34,8 +34,8 @@
         HysteresisBand healthyFraction = readBand(table, key, "healthy", DEFAULT_HEALTHY_FRACTION, true);
         HysteresisBand lateFraction = readBand(table, key, "late", DEFAULT_LATE_FRACTION, false);
         Long dwell = table.has("dwell")
-                ? values.readDuration(table.get("dwell"), key + ".dwell", MIN_DWELL, MAX_DWELL)
-                : Long.valueOf(DEFAULT_DWELL);
+                ? values.readDuration(table.get("dwell"), key + ".dwell", MIN_DWELL_NANOS, MAX_DWELL_NANOS)
+                : Long.valueOf(DEFAULT_DWELL_NANOS);
         valid &= dwell != null;
         Double maxFraction = readFraction(table, key, "most", DEFAULT_MAX_FRACTION);
         Double growthPerSecond = table.has("growth")
--- a/routeconfig/src/main/java/weldhitch/routeconfig/TomlValueReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/TomlValueReader.java
@@ -15,7 +15,7 @@
     /** The pattern of the names of routes, rules, zones and fleets. */
     static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
 
-    private static final long MAX_DURATION = 60_000_000_000L;
+    private static final long MAX_DURATION_NANOS = 60_000_000_000L;
     private static final Pattern DURATION_PATTERN = Pattern.compile("([0-9]{1,9}(?:\\.[0-9]{1,9})?)(us|ms|s|m|h)");
     private static final Map<String, Long> NANOS_PER_UNIT =
             Map.of("us", 1_000L, "ms", 1_000_000L, "s", 1_000_000_000L, "m", 60_000_000_000L, "h", 3_600_000_000_000L);
@@ -41,7 +41,7 @@
      * null for anything else.
      */
     Long readDuration(JsonNode value, String key, long min) {
-        return readDuration(value, key, min, MAX_DURATION);
+        return readDuration(value, key, min, MAX_DURATION_NANOS);
     }
 
     /**
--- a/testkit/src/main/java/weldhitch/testkit/FakeDiscovery.java
+++ b/testkit/src/main/java/weldhitch/testkit/FakeDiscovery.java
@@ -75,7 +75,7 @@
         return this;
     }
 
-    /** Resumes responses, also to the pending polls. */
+    /** Resumes responses, including those to pending polls. */
     public synchronized FakeDiscovery resume() {
         paused = false;
         notifyAll();
--- a/testkit/src/main/java/weldhitch/testkit/fleet/CapacityLimitedDiscovery.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/CapacityLimitedDiscovery.java
@@ -143,10 +143,10 @@
     /**
      * Adds or changes an entry in the list of every node.
      *
-     * @param bornMillis start time of the server, Unix time in milliseconds
+     * @param startedAtMillis start time of the server, Unix time in milliseconds
      */
-    public synchronized void put(String server, String health, long bornMillis) {
-        endpoints.put(server, new Endpoint(health, bornMillis, ++version));
+    public synchronized void put(String server, String health, long startedAtMillis) {
+        endpoints.put(server, new Endpoint(health, startedAtMillis, ++version));
         eventLog.append("list service", server + " is " + health + " in version " + version);
         notifyAll();
     }
@@ -199,10 +199,10 @@
     }
 
     /** Returns a list entry in JSON. */
-    public static String entryJson(String server, String address, String health, long bornMillis, String zone) {
+    public static String entryJson(String server, String address, String health, long startedAtMillis, String zone) {
         return "{\"host\":\"" + server + "\",\"dial\":\"" + address + "\",\"site\":\"" + zone
-                + "\",\"class\":\"k\",\"block\":1,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":" + bornMillis
-                + "}";
+                + "\",\"class\":\"k\",\"block\":1,\"health\":\"" + health + "\",\"share\":1.0,\"born_ms\":"
+                + startedAtMillis + "}";
     }
 
     private synchronized void recordNotifications(String node) {
--- a/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/Fault.java
@@ -40,8 +40,8 @@
 
         private final boolean targetsProcess;
 
-        Kind(boolean ofProcess) {
-            this.targetsProcess = ofProcess;
+        Kind(boolean targetsProcess) {
+            this.targetsProcess = targetsProcess;
         }
 
         /** Returns whether this kind targets a process rather than an edge. */
--- a/testkit/src/main/java/weldhitch/testkit/fleet/LoadGenerator.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/LoadGenerator.java
@@ -78,7 +78,7 @@
 
     private final EventLog eventLog;
     private final RequestFactory requestFactory;
-    private final Behaviour patient;
+    private final Behaviour defaultBehaviour;
     private final ConcurrentLinkedQueue<RequestRecord> requests = new ConcurrentLinkedQueue<>();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final List<Thread> threads = new ArrayList<>();
@@ -93,12 +93,12 @@
             EventLog eventLog, RequestFactory requestFactory, long requestTimeoutMillis, long timeoutMillis) {
         this.eventLog = eventLog;
         this.requestFactory = requestFactory;
-        patient = new Behaviour(requestTimeoutMillis, timeoutMillis, false);
+        defaultBehaviour = new Behaviour(requestTimeoutMillis, timeoutMillis, false);
     }
 
     /** Adds a client that sends requests about every {@code intervalMillis} while the node listens. */
     public LoadGenerator addClient(ManagedProcess node, long intervalMillis) {
-        return addClient(node, intervalMillis, patient);
+        return addClient(node, intervalMillis, defaultBehaviour);
     }
 
     /**
@@ -245,7 +245,7 @@
         stopped.countDown();
         for (Thread thread : threads) {
             try {
-                thread.join(patient.readTimeoutMillis + 1000L * TestSupport.TIMEOUT_SECONDS);
+                thread.join(defaultBehaviour.readTimeoutMillis + 1000L * TestSupport.TIMEOUT_SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
+++ b/testkit/src/main/java/weldhitch/testkit/fleet/NodeFleet.java
@@ -259,7 +259,7 @@
                 RawHttpMessage response = connection.readMessage();
                 return response != null && response.status() == 200;
             }
-        } catch (IOException entry) {
+        } catch (IOException e) {
             return false;
         }
     }
@@ -286,7 +286,7 @@
     /**
      * Stops the load and checks the invariants.
      *
-     * @param checkDrains whether to check for requests to draining endpoints too
+     * @param checkDrains whether to check also for requests to draining endpoints
      * @return all violations, one line each
      */
     public List<String> stopAndCheckInvariants(boolean checkDrains) throws IOException {
--- a/testkit/src/test/java/weldhitch/testkit/InvariantCheckingClientTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/InvariantCheckingClientTest.java
@@ -11,7 +11,7 @@
     private static final String UNSAFE_REQUEST = "POST /x HTTP/1.1\r\nX-Trace-Id: %s\r\nContent-Length: 0\r\n\r\n";
     private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
 
-    /** Returns the violations reported for a node that responds as given and executes the request so many times. */
+    /** Returns the violations reported for a node that sends this response and executes the request this many times. */
     private static List<String> violations(String response, int executions) throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer("s");
                 ScriptedServer node = new ScriptedServer(connection -> {
@@ -67,7 +67,8 @@
                 client.send("r" + i, true, UNSAFE_REQUEST.formatted("r" + i));
             }
             assertEquals(300, client.completedRequests().size());
-            // Unclosed connections would make it 300 or more at either end; other threads open far fewer meanwhile.
+            // Unclosed connections would raise the count by 300 or more, at either end of the connections. Other
+            // threads open far fewer descriptors meanwhile.
             TestSupport.await(() -> operatingSystem.getOpenFileDescriptorCount() - descriptorsBefore < 100);
         }
     }
