--- a/cli/src/test/java/weldhitch/cli/ActivationIT.java
+++ b/cli/src/test/java/weldhitch/cli/ActivationIT.java
@@ -278,7 +278,7 @@
             }
             assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(60));
         }
-        assertTrue(worstOverlap <= MAX_CLOCK_ERROR, "overlap " + worstOverlap);
+        assertTrue(worstOverlap <= MAX_CLOCK_ERROR, "overlap in ns: " + worstOverlap);
         System.out.println(String.format(
                 Locale.ROOT,
                 "%d switches of a node: first new response after the first of all, us: p50 %d p90 %d p100 %d; between a"
--- a/cli/src/test/java/weldhitch/cli/DemoIT.java
+++ b/cli/src/test/java/weldhitch/cli/DemoIT.java
@@ -41,22 +41,22 @@
         try (BufferedReader out = demo.inputReader(StandardCharsets.UTF_8)) {
             Pattern serverPattern = Pattern.compile("server s\\d is process (\\d+) on 127\\.0\\.0\\.1:\\d+");
             Pattern curlPattern = Pattern.compile("http://127\\.0\\.0\\.1:(\\d+)/look-up");
-            List<Long> servers = new ArrayList<>();
+            List<Long> serverPids = new ArrayList<>();
             int port = 0;
             for (String line = out.readLine(); port == 0 && line != null; line = out.readLine()) {
                 Matcher matcher = serverPattern.matcher(line);
                 if (matcher.find()) {
-                    servers.add(Long.parseLong(matcher.group(1)));
+                    serverPids.add(Long.parseLong(matcher.group(1)));
                 }
                 matcher = curlPattern.matcher(line);
                 port = matcher.find() ? Integer.parseInt(matcher.group(1)) : 0;
             }
-            assertEquals(3, servers.size());
+            assertEquals(3, serverPids.size());
             children = demo.children().toList();
-            assertEquals(4, children.size(), "three servers and the node");
+            assertEquals(4, children.size(), "child processes: three servers and one node");
             assertTrue(sendRequest(port, "first", "GET /look-up").bodyText().matches("s\\d served GET /look-up\n"));
             assertEquals(200, sendRequest(port, "enrol", "POST /enrol").status());
-            ProcessHandle.of(servers.get(0)).orElseThrow().destroyForcibly();
+            ProcessHandle.of(serverPids.get(0)).orElseThrow().destroyForcibly();
             for (int i = 0; i < 300; i++) {
                 RawHttpMessage response = sendRequest(port, "g" + i, "GET /look-up");
                 assertEquals(200, response.status(), "look-up " + i + " after the kill");
--- a/cli/src/test/java/weldhitch/cli/LocalityIT.java
+++ b/cli/src/test/java/weldhitch/cli/LocalityIT.java
@@ -159,9 +159,9 @@
             fleet.awaitActive(1);
 
             // Phase 1: no fault; all requests stay in their zones.
-            long calmFrom = fleet.eventLog.elapsedNanos();
+            long baselineFrom = fleet.eventLog.elapsedNanos();
             fleet.waitFor(2000);
-            int baselineCallsToB = fleet.callCount("b", calmFrom, calmFrom + 2 * SECOND);
+            int baselineCallsToB = fleet.callCount("b", baselineFrom, baselineFrom + 2 * SECOND);
 
             // Phase 2: the load on zone a exceeds its capacity, and the excess spills to b and c by quota grants. Class
             // book spills only to b, which is in the same region.
@@ -210,7 +210,7 @@
             fleet.submit(fleet.leader(), localityRules("", 0.02));
             fleet.awaitActive(2);
             fleet.waitFor(500);
-            long forbiddenFrom = fleet.eventLog.elapsedNanos();
+            long regionOnlyFrom = fleet.eventLog.elapsedNanos();
             fleet.waitFor(2000);
             long endedAt = fleet.eventLog.elapsedNanos();
 
@@ -235,15 +235,14 @@
                 boolean isEast = fleet.zoneOf(server.name()).equals("c");
                 assertTrue(
                         !isEast
-                                || fleet.requestIdsSince(server, calmFrom)
+                                || fleet.requestIdsSince(server, baselineFrom)
                                         .noneMatch(id -> isBooking(id) && isFromWest(id)),
                         "a request of class book left its region");
             }
             assertTrue(spilledCallsToB > 20, "too few requests spilled to zone b: " + spilledCallsToB);
             // The peak is taken over 2 s, which contain about 200 requests. Between runs of one build it varies by a
             // tenth (0.84 to 0.90), depending on chance, the clients' timing and the machine; without coordination it
-            // exceeds 1.2.
-            // FleetSpilloverTest checks the bound of the quota grants to 5%.
+            // exceeds 1.2. FleetSpilloverTest checks the bound of the quota grants to 5%.
             for (Map<String, Double> peakByZone : List.of(peaks, peaksAtLeaderChange, peaksDuringZoneLoss)) {
                 assertTrue(
                         peakByZone.get("b") <= TARGET_UTILIZATION * 1.2
@@ -254,9 +253,9 @@
                     callsInFirstSecond < 0.6 * SERVERS_PER_ZONE * CAPACITY_PER_SERVER,
                     "too many requests to zone a in the first second of its return: " + callsInFirstSecond);
             assertTrue(
-                    fleet.callCount("c", forbiddenFrom, endedAt) <= 1.15 * 3 * 2 * 1000 / 65 + 10,
+                    fleet.callCount("c", regionOnlyFrom, endedAt) <= 1.15 * 3 * 2 * 1000 / 65 + 10,
                     "zone c received more requests than its own clients send: "
-                            + fleet.callCount("c", forbiddenFrom, endedAt));
+                            + fleet.callCount("c", regionOnlyFrom, endedAt));
             assertTrue(
                     fleet.eventLog.entries().stream().anyMatch(e -> e.event().contains("stale-view: n")),
                     "no node logged a stale view");
@@ -287,7 +286,7 @@
             }
             fleet.submit(fleet.leader(), localityRules(", \"any\"", 0.3));
             fleet.awaitActive(1);
-            long boundFrom = fleet.eventLog.elapsedNanos();
+            long rulesActiveFrom = fleet.eventLog.elapsedNanos();
             fleet.coordinators().forEach(s -> {
                 try {
                     fleet.processes.get(s).signal("KILL");
@@ -326,7 +325,7 @@
             for (ScriptedHttpServer server : fleet.servers) {
                 assertTrue(
                         !fleet.zoneOf(server.name()).equals("c")
-                                || fleet.requestIdsSince(server, boundFrom)
+                                || fleet.requestIdsSince(server, rulesActiveFrom)
                                         .noneMatch(id -> isBooking(id) && isFromWest(id)),
                         "a request of class book left its region");
             }
--- a/client/src/test/java/weldhitch/client/WeldhitchClientTest.java
+++ b/client/src/test/java/weldhitch/client/WeldhitchClientTest.java
@@ -146,10 +146,10 @@
                         .build()) {
             client.send(Request.idempotent("view-slots"));
             TestConnection idle = node.nextConnection();
-            CountDownLatch loopBlocked = new CountDownLatch(1);
+            CountDownLatch loopReleased = new CountDownLatch(1);
             group.next().execute(() -> {
                 try {
-                    loopBlocked.await();
+                    loopReleased.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
@@ -160,7 +160,7 @@
                 case "reset" -> idle.reset();
                 default -> idle.write(ok("stray"));
             }
-            loopBlocked.countDown();
+            loopReleased.countDown();
             assertEquals("POST /book-visit HTTP/1.1", new String(response.join().body(), StandardCharsets.UTF_8));
             assertEquals(1, response.join().attempts());
         } finally {
--- a/replay/src/test/java/weldhitch/replay/ReplayerTest.java
+++ b/replay/src/test/java/weldhitch/replay/ReplayerTest.java
@@ -318,7 +318,7 @@
                     .redirectErrorStream(true)
                     .start();
             try {
-                // Kill once some blocks are on the disk, in the middle of the next one.
+                // The process is killed once some blocks are on the disk, while it writes the next one.
                 long minBytes = 150_000L + 40_000L * i;
                 TestSupport.await(() -> captureBytes(captureDirectory) > minBytes || !process.isAlive());
                 assertTrue(process.isAlive(), "the process ended before it was killed");
--- a/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/CaptureSectionReader.java
@@ -38,7 +38,8 @@
         Path directory = readDirectory(capture);
         Long segmentSize = readSize(
                 capture, "segment-size", 64L << 20, CaptureLimits.MIN_SEGMENT_BYTES, CaptureLimits.MAX_SEGMENT_BYTES);
-        Long totalSize = readSize(capture, "total-size", 1L << 30, 2 * CaptureLimits.MIN_SEGMENT_BYTES, MAX_TOTAL_BYTES);
+        Long totalSize =
+                readSize(capture, "total-size", 1L << 30, 2 * CaptureLimits.MIN_SEGMENT_BYTES, MAX_TOTAL_BYTES);
         Long segmentAge = readDuration(capture, "segment-age", DAY_NANOS / 24, 7 * DAY_NANOS);
         Long snapshotInterval =
                 readDuration(capture, "snapshot-every", 60 * CaptureLimits.NANOS_PER_SECOND, DAY_NANOS / 24);
--- a/testkit/src/test/java/weldhitch/testkit/fleet/InvariantCheckerTest.java
+++ b/testkit/src/test/java/weldhitch/testkit/fleet/InvariantCheckerTest.java
@@ -120,8 +120,8 @@
                 execute(server, "n0-" + i);
             }
             InvariantChecker checker = new InvariantChecker(eventLog, noFaults, List.of(server));
-            // The warm capacity is 10 requests per second, and 0.3 of that at the start: 9 requests within 1 s at a
-            // multiple of three, and 21 with the statistical slack.
+            // The warm capacity is 10 requests per second, and 0.3 of that at the start. With an allowed multiple of
+            // three, 9 requests within 1 s are allowed, and 21 with the statistical slack.
             assertTrue(checker.slowStartOverloads(server, startedAt, 10, 0.3, 5000, 3, 1000)
                     .get(0)
                     .contains("40 requests"));
