--- a/node/src/main/java/weldhitch/adapter/Adapter.java
+++ b/node/src/main/java/weldhitch/adapter/Adapter.java
@@ -189,7 +189,7 @@
                 if (kind != EndpointUpdateKind.REJECTED) {
                     entries = endpointLists.get(fields.integer());
                     if (entries == null) {
-                        throw fields.malformed("unknown list number");
+                        throw fields.malformed("ROSTER_CHANGE refers to a list number that no POOL line has defined");
                     }
                 }
                 yield new EndpointsChanged(kind, entries);
--- a/node/src/main/java/weldhitch/node/Attempt.java
+++ b/node/src/main/java/weldhitch/node/Attempt.java
@@ -36,7 +36,7 @@
     boolean notExecuted;
     /**
      * Time until which endpoints deduplicate this attempt against an earlier one that may have been executed, in
-     * nanoseconds of {@link Clock}; {@code Long.MAX_VALUE} if there is none (see
+     * nanoseconds of {@link Clock}; {@code Long.MAX_VALUE} if there is no such earlier attempt (see
      * {@link InFlightRequest#deduplicatedUntil}).
      */
     final long deduplicatedUntil;
--- a/node/src/main/java/weldhitch/node/ClientConnection.java
+++ b/node/src/main/java/weldhitch/node/ClientConnection.java
@@ -243,7 +243,7 @@
         respond(reason.status(), 0);
     }
 
-    /** Answers malformed input and reads nothing more, as the position of the next request is unknown. */
+    /** Answers malformed input and reads nothing more, because the position of the next request is unknown. */
     private void rejectMalformed(Throwable cause) {
         if (state != ClientConnectionState.DISCARDING_BODY) {
             state = ClientConnectionState.RECEIVING;
--- a/node/src/main/java/weldhitch/node/ClientConnectionManager.java
+++ b/node/src/main/java/weldhitch/node/ClientConnectionManager.java
@@ -40,9 +40,9 @@
     private static final int BACKLOG = 4096;
     private static final int MAX_REQUEST_LINE_BYTES = 8 * 1024;
     /**
-     * Number of requests on one connection that the HTTP codec may read before it sees their responses. With more, the
-     * codec fails and so does the connection. The value exceeds the number that the pipelining limit admits plus the
-     * number that one read can add (18 bytes each).
+     * Maximum number of requests on one connection that the HTTP codec decodes before their responses are written. A
+     * further request makes the codec fail, which closes the connection. The value exceeds the number that the
+     * pipelining limit admits plus the number that one read can add (18 bytes each).
      */
     private static final int MAX_UNANSWERED_REQUESTS = 2048;
 
@@ -50,6 +50,7 @@
     private static final long SWEEP_INTERVAL_MS = 250;
     private static final long DRAIN_INTERVAL_MS = 20;
     private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** Time for which a connection must have been idle before it may be closed to make room for others. */
     private static final long EVICTABLE_AFTER_NANOS = 30 * NANOS_PER_MILLI;
 
     private final ConnectionContext context;
@@ -175,8 +176,9 @@
     }
 
     /**
-     * Limits how many connections one poll accepts. This is normally the number that may still be opened: a connection
-     * that waits in the backlog gets older, and once it is accepted its age is unknown.
+     * Limits how many connections one poll accepts. The limit is normally the number of connections that may still be
+     * opened, so that none waits in the backlog longer than necessary: once a connection is accepted, the time that it
+     * has spent in the backlog is unknown.
      */
     private void limitAccepts(int count) {
         if (listener.config().getRecvByteBufAllocator() instanceof MaxMessagesRecvByteBufAllocator acceptAllocator) {
--- a/node/src/main/java/weldhitch/node/ClientInput.java
+++ b/node/src/main/java/weldhitch/node/ClientInput.java
@@ -38,8 +38,9 @@
     }
 
     /**
-     * Returns whether the client is connected now. Reads what the operating system has already received, as nothing
-     * else shows a close that follows a request. Must not be called from within a read of this connection.
+     * Returns whether the client is connected now. Reads what the operating system has already received, because a
+     * close that follows a request becomes visible only by reading. Must not be called from within a read of this
+     * connection.
      */
     boolean isConnected() {
         int buffersBefore;
--- a/node/src/main/java/weldhitch/node/ClientRequestParser.java
+++ b/node/src/main/java/weldhitch/node/ClientRequestParser.java
@@ -80,7 +80,7 @@
         return new Accepted(requestIds.get(0), requestClass, timeout, contentLength);
     }
 
-    /** Returns the status that answers input that is not valid HTTP, by the decoder's exception. */
+    /** Returns the status that answers input that is not valid HTTP, according to the decoder's exception. */
     static HttpResponseStatus malformedStatus(Throwable cause) {
         if (cause instanceof TooLongHttpLineException) {
             return HttpResponseStatus.REQUEST_URI_TOO_LONG;
--- a/node/src/main/java/weldhitch/node/ClientResponseWriter.java
+++ b/node/src/main/java/weldhitch/node/ClientResponseWriter.java
@@ -57,9 +57,9 @@
         return keepAlive;
     }
 
-    /** Sets whether the client wants the connection to persist. */
-    void keepAlive(boolean requested) {
-        keepAlive = requested;
+    /** Sets whether the connection persists after the current response. */
+    void keepAlive(boolean persists) {
+        keepAlive = persists;
     }
 
     /** Lets the connection persist if the request asks for that. */
--- a/node/src/main/java/weldhitch/node/ConnectionDeadlines.java
+++ b/node/src/main/java/weldhitch/node/ConnectionDeadlines.java
@@ -22,8 +22,8 @@
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     /**
-     * A client that stalls within a request must be answered within 3 s. The timeout is shorter, as the sweep interval
-     * adds to it.
+     * A client that stalls within a request must be answered within 3 s. The timeout is shorter because the sweep
+     * interval adds to it.
      */
     static final long HEAD_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
 
@@ -31,7 +31,8 @@
     static final long MIN_BODY_BYTES_PER_SECOND = 32 * 1024;
     static final long IDLE_TIMEOUT_NANOS = 60 * NANOS_PER_SECOND;
     /**
-     * Clients open a connection when they have a request to send, so one that sends nothing is closed this soon.
+     * Timeout of a connection without a request so far. It is short because clients open a connection when they have a
+     * request to send.
      */
     static final long FIRST_REQUEST_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
     /** Maximum time that a client may leave a response unread. */
--- a/node/src/main/java/weldhitch/node/Discovery.java
+++ b/node/src/main/java/weldhitch/node/Discovery.java
@@ -162,9 +162,9 @@
     }
 
     /**
-     * Switches to another discovery address. The poll to the old address is abandoned at once, as it may stay open for
-     * a long time without an update. The new address is asked for the complete list, as its sequence numbers need not
-     * continue those of the old one. The current list stays active until the new address responds.
+     * Switches to another discovery address. The poll to the old address is abandoned at once because it may stay open
+     * for a long time without an update. The complete list is requested from the new address because its sequence
+     * numbers need not continue those of the old one. The current list stays active until the new address responds.
      */
     void moveTo(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
@@ -240,8 +240,8 @@
     }
 
     /** Ends a poll that returned no list; the current list stays valid and polling continues. */
-    private void pollFailed(Channel pollChannel, PollFailure failure, String description) {
-        pollFailed(pollChannel, failure, description, 0);
+    private void pollFailed(Channel pollChannel, PollFailure failure, String cause) {
+        pollFailed(pollChannel, failure, cause, 0);
     }
 
     private void pollFailed(Channel pollChannel, PollFailure failure, String cause, long retryAfter) {
--- a/node/src/main/java/weldhitch/node/Dispatcher.java
+++ b/node/src/main/java/weldhitch/node/Dispatcher.java
@@ -256,7 +256,7 @@
 
     /**
      * Answers all in-flight requests, because they cannot be answered any more once the process has ended. A request
-     * without attempts is rejected, as nothing of it has been sent; any other request fails.
+     * without attempts is rejected, because nothing of it has been sent; any other request fails.
      */
     void answerAll() {
         List<InFlightRequest> answered = new ArrayList<>();
@@ -270,8 +270,8 @@
                 }
             }
         }
-        // This comes last, as each removal frees capacity for a waiting request, and a request that has been answered
-        // must not be sent any more.
+        // This comes last because each removal frees capacity for a waiting request, and a request that has been
+        // answered must not be sent any more.
         answered.forEach(this::abandonRequest);
     }
 
--- a/node/src/main/java/weldhitch/node/EndpointList.java
+++ b/node/src/main/java/weldhitch/node/EndpointList.java
@@ -117,7 +117,7 @@
     }
 
     /**
-     * Parses a numeric address and port. Names are not resolved, as there is no DNS and a lookup would block.
+     * Parses a numeric address and port. Names are not resolved, because there is no DNS and a lookup would block.
      */
     static InetSocketAddress address(String text) throws MalformedAddressException {
         int colon = text.lastIndexOf(':');
--- a/node/src/main/java/weldhitch/node/InFlightRequest.java
+++ b/node/src/main/java/weldhitch/node/InFlightRequest.java
@@ -17,8 +17,9 @@
     final ClientRequest request;
     final ClientCallback client;
     /**
-     * Time that the answer may take, in nanoseconds: the client's timeout, counted from the request's last byte.
-     * Once the request is dispatched, the rest of that time, or less if this node shuts down before its end.
+     * Maximum time until the answer, in nanoseconds. Before the request is admitted, this is the client's timeout,
+     * counted from the request's last byte; from then on, it is the rest of that time, or less if this node shuts down
+     * earlier.
      */
     long timeout;
 
@@ -54,8 +55,8 @@
 
     /**
      * Returns the time until which endpoints deduplicate a repeat of an attempt that may have been executed, or
-     * {@code Long.MAX_VALUE} if there is none or the class does not use idempotency keys. The window counts from the
-     * decision to send that attempt; endpoints remember an attempt from its first byte, which is later.
+     * {@code Long.MAX_VALUE} if there is no such attempt or the class does not use idempotency keys. The window counts
+     * from the decision to send that attempt; endpoints remember an attempt from its first byte, which is later.
      */
     long deduplicatedUntil() {
         RequestClass requestClass = request.requestClass();
--- a/node/src/main/java/weldhitch/node/Log.java
+++ b/node/src/main/java/weldhitch/node/Log.java
@@ -40,9 +40,9 @@
         }
     }
 
-    static void failure(String operation, Throwable cause) {
+    static void failure(String description, Throwable cause) {
         StackTraceElement[] stackTrace = cause.getStackTrace();
-        line(operation + ": " + cause + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
+        line(description + ": " + cause + (stackTrace.length > 0 ? " at " + stackTrace[0] : ""));
     }
 
     private static void write() {
--- a/node/src/main/java/weldhitch/node/NodeEvent.java
+++ b/node/src/main/java/weldhitch/node/NodeEvent.java
@@ -18,7 +18,7 @@
     RETRY_SENT,
     /** A further attempt was sent while another was in flight. */
     HEDGED_REQUEST_SENT,
-    /** An idle server connection was not reused, as it had ended or carried bytes that belong to no response. */
+    /** An idle server connection was not reused because it had ended or carried bytes that belong to no response. */
     SERVER_CONNECTION_DISCARDED;
 
     /** The reason why the node closed a client's connection. */
--- a/node/src/main/java/weldhitch/node/PendingInput.java
+++ b/node/src/main/java/weldhitch/node/PendingInput.java
@@ -4,10 +4,10 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * Reads what the operating system has already received for a channel, before the event loop's next poll. The
- * loop's view of a socket is as old as its last read: a close may follow bytes that have been read. Code that acts on
- * the state of a connection reads first where this matters. Stateless; must be called on the event loop, and not from
- * within a read of the same channel.
+ * Reads what the operating system has already received for a channel, before the event loop's next poll. The event
+ * loop knows the state of a socket only as of its last read: a close that follows the bytes read then is not known yet.
+ * Code that depends on the present state of a connection reads pending input first. Stateless; must be called on the
+ * event loop, and not from within a read of the same channel.
  */
 final class PendingInput {
     private PendingInput() {}
--- a/node/src/main/java/weldhitch/node/PipelinedInput.java
+++ b/node/src/main/java/weldhitch/node/PipelinedInput.java
@@ -7,16 +7,17 @@
 
 /**
  * The queue of decoded input that a client has sent while an earlier request on its connection is in flight. Input
- * is read even then, as nothing else shows that the client has disconnected. Input that exceeds the limits is
+ * is read even then, because nothing else shows that the client has disconnected. Input that exceeds the limits is
  * discarded, and so is everything after it. Owned by a {@link ClientConnection}; not thread-safe, confined to the
  * event loop.
  */
 final class PipelinedInput {
     /** Maximum memory for the pipelined input of one connection. */
     static final int MAX_BYTES = 512 * 1024;
-    /** Estimated memory of a pipelined head, and of a body chunk in addition to its bytes. */
+    /** Estimated memory of a pipelined head. */
     static final int HEAD_BYTES = 2 * 1024;
 
+    /** Estimated memory of a pipelined body chunk in addition to its bytes. */
     static final int CONTENT_OVERHEAD_BYTES = 128;
 
     /** A decoded message and its arrival time, from which its request's timeout counts however long it is queued. */
--- a/node/src/main/java/weldhitch/node/Rejection.java
+++ b/node/src/main/java/weldhitch/node/Rejection.java
@@ -14,7 +14,7 @@
     BODY_TOO_LARGE(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, false),
     /** The client's timeout had passed before the request was read. */
     DEADLINE_EXCEEDED(HttpResponseStatus.SERVICE_UNAVAILABLE, false),
-    /** This node shuts down too soon to answer the request; another node has the time. */
+    /** This node shuts down too soon to answer the request; another node may still answer it. */
     SHUTTING_DOWN(HttpResponseStatus.SERVICE_UNAVAILABLE, true),
     /** The node is fenced, or the route version that applies to the request is in doubt. */
     VERSION_IN_DOUBT(HttpResponseStatus.SERVICE_UNAVAILABLE, false),
--- a/node/src/main/java/weldhitch/node/RequestWriter.java
+++ b/node/src/main/java/weldhitch/node/RequestWriter.java
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Returns a promise that reports the failure of a part. Without it, the close that follows would be taken as
+     * Returns a promise that reports the failure of a part. Without it, the close that follows would be treated as
      * the end of a response that has begun.
      */
     private ChannelPromise partPromise() {
--- a/node/src/main/java/weldhitch/node/ServerConnection.java
+++ b/node/src/main/java/weldhitch/node/ServerConnection.java
@@ -26,7 +26,7 @@
 final class ServerConnection extends ChannelInboundHandlerAdapter implements StreamSource, Attempt.Transport {
     /** Maximum time that a response without a stated length is buffered. */
     private static final long MAX_UNSIZED_BUFFERING_NANOS = 100_000_000L;
-    /** Servers pause for at most 0.1 s within a response; one that sends nothing for this long is taken as failed. */
+    /** Servers pause for at most 0.1 s within a response; one that sends nothing for this long is treated as failed. */
     private static final long STREAM_IDLE_TIMEOUT_NANOS = 5_000_000_000L;
 
     private static final int MAX_DISCARDED_BYTES = 64 * 1024;
@@ -354,8 +354,8 @@
     }
 
     /**
-     * Ends the attempt of a connection that has failed, and only then closes it: the decoder takes any close as the end
-     * of a response without a stated length, although only an end of the stream is one (RFC 9112 section 8).
+     * Ends the attempt of a connection that has failed, and only then closes it: the decoder treats any close as the
+     * end of a response without a stated length, although only an end of the stream is one (RFC 9112 section 8).
      */
     private void connectionLost() {
         failAttempt();
--- a/node/src/main/java/weldhitch/node/ServerConnectionPool.java
+++ b/node/src/main/java/weldhitch/node/ServerConnectionPool.java
@@ -205,8 +205,8 @@
         openDescriptors++;
         long incarnation = pooledEndpoint.incarnation;
         ChannelFuture connectFuture = bootstrap.connect(pooledEndpoint.address);
-        // This is the only place that releases a descriptor, also for a connect that fails or is aborted. Otherwise
-        // each failed connect would leak a descriptor, until every later attempt failed without being sent.
+        // This is the only place that releases a descriptor, including that of a connect that fails or is aborted.
+        // Otherwise each failed connect would leak a descriptor, until every later attempt failed without being sent.
         connectFuture.channel().closeFuture().addListener(f -> openDescriptors--);
         attempt.transport = connectFuture.channel()::close;
         connectFuture.addListener(f -> {
--- a/node/src/main/java/weldhitch/node/Sockets.java
+++ b/node/src/main/java/weldhitch/node/Sockets.java
@@ -15,7 +15,7 @@
 
     private Sockets() {}
 
-    /** Returns an allocator with one arena, as only one thread reads and writes. */
+    /** Returns an allocator with one arena, because only one thread reads and writes. */
     static ByteBufAllocator allocator() {
         return new PooledByteBufAllocator(
                 true, 1, 1, PAGE_BYTES, MAX_ORDER, SMALL_CACHE_SIZE, NORMAL_CACHE_SIZE, false);
