--- a/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorCore.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/CoordinatorCore.java
@@ -14,8 +14,8 @@
 
 /**
  * Makes the decisions of a coordinator as a pure event handler. It routes each event to the class in charge and decides
- * which command is proposed next. Election, heartbeats, consensus, membership, voting and submissions each have a class
- * of their own. Every event carries the time of this process's monotonic clock, in nanoseconds.
+ * which command is proposed next. Election, heartbeats, consensus, membership, voting and submissions are each handled
+ * by a separate class. Every event carries the time of this process's monotonic clock, in nanoseconds.
  *
  * <p>After each event, if {@link #acceptorState} has changed, the owner writes it to disk before it executes the
  * returned effects. If the write fails, the owner executes none of the effects and calls {@link #rollBack}.
--- a/coordinator/src/main/java/weldhitch/coordinator/core/HeartbeatExchange.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/HeartbeatExchange.java
@@ -60,7 +60,10 @@
         }
     }
 
-    /** Renews the vote for the sender and acknowledges; returns false, without a reply, if it is not followed. */
+    /**
+     * Renews the vote for the sender and acknowledges the heartbeat; returns false and sends no reply if this
+     * coordinator does not follow the sender.
+     */
     boolean onHeartbeat(long now, String from, PeerMessage.Heartbeat heartbeat, long generation, List<Effect> effects) {
         if (!elections.renewVote(now, from, heartbeat.term())) {
             return false;
--- a/coordinator/src/main/java/weldhitch/coordinator/core/LeaderElection.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/core/LeaderElection.java
@@ -5,13 +5,13 @@
 import weldhitch.fleet.activation.LeaseTiming;
 
 /**
- * Elects a leader with leases. At most one coordinator leads at a time, by votes that expire (after Gray and Cheriton,
+ * Elects a leader with leases, so that at most one coordinator leads at a time: votes expire (after Gray and Cheriton,
  * "Leases", 1989). A vote binds the coordinator that gives it for {@link LeaseTiming#leaderLease} from its reply on;
- * meanwhile it votes for no other. The leader counts the same vote from when it sent the message that the vote answers,
- * and for a shorter time, so it stops leading before any coordinator may vote for another.
+ * during this time it votes for no other candidate. The leader counts the same vote from when it sent the message that
+ * the vote answers, and for a shorter time, so it stops leading before any coordinator may vote for another.
  *
- * <p>Votes given before a crash are unknown after it. Therefore a coordinator that has just started votes for nobody
- * for the duration of a leader lease.
+ * <p>Votes given before a crash are unknown after it. Therefore a coordinator that has just started does not vote for
+ * the duration of a leader lease.
  *
  * <p>Not thread-safe; owned by {@link CoordinatorCore}. Times are nanoseconds of this process's monotonic clock.
  */
--- a/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorSettingsParser.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/CoordinatorSettingsParser.java
@@ -156,19 +156,19 @@
         LeaseTiming defaults = LeaseTiming.DEFAULT;
         long leaderLease = durationNanos(table, "authority", defaults.leaderLease());
         long memberLease = durationNanos(table, "lease", defaults.memberLease());
-        long activationMargin = durationNanos(table, "lead", defaults.activationDelay());
+        long activationDelay = durationNanos(table, "lead", defaults.activationDelay());
         long voteTimeout = durationNanos(table, "vote", defaults.voteTimeout());
         JsonNode drift = table.path("drift");
         if (!drift.isMissingNode() && (!drift.isNumber() || drift.doubleValue() < 0 || drift.doubleValue() > 0.1)) {
             error("timing.drift", drift + " is not a valid drift rate", "expected 0 to 0.1");
             return null;
         }
-        return leaderLease < 0 || memberLease < 0 || activationMargin < 0 || voteTimeout < 0
+        return leaderLease < 0 || memberLease < 0 || activationDelay < 0 || voteTimeout < 0
                 ? null
                 : new LeaseTiming(
                         leaderLease,
                         memberLease,
-                        activationMargin,
+                        activationDelay,
                         voteTimeout,
                         drift.isMissingNode() ? defaults.maxClockDrift() : drift.doubleValue());
     }
--- a/coordinator/src/main/java/weldhitch/coordinator/server/QuorumMonitor.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/QuorumMonitor.java
@@ -18,7 +18,10 @@
         reportInterval = REPORT_AFTER_LEASES * leaderLease;
     }
 
-    /** Returns whether the loss must be reported now; while the loss lasts, it is reported at regular intervals. */
+    /**
+     * Returns whether the loss of the quorum must be reported now; while the loss lasts, it is reported at regular
+     * intervals.
+     */
     boolean isLossReportDue(boolean leaderKnown, long now) {
         if (leaderKnown || noLeaderSince == NEVER_CHECKED) {
             noLeaderSince = now;
--- a/coordinator/src/main/java/weldhitch/coordinator/server/SubmissionDirectory.java
+++ b/coordinator/src/main/java/weldhitch/coordinator/server/SubmissionDirectory.java
@@ -37,6 +37,7 @@
     private final Path directory;
     private final Path acceptedDirectory;
     private final Path rejectedDirectory;
+    /** Modification time and size of each file at the last scan that read it. */
     private final Map<Path, String> knownStamps = new HashMap<>();
 
     SubmissionDirectory(Path directory) throws IOException {
--- a/fleet/src/main/java/weldhitch/fleet/activation/ActivationParticipant.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ActivationParticipant.java
@@ -234,8 +234,8 @@
                             SwitchSchedule.MAX_CLOCK_ERROR / NANOS_PER_MILLI)
                     .message()));
         }
-        String delay = schedule.isKnown() ? (schedule.switchAt() - now) / NANOS_PER_MILLI + " ms" : "?";
-        String clockError = schedule.isKnown() ? schedule.errorBound() / NANOS_PER_MICRO + " us" : "?";
+        String delay = schedule.isKnown() ? (schedule.switchAt() - now) / NANOS_PER_MILLI + " ms" : "unknown time";
+        String clockError = schedule.isKnown() ? schedule.errorBound() / NANOS_PER_MICRO + " us" : "unknown";
         effects.add(new LogEvent(
                 "version " + target.number() + " activates in " + delay + ", clock error " + clockError));
     }
--- a/fleet/src/main/java/weldhitch/fleet/activation/ClockEstimate.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ClockEstimate.java
@@ -30,7 +30,7 @@
      * @param remoteClockId identifies the remote clock
      * @param sentAt local time before the reading, when the request was sent
      * @param receivedAt local time after the reading, when the response was received
-     * @param reading what the remote clock showed at some time between the two
+     * @param reading the time that the remote clock showed at some moment between the two
      * @param readingError the maximum error of that reading, in either direction
      */
     public void addReading(String remoteClockId, long sentAt, long receivedAt, long reading, long readingError) {
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalZoneHealth.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalZoneHealth.java
@@ -30,8 +30,9 @@
      */
     private static final long ZONE_VERDICT_TTL = 3_000_000_000L;
     /**
-     * The same limit for a failing endpoint in a zone that answers. It is longer because the node rarely picks an
-     * endpoint after a failure, and an endpoint that has had no call for some seconds is probably still down.
+     * The same limit, in nanoseconds, for a failing endpoint in a zone that answers. It is longer because the node
+     * rarely picks an endpoint after a failure, and an endpoint that has had no call for some seconds is probably
+     * still down.
      */
     private static final long ENDPOINT_VERDICT_TTL = 20_000_000_000L;
 
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Hysteresis: {@code begin} is the threshold at which a priority level becomes short of capacity, {@code end} the
-     * one past which it no longer is. They are apart so that the state does not flap. Immutable.
+     * Thresholds with hysteresis: a priority level becomes short of capacity at {@code begin} and stops being short of
+     * capacity past {@code end}. The two differ so that the state does not flap. Immutable.
      */
     public record HysteresisBand(double begin, double end) {}
 
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRules.java
@@ -45,7 +45,7 @@
                 .orElse(1);
     }
 
-    /** Returns the fraction of late attempts from which on a zone takes no traffic from other zones. */
+    /** Returns the fraction of late attempts from which on a zone receives no traffic from other zones. */
     double maxLateFraction() {
         return rules.stream()
                 .mapToDouble(rule -> rule.spillPolicy().lateFraction().begin())
--- a/fleet/src/main/java/weldhitch/fleet/locality/NodeLoadReport.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/NodeLoadReport.java
@@ -7,8 +7,8 @@
  *
  * @param targetUtilization maximum utilization to which traffic from other zones may raise a zone, according to the
  *     node's rules; above 0, at most 1
- * @param maxLateFraction fraction of late attempts from which on a zone takes no traffic from other zones; above 0, at
- *     most 1
+ * @param maxLateFraction fraction of late attempts from which on a zone receives no traffic from other zones; above 0,
+ *     at most 1
  * @param zones the node's observations by zone
  * @param spillDemand the load that the node would send to zones other than its own, in calls per second by zone
  */
--- a/fleet/src/main/java/weldhitch/fleet/locality/PriorityLevelState.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/PriorityLevelState.java
@@ -17,6 +17,10 @@
     private final SpillPolicy policy;
     private boolean spilling;
     private boolean unavailable;
+    /**
+     * 1 if the level is unavailable or past any {@code begin} threshold, -1 if it is past all {@code end} thresholds,
+     * otherwise 0.
+     */
     private int trend;
     private long changedAt;
     private double spillFraction;
--- a/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
@@ -8,9 +8,9 @@
 
 /**
  * Splits the unused capacity of a zone among the nodes that request it, so that the total rate that they may send at
- * any time never exceeds it, even if grants are lost, duplicated or late. To ensure this, a grant counts until it has
- * certainly expired at its node, and a grant that replaces it counts beside it until then. Owned by the leading
- * coordinator's {@link ZoneLoadAggregator}. Not thread-safe.
+ * any time never exceeds this capacity, even if grants are lost, duplicated or late. To ensure this, a grant counts
+ * until it has certainly expired at its node, and a grant that replaces it counts in addition until then. Owned by the
+ * leading coordinator's {@link ZoneLoadAggregator}. Not thread-safe.
  */
 public final class QuotaAllocator {
     /** A grant to one node for one zone: calls per second, and the expiry time by this clock. */
@@ -18,6 +18,7 @@
 
     private final long grantDuration;
     private final ReplacedGrants replacedGrants;
+    /** The issued grants by zone and node. */
     private final Map<String, Map<String, List<IssuedGrant>>> issuedGrants = new TreeMap<>();
     private final Map<String, Map<String, Double>> demandByZone = new TreeMap<>();
 
@@ -54,7 +55,7 @@
     /**
      * Issues a grant: the rate that the node may send to the zone from now on, for at most {@code grantDuration}.
      *
-     * @param headroom the rate that the zone can take in addition to its own load, from all nodes together, in calls
+     * @param headroom the rate that the zone can serve in addition to its own load, from all nodes together, in calls
      *     per second
      * @return calls per second, 0 for none
      */
--- a/fleet/src/main/java/weldhitch/fleet/locality/ReplacedGrants.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ReplacedGrants.java
@@ -4,6 +4,6 @@
 enum ReplacedGrants {
     /** The grant counts until it expires, because the node may not have received the newer one. Used in production. */
     COUNTED_UNTIL_EXPIRY,
-    /** The grant no longer counts. For tests, which show that a zone is then granted more than it can take. */
+    /** The grant no longer counts. For tests, which show that a zone is then granted more than it can serve. */
     IGNORED
 }
--- a/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/Spillover.java
@@ -37,6 +37,10 @@
     /** Whether the coordinators currently grant quotas. */
     private boolean coordinated;
 
+    /**
+     * Credit for spilling over without a quota grant, at most 1: grows with each request, and a request that spills
+     * over costs 1.
+     */
     private double uncoordinatedCredit;
 
     /**
@@ -171,6 +175,7 @@
             PriorityLevelState state = levels.get(i).state;
             double spillFraction = i == levels.size() - 1 ? 0 : state.spillFraction(now);
             boolean spills = remainingDraw < spillFraction;
+            // Scales the draw for the next level, at which it is uniform from 0 to 1 again.
             remainingDraw = spills
                     ? remainingDraw / spillFraction
                     : (remainingDraw - spillFraction) / Math.max(MIN_DIVISOR, 1 - spillFraction);
--- a/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadAggregator.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/ZoneLoadAggregator.java
@@ -101,7 +101,7 @@
     }
 
     /**
-     * Returns the rate that a zone can take in addition to the calls not paid for by quota grants, up to the target
+     * Returns the rate that a zone can serve in addition to the calls not paid for by quota grants, up to the target
      * utilization; the more of its answers are late, the lower this rate.
      */
     private double headroom(MergedZone mergedZone) {
--- a/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
@@ -17,8 +17,8 @@
 import weldhitch.fleet.table.VersionedTables;
 
 /**
- * A running fleet member. It owns the thread that exchanges heartbeats with the coordinators, has the tables of
- * versions built and publishes the active ones. Requests acquire tables from {@link #tables} on any thread. While no
+ * A running fleet member. It owns the thread that exchanges heartbeats with the coordinators, builds the tables of
+ * versions and publishes the active ones. Requests acquire tables from {@link #tables} on any thread. While no
  * coordinator responds, the active version stays active. The lock of this object guards the participant and the built
  * tables.
  *
@@ -186,7 +186,7 @@
             applyEffects(participant.onResponse(sentAt, System.nanoTime(), response));
         }
         if (!response.fromLeader()) {
-            onNoLeaderResponse("no leader");
+            onNoLeaderResponse("the coordinator that responded is not the leader");
             return;
         }
         Optional<RouteVersion> versionToBuild;
@@ -240,7 +240,7 @@
         try {
             result = versionTableBuilder.build(version);
         } catch (IOException e) {
-            // The next round fetches it again.
+            // The next heartbeat exchange fetches the bundle again.
             log.accept("fleet: " + e.getMessage());
             return;
         }
