--- a/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
@@ -16,7 +16,7 @@
 import weldhitch.fleet.activation.MemberHeartbeatResponse;
 
 /**
- * Simulates coordinators and members in virtual time, each with a clock of its own, over a network that a
+ * Simulates coordinators and members in virtual time, each with its own clock, over a network that a
  * {@link FaultModel} controls. The simulation knows the true time and compares the versions that members serve.
  *
  * <p>Single-threaded.
@@ -394,6 +394,7 @@
     private final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>();
     private final Map<Long, CommittedState> committedByGeneration = new HashMap<>();
     private final Map<String, CommittedState> acceptedByBallot = new HashMap<>();
+    /** Whether each decided version was committed, by version number. */
     private final Map<Long, Boolean> outcomes = new HashMap<>();
     /** The first and last true time at which any member served a version, by version number. */
     final TreeMap<Long, long[]> servedIntervals = new TreeMap<>();
@@ -502,7 +503,7 @@
                     && acceptedCounts.merge(
                                     acceptorState.generation() + " " + acceptorState.acceptedBallot(), 1, Integer::sum)
                             > coordinatorNames.size() / 2) {
-                violations.add(leader.name + " granted a lease at " + now / MILLI + " ms without a decided commit");
+                violations.add(leader.name + " granted a lease at " + now / MILLI + " ms, omitting a decided commit");
             }
         }
     }
--- a/coordinator/src/test/java/weldhitch/coordinator/core/SubmissionQueueTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/SubmissionQueueTest.java
@@ -10,7 +10,7 @@
 import weldhitch.consensus.CommittedState;
 import weldhitch.coordinator.core.Effect.Submitted;
 
-/** Submissions are proposed in order, one at a time, and reported once they are versions. */
+/** Tests that submissions are proposed in order, one at a time, and reported once they are versions. */
 class SubmissionQueueTest {
     private final SubmissionQueue queue = new SubmissionQueue("s1");
     private final CommittedState initial = CoreFixtures.withMembers("m1");
--- a/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
@@ -49,10 +49,11 @@
         assertNull(cluster.whyNotConverged(), cluster.eventLogText());
         assertEquals(Map.of(1L, true), cluster.outcomes());
         assertTrue(
-                cluster.maxOverlap() <= 4 * MILLI, "overlap " + cluster.maxOverlap() + "\n" + cluster.eventLogText());
+                cluster.maxOverlap() <= 4 * MILLI,
+                "overlap in ns: " + cluster.maxOverlap() + "\n" + cluster.eventLogText());
         assertTrue(
                 cluster.servedIntervals.get(1L)[0] - cluster.servedIntervals.get(0L)[1] < 250 * MILLI,
-                "no version was served for too long: " + cluster.eventLogText());
+                "no member served any version for 250 ms or more: " + cluster.eventLogText());
         cluster.coordinators.get("s1").submit("b", "bb");
         cluster.runUntil(40 * SECOND);
         assertEquals(Map.of(1L, true, 2L, true), cluster.outcomes());
@@ -102,7 +103,7 @@
         partitioned[0] = false;
         fencedCluster.runUntil(50 * SECOND);
         assertNull(fencedCluster.whyNotConverged(), fencedCluster.eventLogText());
-        assertTrue(fencedCluster.maxOverlap() <= 4 * MILLI, "overlap " + fencedCluster.maxOverlap());
+        assertTrue(fencedCluster.maxOverlap() <= 4 * MILLI, "overlap in ns: " + fencedCluster.maxOverlap());
     }
 
     /**
@@ -118,6 +119,7 @@
         final long partitionStart;
         final long partitionLength;
         final String partitionedProcess;
+        /** The lost messages: 0 for those from the process, 1 for those to it, 2 for both. */
         final int partitionDirection;
         boolean faultFree;
 
@@ -276,7 +278,10 @@
         System.out.println(schedules + " schedules, versions committed and aborted: " + outcomes);
     }
 
-    /** A fault of one process: its kind, the process, and its start time. The duration depends on the kind. */
+    /**
+     * A fault of one process: its kind, the process, and its start time. The duration depends on the kind: 0 kills the
+     * process and restarts it, 1 pauses it, 2 drops the messages from it, and 3 drops the messages to it.
+     */
     private record InjectedFault(int kind, String process, long at) {
         static final long[] DURATION_BY_KIND = {300 * MILLI, 3 * SECOND, 3 * SECOND, 3 * SECOND};
 
@@ -369,7 +374,7 @@
                     String violation = !cluster.violations.isEmpty()
                             ? cluster.violations.get(0)
                             : cluster.maxOverlap() > 2 * cluster.maxSwitchError + MILLI
-                                    ? "overlap " + cluster.maxOverlap()
+                                    ? "overlap in ns: " + cluster.maxOverlap()
                                     : cluster.whyNotConverged();
                     return violation == null
                             ? null
@@ -413,7 +418,7 @@
             assertEquals(
                     disabledSafeguard == DisabledSafeguard.EVERY_VOTE,
                     cluster.maxOverlap() > SECOND,
-                    disabledSafeguard + ": overlap " + cluster.maxOverlap());
+                    disabledSafeguard + ": overlap in ns: " + cluster.maxOverlap());
         }
     }
 
@@ -448,7 +453,7 @@
             assertEquals(
                     disabledSafeguard == DisabledSafeguard.CLOCK_DRIFT_BOUND,
                     cluster.maxOverlap() > 50 * MILLI,
-                    disabledSafeguard + ": overlap " + cluster.maxOverlap() + "\n" + cluster.eventLogText());
+                    disabledSafeguard + ": overlap in ns: " + cluster.maxOverlap() + "\n" + cluster.eventLogText());
         }
     }
 
--- a/fleet/src/test/java/weldhitch/fleet/locality/QuotaGrantTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/QuotaGrantTest.java
@@ -199,13 +199,14 @@
         long[] delays = {10 * NANOS_PER_MILLI, 700 * NANOS_PER_MILLI, 1900 * NANOS_PER_MILLI};
         for (long firstDelay : delays) {
             for (long secondDelay : delays) {
-                for (long deposedAt = 0; deposedAt <= 3000 * NANOS_PER_MILLI; deposedAt += 100 * NANOS_PER_MILLI) {
+                for (long leaderEnd = 0; leaderEnd <= 3000 * NANOS_PER_MILLI; leaderEnd += 100 * NANOS_PER_MILLI) {
                     for (long leaderlessFor : new long[] {0, 400 * NANOS_PER_MILLI, 1500 * NANOS_PER_MILLI}) {
-                        double maxRate = maxGrantedRate(firstDelay, secondDelay, deposedAt, leaderlessFor);
+                        double maxRate = maxGrantedRate(firstDelay, secondDelay, leaderEnd, leaderlessFor);
                         assertTrue(
                                 maxRate <= 200 + 1e-6,
-                                firstDelay / NANOS_PER_MILLI + " " + secondDelay / NANOS_PER_MILLI + " "
-                                        + deposedAt / NANOS_PER_MILLI + " " + leaderlessFor / NANOS_PER_MILLI + ": "
+                                firstDelay / NANOS_PER_MILLI + " and " + secondDelay / NANOS_PER_MILLI
+                                        + " ms delay, leader ends at " + leaderEnd / NANOS_PER_MILLI
+                                        + " ms, next one after " + leaderlessFor / NANOS_PER_MILLI + " ms: granted "
                                         + maxRate);
                         schedules++;
                     }
@@ -219,7 +220,7 @@
      * Returns the largest total of grants when each of two nodes requests a headroom of 200 completely: the first node
      * from the former leader, then both from the next leader.
      */
-    private static double maxGrantedRate(long firstDelay, long secondDelay, long deposedAt, long leaderlessFor) {
+    private static double maxGrantedRate(long firstDelay, long secondDelay, long leaderEnd, long leaderlessFor) {
         ZoneLoadAggregator aggregator = new ZoneLoadAggregator(-ZoneLoadAggregator.GRANT_DURATION, 0);
         List<SpillTokens> tokensByNode = List.of(new SpillTokens(), new SpillTokens());
         TestScheduler scheduler = new TestScheduler();
@@ -230,15 +231,15 @@
         double maxRate = 0;
         for (long now = 0; now <= 8000 * NANOS_PER_MILLI; now += 100 * NANOS_PER_MILLI) {
             scheduler.runDue(now);
-            if (now == deposedAt) {
+            if (now == leaderEnd) {
                 aggregator = null;
             }
-            if (now == deposedAt + leaderlessFor) {
+            if (now == leaderEnd + leaderlessFor) {
                 aggregator = new ZoneLoadAggregator(now, 0);
             }
             for (int n = 0; n < 2 && aggregator != null; n++) {
                 // Before the change of leader only the first node requests it, afterwards both do.
-                boolean demanding = n == 0 || now > deposedAt;
+                boolean demanding = n == 0 || now > leaderEnd;
                 aggregator.onReport("n" + n, demanding ? demandingReport : idleReport, now);
                 FleetView view = aggregator.viewFor("n" + n, 2, now);
                 int node = n;
--- a/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
@@ -33,6 +33,7 @@
         /** The actual capacity of its endpoints as a fraction of the nominal capacity. */
         double speedFactor = 1;
 
+        /** The calls in each time step of the last second. */
         final int[] callsByStep = new int[200];
         final int[] servedByStep = new int[200];
         double peakUtilization;
@@ -105,10 +106,10 @@
     void runUntil(long end) {
         for (; now < end; now += TIME_STEP) {
             scheduler.runDue(now);
-            int bin = (int) (now / TIME_STEP % 200);
+            int step = (int) (now / TIME_STEP % 200);
             zones.values().forEach(z -> {
-                z.callsByStep[bin] = 0;
-                z.servedByStep[bin] = 0;
+                z.callsByStep[step] = 0;
+                z.servedByStep[step] = 0;
             });
             for (int n = 0; n < nodes.size(); n++) {
                 double arrivals = fractionalArrivals.get(n)
@@ -117,7 +118,7 @@
                                 * TIME_STEP
                                 / SECOND;
                 for (; arrivals >= 1; arrivals--) {
-                    sendRequest(n, bin);
+                    sendRequest(n, step);
                 }
                 fractionalArrivals.set(n, arrivals);
                 long tick = now / TIME_STEP + n;
@@ -136,7 +137,7 @@
         }
     }
 
-    private void sendRequest(int nodeIndex, int bin) {
+    private void sendRequest(int nodeIndex, int step) {
         offeredRequests++;
         ZoneSelector node = nodes.get(nodeIndex);
         ZoneSelection selection = node.select("any", null, null, random.nextDouble(), now);
@@ -145,10 +146,10 @@
                     selection.zones().get(random.nextInt(selection.zones().size())));
             String endpoint = zone.name + random.nextInt(zone.endpointCount);
             node.onAttemptSent(endpoint, selection, now);
-            zone.callsByStep[bin]++;
+            zone.callsByStep[step]++;
             int servedInLastTenth = 0;
             for (int i = 0; i < 20; i++) {
-                servedInLastTenth += zone.servedByStep[(bin - i + 200) % 200];
+                servedInLastTenth += zone.servedByStep[(step - i + 200) % 200];
             }
             boolean hasCapacity = servedInLastTenth < zone.capacity() * zone.speedFactor / 10;
             node.onAttemptEnded(
@@ -158,7 +159,7 @@
                     now,
                     now);
             if (!zone.down && hasCapacity) {
-                zone.servedByStep[bin]++;
+                zone.servedByStep[step]++;
                 servedRequests++;
                 return;
             }
--- a/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
@@ -60,12 +60,12 @@
         assertEquals(
                 List.of(Set.of("a"), Set.of("c")),
                 REGIONS.priorityLevels(rule(SPILL_POLICY, false, "b", "d"), "a", availableZones));
-        // A lost zone remains the first level. Otherwise the next level would take its place and be filled without a
-        // limit.
+        // A first level without an available zone remains the first. Otherwise the next level would take its place and
+        // be filled without a limit.
         assertEquals(
                 List.of(Set.of("a"), Set.of("b"), Set.of("c", "d")),
                 REGIONS.priorityLevels(rule(SPILL_POLICY, false), "a", Set.of("b", "c", "d")));
-        // A zone that no region names is a region of its own.
+        // A zone that is in none of the regions counts as a separate region.
         assertEquals(
                 List.of(Set.of("x"), Set.of("a")),
                 REGIONS.priorityLevels(rule(SPILL_POLICY, false), "x", Set.of("x", "a")));
@@ -210,8 +210,8 @@
     }
 
     /**
-     * A fresh fleet view takes precedence over the node's own view, but a zone that the node itself cannot reach is
-     * lost to it.
+     * A fresh fleet view takes precedence over the node's own view, but a zone that the node itself cannot reach counts
+     * as unavailable.
      */
     @Test
     void staleFleetViewIsReplacedByTheLocalView() {
@@ -236,7 +236,7 @@
         for (int i = 0; i < 6; i++) {
             node.onAttemptEnded("a0", CallResult.FAILED, false, 10 * SECOND, 10 * SECOND);
         }
-        assertEquals(0, node.zoneViews(10 * SECOND).get("a").healthyFraction(), "only this node is cut off");
+        assertEquals(0, node.zoneViews(10 * SECOND).get("a").healthyFraction(), "the node's own view is worse");
         assertEquals(1, node.zoneViews(10 * SECOND).get("b").healthyFraction());
         // A zone counts as failing for a limited time only; otherwise it would never be tried again.
         assertEquals(1, node.zoneViews(14 * SECOND).get("a").healthyFraction());
