--- a/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
@@ -166,8 +166,7 @@
         void start() {
             startCount++;
             running = true;
-            // Without the lease expiry, the activation time is earlier by the lease duration. Without a drift
-            // bound, all clocks are assumed to run at the same rate.
+            // Without a drift bound, all clocks are assumed to run at the same rate.
             LeaseTiming coordinatorTiming = disabledSafeguard == DisabledSafeguard.CLOCK_DRIFT_BOUND
                     ? new LeaseTiming(
                             timing.leaderLease(),
@@ -187,6 +186,7 @@
                     startedAt,
                     name.hashCode() + 31L * startCount,
                     new Safeguards(
+                            // Without this safeguard, the activation time is earlier by the lease duration.
                             disabledSafeguard != DisabledSafeguard.COMMIT_AFTER_LEASE_EXPIRY,
                             disabledSafeguard != DisabledSafeguard.LEADERSHIP_CONFIRMED_FIRST,
                             disabledSafeguard != DisabledSafeguard.LEASES_WITHHELD_DURING_COMMIT,
--- a/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
@@ -492,7 +492,10 @@
         return ((Proposer.Committed) proposer.outcome()).state().command().id();
     }
 
-    /** Runs phase 1 with some acceptors and phase 2 with others, without announcing the result. */
+    /**
+     * Runs phase 1 with some acceptors and phase 2 with others, without announcing the result. The proposer receives
+     * the replies of phase 2 only if {@code deliverReplies} is true.
+     */
     private static void runRound(
             Proposer proposer,
             Map<String, Acceptor> acceptors,
--- a/fleet/src/test/java/weldhitch/fleet/locality/FleetSpilloverTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/FleetSpilloverTest.java
@@ -81,7 +81,7 @@
                             + uncoordinated.peakUtilizations() + ", served "
                             + uncoordinated.servedFraction() + ", changes " + uncoordinated.maxTransitions());
             assertWithinTarget(fleet);
-            assertTrue(fleet.maxTransitions() <= 3 * 35 / 5, "changes " + fleet.maxTransitions());
+            assertTrue(fleet.maxTransitions() <= 3 * 35 / 5, "priority level changes: " + fleet.maxTransitions());
             // The spill fraction takes 2 s to grow, a tenth of the duration of this overload, and quota grants take
             // another half second.
             assertTrue(
@@ -185,7 +185,7 @@
         System.out.println(
                 "intermittent partition: peaks " + fleet.peakUtilizations() + ", changes " + fleet.maxTransitions());
         assertWithinTarget(fleet);
-        assertTrue(fleet.maxTransitions() <= 3 * 35 / 5, "changes " + fleet.maxTransitions());
+        assertTrue(fleet.maxTransitions() <= 3 * 35 / 5, "priority level changes: " + fleet.maxTransitions());
     }
 
     /**
@@ -229,6 +229,6 @@
                 "b's own load is 600: " + fleet.zones.get("b").callsInLastSecond());
         assertTrue(
                 fleet.maxTransitions() - transitionsBefore <= 3,
-                "changes " + (fleet.maxTransitions() - transitionsBefore));
+                "priority level changes: " + (fleet.maxTransitions() - transitionsBefore));
     }
 }
--- a/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
@@ -322,6 +322,7 @@
         SplittableRandom random = new SplittableRandom(7);
         for (int run = 0; run < 200; run++) {
             QuotaAllocator allocator = new QuotaAllocator(SECOND);
+            // The rate and the expiry time of each grant.
             Map<String, List<double[]>> grantsByNode = new TreeMap<>();
             double headroom = 100;
             TreeMap<Long, Double> headroomByTime = new TreeMap<>(Map.of(0L, headroom));
@@ -358,7 +359,7 @@
                         .sum();
                 assertTrue(
                         totalRate <= maxHeadroom + 1e-6 && allocator.outstanding("z", now) <= maxHeadroom + 1e-6,
-                        "run " + run + ": " + totalRate + " of " + maxHeadroom);
+                        "run " + run + ": granted " + totalRate + ", headroom " + maxHeadroom);
             }
         }
     }
--- a/node/src/main/java/weldhitch/node/NodeService.java
+++ b/node/src/main/java/weldhitch/node/NodeService.java
@@ -17,7 +17,7 @@
     private static final int EXIT_CONFIG = 78;
 
     private final Map<String, String> environment;
-    /** Guarded by itself, as each signal arrives on a separate thread. */
+    /** Guarded by itself, because each signal arrives on a separate thread. */
     private final ProcessLifecycle lifecycle = new ProcessLifecycle();
 
     private volatile Node node;
--- a/node/src/main/java/weldhitch/node/ZoneRouter.java
+++ b/node/src/main/java/weldhitch/node/ZoneRouter.java
@@ -124,7 +124,7 @@
             case TIMED_OUT, CONNECT_FAILED, RESET -> CallResult.FAILED;
             default -> CallResult.ANSWERED;
         };
-        // An application error counts as a late response, not a failed one, as its endpoint is reachable.
+        // An application error counts as a late response, not as a failed one, because its endpoint is reachable.
         long now = clock.now();
         zoneSelector.onAttemptEnded(
                 endpointId,
