--- a/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/SimulatedCoordinators.java
@@ -16,7 +16,7 @@
 import weldhitch.fleet.activation.MemberHeartbeatResponse;
 
 /**
- * Simulates coordinators and members in virtual time, each with a clock of its own, over a network that a
+ * Simulates coordinators and members in virtual time, each with its own clock, over a network that a
  * {@link FaultModel} controls. The simulation knows the true time and compares the versions that members serve.
  *
  * <p>Single-threaded.
@@ -166,8 +166,7 @@
         void start() {
             startCount++;
             running = true;
-            // Without the lease expiry, the activation time is earlier by the lease duration. Without a drift
-            // bound, all clocks are assumed to run at the same rate.
+            // Without a drift bound, all clocks are assumed to run at the same rate.
             LeaseTiming coordinatorTiming = disabledSafeguard == DisabledSafeguard.CLOCK_DRIFT_BOUND
                     ? new LeaseTiming(
                             timing.leaderLease(),
@@ -187,6 +186,7 @@
                     startedAt,
                     name.hashCode() + 31L * startCount,
                     new Safeguards(
+                            // Without this safeguard, the activation time is earlier by the lease duration.
                             disabledSafeguard != DisabledSafeguard.COMMIT_AFTER_LEASE_EXPIRY,
                             disabledSafeguard != DisabledSafeguard.LEADERSHIP_CONFIRMED_FIRST,
                             disabledSafeguard != DisabledSafeguard.LEASES_WITHHELD_DURING_COMMIT,
@@ -394,6 +394,7 @@
     private final PriorityQueue<ScheduledEvent> eventQueue = new PriorityQueue<>();
     private final Map<Long, CommittedState> committedByGeneration = new HashMap<>();
     private final Map<String, CommittedState> acceptedByBallot = new HashMap<>();
+    /** Whether each decided version was committed, by version number. */
     private final Map<Long, Boolean> outcomes = new HashMap<>();
     /** The first and last true time at which any member served a version, by version number. */
     final TreeMap<Long, long[]> servedIntervals = new TreeMap<>();
@@ -502,7 +503,7 @@
                     && acceptedCounts.merge(
                                     acceptorState.generation() + " " + acceptorState.acceptedBallot(), 1, Integer::sum)
                             > coordinatorNames.size() / 2) {
-                violations.add(leader.name + " granted a lease at " + now / MILLI + " ms without a decided commit");
+                violations.add(leader.name + " granted a lease at " + now / MILLI + " ms, omitting a decided commit");
             }
         }
     }
--- a/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
@@ -60,12 +60,12 @@
         assertEquals(
                 List.of(Set.of("a"), Set.of("c")),
                 REGIONS.priorityLevels(rule(SPILL_POLICY, false, "b", "d"), "a", availableZones));
-        // A lost zone remains the first level. Otherwise the next level would take its place and be filled without a
-        // limit.
+        // A first level without an available zone remains the first. Otherwise the next level would take its place and
+        // be filled without a limit.
         assertEquals(
                 List.of(Set.of("a"), Set.of("b"), Set.of("c", "d")),
                 REGIONS.priorityLevels(rule(SPILL_POLICY, false), "a", Set.of("b", "c", "d")));
-        // A zone that no region names is a region of its own.
+        // A zone that is in none of the regions counts as a separate region.
         assertEquals(
                 List.of(Set.of("x"), Set.of("a")),
                 REGIONS.priorityLevels(rule(SPILL_POLICY, false), "x", Set.of("x", "a")));
@@ -210,8 +210,8 @@
     }
 
     /**
-     * A fresh fleet view takes precedence over the node's own view, but a zone that the node itself cannot reach is
-     * lost to it.
+     * A fresh fleet view takes precedence over the node's own view, but a zone that the node itself cannot reach counts
+     * as unavailable.
      */
     @Test
     void staleFleetViewIsReplacedByTheLocalView() {
@@ -236,7 +236,7 @@
         for (int i = 0; i < 6; i++) {
             node.onAttemptEnded("a0", CallResult.FAILED, false, 10 * SECOND, 10 * SECOND);
         }
-        assertEquals(0, node.zoneViews(10 * SECOND).get("a").healthyFraction(), "only this node is cut off");
+        assertEquals(0, node.zoneViews(10 * SECOND).get("a").healthyFraction(), "the node's own view is worse");
         assertEquals(1, node.zoneViews(10 * SECOND).get("b").healthyFraction());
         // A zone counts as failing for a limited time only; otherwise it would never be tried again.
         assertEquals(1, node.zoneViews(14 * SECOND).get("a").healthyFraction());
@@ -322,6 +322,7 @@
         SplittableRandom random = new SplittableRandom(7);
         for (int run = 0; run < 200; run++) {
             QuotaAllocator allocator = new QuotaAllocator(SECOND);
+            // The rate and the expiry time of each grant.
             Map<String, List<double[]>> grantsByNode = new TreeMap<>();
             double headroom = 100;
             TreeMap<Long, Double> headroomByTime = new TreeMap<>(Map.of(0L, headroom));
@@ -358,7 +359,7 @@
                         .sum();
                 assertTrue(
                         totalRate <= maxHeadroom + 1e-6 && allocator.outstanding("z", now) <= maxHeadroom + 1e-6,
-                        "run " + run + ": " + totalRate + " of " + maxHeadroom);
+                        "run " + run + ": granted " + totalRate + ", headroom " + maxHeadroom);
             }
         }
     }
