--- a/capture/src/main/java/weldhitch/capture/format/BlockFormat.java
+++ b/capture/src/main/java/weldhitch/capture/format/BlockFormat.java
@@ -13,7 +13,7 @@
     static final int FORMAT_VERSION = 1;
     static final int FILE_HEADER_BYTES = 16;
     static final int BLOCK_HEADER_BYTES = 48;
-    /** Flag: the block starts with a document of kind 1 and can be read without any earlier block. */
+    /** Flag: the block starts with a snapshot document (kind 1) and can be read without any earlier block. */
     static final int FLAG_SELF_CONTAINED = 1;
     /** Limit for a block's uncompressed content, in bytes. */
     static final int MAX_CONTENT_BYTES = 64 << 20;
@@ -21,7 +21,9 @@
     private static final long MAX_COMPRESSION_RATIO = 4096;
 
     private static final long COMPRESSION_RATIO_SLACK_BYTES = 64 << 10;
+    /** The ASCII characters "WLITHCAP" in file order. */
     private static final long FILE_MAGIC = 0x5041434854494c57L;
+    /** The ASCII characters "WBLK" in file order. */
     static final int BLOCK_MAGIC = 0x4b4c4257;
 
     private BlockFormat() {}
--- a/capture/src/main/java/weldhitch/capture/format/RecordEncoder.java
+++ b/capture/src/main/java/weldhitch/capture/format/RecordEncoder.java
@@ -61,6 +61,7 @@
     /** Takes the place of the two-byte length of a longer record; its four-byte length follows. */
     static final int EXTENDED_LENGTH_MARKER = 65_535;
 
+    /** A longer text is written in a record with a four-byte length; in bytes. */
     private static final int MAX_SHORT_RECORD_TEXT_BYTES = 60_000;
 
     private final ExpandableDirectByteBuffer buffer = new ExpandableDirectByteBuffer(64 * 1024);
@@ -412,6 +413,7 @@
 
     private long advanceClock(long timestamp) {
         long elapsed = timestamp - lastTimestamp;
+        // The elapsed time is written as a uint32 in nanoseconds, which covers up to 4.29 s.
         if (elapsed < 0 || elapsed > 4_000_000_000L) {
             clockSet.wrapAndApplyHeader(buffer, beginRecord(false), header);
             clockSet.now(timestamp);
--- a/capture/src/main/java/weldhitch/capture/policy/RetentionPolicy.java
+++ b/capture/src/main/java/weldhitch/capture/policy/RetentionPolicy.java
@@ -13,7 +13,7 @@
     /**
      * A segment and its size. Immutable.
      *
-     * @param segment whatever the caller identifies a segment by
+     * @param segment the caller's identifier of the segment
      */
     public record SegmentSize<T>(T segment, long bytes) {}
 
--- a/capture/src/main/java/weldhitch/capture/policy/WriterPolicy.java
+++ b/capture/src/main/java/weldhitch/capture/policy/WriterPolicy.java
@@ -90,7 +90,7 @@
         dropped = new DroppedEvents(eventTime, eventTime, 1).merge(dropped);
     }
 
-    /** Records that a snapshot was dropped; the dropped events that it was to report remain to be reported. */
+    /** Records that a snapshot was dropped; the next snapshot reports the dropped events that this one contained. */
     public void onSnapshotDropped(DroppedEvents droppedBefore) {
         dropped = droppedBefore == null ? dropped : droppedBefore.merge(dropped);
     }
