--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimCluster.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimCluster.java
@@ -100,7 +100,7 @@
             statistics.bySecond.add(new RunStatistics.RequestStatistics());
         }
         scenario.workloads()
-                .forEach(k -> statistics.byClass.put(k.requestClass().name(), new RunStatistics.RequestStatistics()));
+                .forEach(w -> statistics.byClass.put(w.requestClass().name(), new RunStatistics.RequestStatistics()));
         int nextZone = 0;
         for (ServerGroup group : scenario.serverGroups()) {
             for (int i = 0; i < group.count(); i++) {
@@ -119,7 +119,7 @@
                 .sum();
         double meanWorkSeconds = scenario.workloads().stream()
                 .mapToDouble(
-                        k -> k.trafficWeight() / totalTrafficWeight * k.work().mean() / NANOS_PER_SECOND)
+                        w -> w.trafficWeight() / totalTrafficWeight * w.work().mean() / NANOS_PER_SECOND)
                 .sum();
         requestsPerSecond = scenario.requestsPerSecond() > 0
                 ? scenario.requestsPerSecond()
@@ -180,7 +180,7 @@
     /** Runs to the end of the scenario, and then until every request that is still in flight has ended. */
     public RunStatistics run() {
         long maxDeadline = scenario.workloads().stream()
-                .mapToLong(k -> k.requestClass().deadline())
+                .mapToLong(w -> w.requestClass().deadline())
                 .max()
                 .orElse(0);
         scheduler.runUntil(endTime + 2 * maxDeadline + NANOS_PER_SECOND);
@@ -478,7 +478,7 @@
         final long externalWaitNanos;
         final long backoff;
         final String zone;
-        /** Whether it waits as long as the Retry-After of a rejection asks for. */
+        /** Whether it waits for the Retry-After time of a rejection before it retries. */
         final boolean honoursRetryAfter;
 
         long retryDelay;
--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimNode.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimNode.java
@@ -318,7 +318,7 @@
         int originalIncarnation = incarnation;
         scheduler.schedule(request.deadline - scheduler.now() + settings.rules().answerGracePeriod(), () -> {
             if (originalIncarnation == incarnation && !request.finished) {
-                throw new AssertionError("no final answer for " + request.id + " of " + arrival.requestClass());
+                throw new AssertionError("no final answer for request " + request.id + " of " + arrival.requestClass());
             }
         });
         submit(arrivalWithZones);
@@ -364,7 +364,7 @@
         } else if (action instanceof RejectRequest reject) {
             InFlightRequest request = inFlightById.get(reject.requestId());
             if (request != null && request.nonIdempotent && request.possibleExecutions > 0) {
-                throw new AssertionError("rejected after it may have run: " + request.id);
+                throw new AssertionError("non-idempotent request rejected after it may have run: " + request.id);
             }
             complete(request, RequestOutcome.REJECTED, reject.retryAfter());
         } else if (action instanceof RequestZones zoneRequest) {
@@ -404,7 +404,7 @@
         int attemptIndex = request.attempts.size();
         request.attempts.add(new SentAttempt(send.endpointId(), scheduler.now()));
         if (request.nonIdempotent && request.possibleExecutions > 0) {
-            throw new AssertionError("sent again after it may have run: " + request.id);
+            throw new AssertionError("non-idempotent request sent again after it may have run: " + request.id);
         }
         request.possibleExecutions++;
         long sentAt = scheduler.now();
--- a/simulator/src/main/java/weldhitch/simulator/cluster/SimServer.java
+++ b/simulator/src/main/java/weldhitch/simulator/cluster/SimServer.java
@@ -36,7 +36,7 @@
     boolean rejectsAll;
 
     boolean stopped;
-    /** Whether it responds to every request with an error at once, as a server with a broken disk may. */
+    /** Whether it immediately responds to every request with an error, as a server with a broken disk may. */
     boolean failsFast;
     /** Whether its machine has vanished, so that it never responds again. */
     boolean silent;
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/ColdStart.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/ColdStart.java
@@ -14,12 +14,13 @@
 public final class ColdStart {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
     private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** Wait that a node with a list requests under {@link PollPacing#LOCAL_AGENT}, in nanoseconds. */
     private static final long MIN_WATCH = 2 * NANOS_PER_SECOND;
     private static final long MAX_POLL_INTERVAL = 10 * NANOS_PER_SECOND;
     private static final long FIRST_POLL_SPREAD_PER_NODE = 50 * NANOS_PER_MILLI;
     /** Longest time until a coordinator first responds after a node's start, in nanoseconds. */
     private static final long MAX_FIRST_COORDINATOR_DELAY = 50 * NANOS_PER_MILLI;
-    /** Longest time until a coordinator responds later, when it may hold a heartbeat open; in nanoseconds. */
+    /** Longest time until a coordinator responds later, because it may delay its response to a heartbeat; in ns. */
     private static final long MAX_COORDINATOR_DELAY = 500 * NANOS_PER_MILLI;
 
     /** How nodes pace their polls. */
@@ -38,7 +39,7 @@
      * @param pollsPerSecond polls without a list in the response that the service can answer per second
      * @param linesPerSecond lines of lists that it can write per second if it does nothing else
      * @param maxQueueLength number of queued polls beyond which it rejects
-     * @param outageSeconds seconds from the first start during which the service is down; 0 for none
+     * @param maxQueueLength number of queued polls from which on it rejects further polls
      * @param silentOutage whether it is unresponsive while it is down, instead of refusing connections
      * @param restartAtSeconds seconds after which all nodes restart; 0 for never
      * @param durationSeconds length of the simulation in seconds
@@ -167,7 +168,7 @@
                 scheduler.schedule((long) (random.nextDouble() * MAX_FIRST_COORDINATOR_DELAY), () -> pollInSlot(0));
                 return;
             }
-            // The same spread as that of the first polls of the nodes of a real fleet.
+            // The same spread as for the first polls of the nodes in a real fleet.
             scheduler.schedule(
                     (long) (random.nextDouble()
                             * Math.min(0.4 * MAX_POLL_INTERVAL, plan.nodeCount * FIRST_POLL_SPREAD_PER_NODE)),
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/DiscoveryService.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/DiscoveryService.java
@@ -48,7 +48,7 @@
     /**
      * A poll that is queued or waits for an update.
      *
-     * @param fullList whether it asks for the complete list
+     * @param fullList whether it requests the complete list
      * @param watchNanos nanoseconds that it may wait for an update; 0 for not at all
      */
     private record PendingPoll(boolean fullList, long watchNanos, PollCallback callback) {}
@@ -109,7 +109,7 @@
     /**
      * Handles a poll.
      *
-     * @param fullList whether it asks for the complete list
+     * @param fullList whether it requests the complete list
      * @param watchNanos nanoseconds that it may wait for an update; 0 for not at all
      */
     void poll(boolean fullList, long watchNanos, PollCallback callback) {
--- a/simulator/src/main/java/weldhitch/simulator/report/CaptureTap.java
+++ b/simulator/src/main/java/weldhitch/simulator/report/CaptureTap.java
@@ -24,6 +24,7 @@
 public final class CaptureTap implements BalancerTap, Closeable {
     private static final long SNAPSHOT_INTERVAL_NANOS = 60_000_000_000L;
     private static final long MAX_SEGMENT_BYTES = 64L << 20;
+    /** Start time in the names of all segments, in milliseconds since the epoch. */
     private static final long CAPTURE_START_MS = 1_000_000L;
 
     private SegmentFile segment;
--- a/simulator/src/main/java/weldhitch/simulator/scenario/ScenarioFile.java
+++ b/simulator/src/main/java/weldhitch/simulator/scenario/ScenarioFile.java
@@ -187,7 +187,7 @@
 
     private static void validate(String file, Scenario scenario, List<String> problems) {
         List<String> classNames =
-                scenario.workloads().stream().map(k -> k.requestClass().name()).toList();
+                scenario.workloads().stream().map(w -> w.requestClass().name()).toList();
         if (classNames.stream().distinct().count() < classNames.size()) {
             problems.add(file + ": class: two have the same name, expected a different name for each of " + classNames);
         }
--- a/simulator/src/main/java/weldhitch/simulator/whatif/ClientRetryModel.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/ClientRetryModel.java
@@ -17,14 +17,15 @@
 /**
  * A model of how clients retry, estimated from a segment of a capture.
  *
- * <p>A capture does not tell which request a retry belongs to, and a retry may go to another node. Because the
- * front end distributes requests evenly, as many retries come to this node from elsewhere as go from it to other nodes.
+ * <p>A capture does not show which request a retry belongs to, and a retry may go to another node. Because the front
+ * end distributes requests evenly, as many retries of other nodes' requests arrive at this node as retries of this
+ * node's requests arrive at other nodes.
  *
- * <p>In the rerun with the captured rules, the captured retries arrive. With other rules, fewer of them arrive, in
- * proportion, if fewer requests of that second were unserved. If more were unserved, more retries arrive: each
- * request beyond the number with the captured rules is retried with the same probability, the ratio of retries to
- * unserved requests of its class, or of all classes if its class had few. So errors that the model makes in both
- * reruns cancel out.
+ * <p>In the rerun with the captured rules, exactly the captured retries arrive. A rerun with other rules compares its
+ * number of unserved requests in the last second with that of the first rerun. If it has fewer, a proportional fraction
+ * of the captured retries arrives. If it has more, all captured retries arrive, and in addition each unserved request
+ * beyond that number is retried with the ratio of retries to unserved requests of its class, or of all classes if its
+ * class had few, as the probability. Errors that the model makes in both reruns therefore cancel out.
  *
  * <p>A capture does not contain the backoff of clients, which is assumed to be uniform up to 200 ms. Requests that
  * must not run twice are retried only after a rejection. Not modified once built.
@@ -34,7 +35,7 @@
     private static final int MIN_SAMPLES = 30;
     /** Upper bound of the assumed backoff, in nanoseconds. */
     private static final double MAX_RETRY_DELAY_NANOS = 200e6;
-    /** Maximum number of retries of one request: unlimited ones would never end. Real clients make up to three. */
+    /** Maximum number of retries of one request, so that a rerun ends. Real clients make up to three. */
     private static final int MAX_RETRIES = 3;
 
     /** Number of unserved requests and of retries, of one class or of all. */
--- a/simulator/src/main/java/weldhitch/simulator/whatif/FittedServer.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/FittedServer.java
@@ -15,10 +15,7 @@
  * over the last second. Cancelled attempts still run to their end. Single-threaded, on the event scheduler.
  */
 final class FittedServer implements SimEndpoint {
-    /**
-     * Time constant, in nanoseconds, of the moving average of this node's attempts in flight. Each other node is
-     * assumed to have as many attempts in flight as this average.
-     */
+    /** Time constant of the moving average of this node's attempts in flight, in nanoseconds. */
     private static final double AVERAGING_NANOS = CapturedAttempts.WINDOW_NANOS;
 
     private final EventScheduler scheduler;
--- a/simulator/src/main/java/weldhitch/simulator/whatif/ServerModel.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/ServerModel.java
@@ -12,16 +12,16 @@
 
 /**
  * A model of the servers, fitted to a segment of a capture. The node sees only its own calls; each other node is
- * assumed to load each server as this node does on average (a mean field). The concurrency of a call is thus this
- * node's calls in flight at the server plus (nodes - 1) times their mean in that second.
+ * assumed to load each server as this node does on average (a mean-field approximation). The concurrency of a call is
+ * thus this node's calls in flight at the server plus (nodes - 1) times their mean in that second.
  *
  * <p>A served call of a class takes {@code slowdown * (fixedNanos + nanosPerCall * concurrency)}: time spent
  * waiting for other services, and time on a core that is shared evenly. {@code fixedNanos} and {@code nanosPerCall}
  * are least-squares estimates over all servers. {@code slowdown} is that of the server in that second, shrunk
  * towards its overall value with the weight of five calls.
  *
- * <p>Failures are fractions of the calls in that second. The server rejects with "full" at a concurrency of
- * its capacity or more. The capacity is chosen such that as many calls of that second reached it as were rejected.
+ * <p>Failures are fractions of the calls in that second. The server rejects a call as full if the concurrency reaches
+ * its capacity. The capacity is chosen such that as many calls of that second reached it as were rejected.
  * Not modified once built.
  */
 final class ServerModel {
--- a/simulator/src/main/java/weldhitch/simulator/whatif/UnservedRequests.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/UnservedRequests.java
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Counts the requests that ended unserved in the second up to this time. The requests whose retries arrive now
-     * are among them.
+     * Counts the requests that ended unserved in the second before this time, inclusive. They include the requests
+     * whose retries arrive at this time.
      */
     int countInLastSecond(String requestClass, long at) {
         List<Long> times = timesByClass.getOrDefault(String.valueOf(requestClass), List.of());
