--- a/simulator/src/test/java/weldhitch/simulator/ColdStartTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/ColdStartTest.java
@@ -64,7 +64,7 @@
         "200, 0, false, 6",
         "400, 0, false, 6"
     })
-    void everyNodeSoonHoldsAListAfterOneFullPoll(
+    void everyNodeGetsAListSoonAfterOneFullPoll(
             int nodeCount, double outageSeconds, boolean silentOutage, double restartAtSeconds) {
         for (int seed = 1; seed <= SEED_COUNT; seed++) {
             Result result = ColdStart.run(
--- a/simulator/src/test/java/weldhitch/simulator/OverloadRecoveryTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/OverloadRecoveryTest.java
@@ -65,14 +65,14 @@
         }
     }
 
-    /** The control: if everything is admitted, as in a tier without admission control, the cluster stays overloaded. */
+    /** Control experiment: a tier without admission control admits all requests, and the cluster stays overloaded. */
     @Test
     void withoutAdmissionControlRetriesSustainTheOverload() {
         Scenario full = scenario("full-tier-1");
         long stillOverloaded = goodputBySeed(100, seed -> full).stream()
                 .filter(goodput -> goodput[20] < 0.7)
                 .count();
-        assertTrue(stillOverloaded >= 20, stillOverloaded + " of 100 are still overloaded 10 s after the trigger");
+        assertTrue(stillOverloaded >= 20, stillOverloaded + " of 100 runs still overloaded 10 s after the trigger");
     }
 
     @Test
@@ -92,7 +92,7 @@
                 .average()
                 .orElseThrow();
         assertTrue(
-                goodputDuringRelease >= 0.88, "mean goodput while half the servers are away: " + goodputDuringRelease);
+                goodputDuringRelease >= 0.88, "mean goodput while half the servers are down: " + goodputDuringRelease);
     }
 
     @Test
@@ -123,9 +123,9 @@
     }
 
     /**
-     * Compares every decision of a node in 1,000 runs with digests that an earlier build has written. An intended
-     * change of a rule or of the simulator rewrites them with {@code -DargLine=-Dweldhitch.digests=write} and states
-     * that it does.
+     * Compares every decision of a node in 1,000 runs with digests that an earlier build wrote. After an intended
+     * change of a rule or of the simulator, they are written again with
+     * {@code -DargLine=-Dweldhitch.digests=write}, and the commit states that it changes them.
      */
     @Test
     void decisionsMatchRecordedDigests() throws Exception {
--- a/simulator/src/test/java/weldhitch/simulator/SimulatorTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/SimulatorTest.java
@@ -116,13 +116,13 @@
         assertTrue(minGoodput(grey, 45, 59) > 0.98, "after the grey failure: " + minGoodput(grey, 45, 59));
     }
 
-    /** Seven times the enrolments exceed the capacity: most are served, and goodput recovers once the spike is over. */
+    /** A spike to seven times the bookings exceeds the capacity: most are served, and goodput recovers afterwards. */
     @Test
     void trafficSpikeIsMostlyServedAndGoodputRecoversAfterIt() throws Exception {
         RunStatistics statistics = run(shippedScenario("campaign"), 4);
         double inTimeFraction = statistics.byClass.get("book-campaign").inTimeFraction();
         assertTrue(statistics.total.rejected > 0);
-        assertTrue(inTimeFraction > 0.85, "enrolments " + inTimeFraction);
+        assertTrue(inTimeFraction > 0.85, "fraction of book-campaign requests served in time: " + inTimeFraction);
         assertTrue(minGoodput(statistics, 70, 89) > 0.98, "after the campaign: " + minGoodput(statistics, 70, 89));
     }
 
--- a/simulator/src/test/java/weldhitch/simulator/WhatIfAnalysisTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/WhatIfAnalysisTest.java
@@ -36,7 +36,7 @@
     private static final int SEED_COUNT = 4;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-    /** Keeps a capture of the first node in memory. */
+    /** Records the capture of the first node in memory. */
     private static final class InMemoryTap implements BalancerTap {
         final List<CaptureEntry> entries = new ArrayList<>();
         private BalancerSettings settings;
@@ -84,14 +84,14 @@
         return analysis.simulate(SEED_COUNT, 0.95);
     }
 
-    private static RouteTable routesForLookUps(RoutePolicy policy) {
+    private static RouteTable routesForViewSlots(RoutePolicy policy) {
         return new RouteTable(
                 List.of(new RouteTable.Route("r", 0, new RoutePattern("view-slots", null, List.of(), true), policy)));
     }
 
     /** Returns routes that allow one attempt with a timeout of 250 ms, which is less than clients allow. */
     private static RouteTable strictTimeout() {
-        return routesForLookUps(
+        return routesForViewSlots(
                 new RoutePolicy(250_000_000L, 0, 1, null, RoutePolicy.RETRYABLE, null, null, null, Map.of()));
     }
 
@@ -154,7 +154,7 @@
 
     @Test
     void modelPredictsOtherRoutesWithoutOverload() throws Exception {
-        RouteTable hedge = routesForLookUps(new RoutePolicy(
+        RouteTable hedge = routesForViewSlots(new RoutePolicy(
                 0,
                 0,
                 0,
--- a/simulator/src/test/java/weldhitch/simulator/ZoneSpilloverTest.java
+++ b/simulator/src/test/java/weldhitch/simulator/ZoneSpilloverTest.java
@@ -208,7 +208,7 @@
         System.out.println(
                 "cross-zone cost: " + crossZoneCost + "\nlocal view: " + uncoordinated + "\nquotas: " + quotaGrants);
         assertTrue(quotaGrants.goodput >= uncoordinated.goodput, quotaGrants + " against " + uncoordinated);
-        // Ten servers: 500 requests per second, of which a tenth is random variation.
+        // Ten servers of a zone serve 500 requests per second; random variation accounts for up to a tenth of them.
         assertTrue(
                 quotaGrants.peakUtilization.get("b") <= TARGET_UTILIZATION + 0.1
                         && quotaGrants.peakUtilization.get("c") <= TARGET_UTILIZATION + 0.1,
