--- a/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
@@ -32,7 +32,7 @@
      */
     private static final int SLOW_MS = 600;
 
-    /** The way in which the servers respond: they serve after 100 ms, reject, or block until released. */
+    /** How the servers respond: they serve after 100 ms, reject immediately, or block until released. */
     private enum Mode {
         ANSWER_SOON,
         FULL,
--- a/node/src/test/java/weldhitch/node/CaptureBenchmark.java
+++ b/node/src/test/java/weldhitch/node/CaptureBenchmark.java
@@ -122,18 +122,18 @@
             run.redirectError(ProcessBuilder.Redirect.DISCARD);
             Process node = run.start();
             try {
-                while (!open(port)) {
+                while (!acceptsConnections(port)) {
                     Thread.onSpinWait();
                 }
                 load(port, WARM_UP_S, clients, 1);
-                long cpu = cpuTicks(node.pid());
+                long cpuTicksBefore = cpuTicks(node.pid());
                 Histogram latency = load(port, seconds, clients, 2);
-                double micros = (cpuTicks(node.pid()) - cpu) * 10_000.0 / latency.getTotalCount();
+                double cpuMicros = (cpuTicks(node.pid()) - cpuTicksBefore) * 10_000.0 / latency.getTotalCount();
                 return new Measurement(
                         (double) latency.getTotalCount() / seconds,
                         latency.getValueAtPercentile(50) / 1e6,
                         latency.getValueAtPercentile(99) / 1e6,
-                        micros,
+                        cpuMicros,
                         latency.getTotalCount(),
                         peakKiB(node.pid()));
             } finally {
@@ -149,7 +149,7 @@
         }
     }
 
-    private static boolean open(int port) {
+    private static boolean acceptsConnections(int port) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             return socket.isConnected();
         } catch (IOException e) {
@@ -157,6 +157,7 @@
         }
     }
 
+    /** Runs a closed loop of clients; phases of the same node have different numbers, so that request ids differ. */
     private static Histogram load(int port, int seconds, int clients, int phase) throws Exception {
         Histogram all = new Histogram(60_000_000_000L, 3);
         AtomicLong ids = new AtomicLong(phase * 0x1000_0000_0000L);
@@ -164,7 +165,7 @@
         long end = System.nanoTime() + seconds * 1_000_000_000L;
         for (int i = 0; i < clients; i++) {
             Thread thread = new Thread(() -> {
-                Histogram own = new Histogram(60_000_000_000L, 3);
+                Histogram latencies = new Histogram(60_000_000_000L, 3);
                 try (TestConnection connection =
                         new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port))) {
                     while (System.nanoTime() < end) {
@@ -174,13 +175,13 @@
                         if (connection.readMessage() == null) {
                             throw new IOException("connection closed without a response");
                         }
-                        own.recordValue(System.nanoTime() - startedAt);
+                        latencies.recordValue(System.nanoTime() - startedAt);
                     }
                 } catch (IOException e) {
                     System.err.println("client stopped: " + e);
                 }
                 synchronized (all) {
-                    all.add(own);
+                    all.add(latencies);
                 }
             });
             thread.start();
--- a/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
+++ b/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
@@ -108,10 +108,10 @@
             List<Future<Long>> readyTimes = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 readyTimes.add(starts.submit(() -> {
-                    long began = System.nanoTime();
+                    long startedAt = System.nanoTime();
                     try (NodeProcess node = new NodeProcess(run -> run, config)) {
                         TestSupport.await(60, () -> statusOf(node, READY) == 200);
-                        long ready = System.nanoTime() - began;
+                        long ready = System.nanoTime() - startedAt;
                         assertEquals(200, statusOf(node, get("first")));
                         return ready / 1_000_000;
                     }
--- a/node/src/test/java/weldhitch/node/FleetIT.java
+++ b/node/src/test/java/weldhitch/node/FleetIT.java
@@ -55,12 +55,12 @@
             }
             long listeningAt = fleet.eventLog.elapsedNanos();
             fleet.discovery.makeAvailable();
-            long serviceBackAt = fleet.eventLog.elapsedNanos();
+            long resumedAt = fleet.eventLog.elapsedNanos();
             TestSupport.await(() -> fleet.discovery.allNotified(fleet.nodes.keySet()));
             long allListedAt = fleet.eventLog.elapsedNanos();
             long allReadyAt = fleet.awaitAllReady();
             long fullLists = fleet.discovery.calls().stream()
-                    .filter(c -> c.atNanos() >= serviceBackAt && c.completeList())
+                    .filter(c -> c.atNanos() >= resumedAt && c.completeList())
                     .count();
             TestSupport.await(() -> fleet.loadGenerator.requests().size() >= Math.max(240, 5 * NODES));
             assertEquals(List.of(), fleet.stopAndCheckInvariants(false), fleet.eventLog.tail(60));
@@ -78,8 +78,8 @@
                     NODES,
                     SERVERS,
                     listeningAt / 1e9,
-                    (allListedAt - serviceBackAt) / 1e9,
-                    (allReadyAt - serviceBackAt) / 1e9,
+                    (allListedAt - resumedAt) / 1e9,
+                    (allReadyAt - resumedAt) / 1e9,
                     fleet.discovery.calls().size(),
                     fullLists,
                     fleet.discovery.peakCalls(100),
@@ -91,8 +91,8 @@
                     requests.stream().filter(a -> a.status() == 200).count(),
                     requests.stream().filter(RequestRecord::isRejected).count()));
             assertTrue(
-                    allListedAt - serviceBackAt < 10_000_000_000L && allReadyAt - serviceBackAt < 10_000_000_000L,
-                    "time until all nodes had the list, ns: " + (allListedAt - serviceBackAt));
+                    allListedAt - resumedAt < 10_000_000_000L && allReadyAt - resumedAt < 10_000_000_000L,
+                    "time until all nodes had the list, ns: " + (allListedAt - resumedAt));
             assertTrue(fullLists <= NODES, "complete lists requested: " + fullLists);
         }
     }
@@ -124,9 +124,9 @@
             });
             fleet.faultInjector.runSchedule(schedule);
             drain.join(20_000);
-            long healed = fleet.eventLog.elapsedNanos();
+            long faultsEndedAt = fleet.eventLog.elapsedNanos();
             // The fleet has recovered when every node serves its clients again.
-            TestSupport.await(() -> recoveredNodes(fleet, healed).size() == fleet.nodes.size());
+            TestSupport.await(() -> recoveredNodes(fleet, faultsEndedAt).size() == fleet.nodes.size());
             assertEquals(List.of(), fleet.stopAndCheckInvariants(true), description + "\n" + fleet.eventLog.tail(60));
             Map<Completion, Integer> ends = new HashMap<>();
             fleet.loadGenerator.requests().forEach(a -> ends.merge(a.completion(), 1, Integer::sum));
--- a/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
@@ -25,7 +25,7 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * Tests the invariants on a node whose servers and links fail by a script, with a client that counts executions.
+ * Tests the invariants on a node whose servers and links fail as scripted, with a client that counts executions.
  */
 class InvariantsOnSocketsTest {
     private static final long GRACE = 2_000_000_000L;
--- a/node/src/test/java/weldhitch/node/NodeShutdownTest.java
+++ b/node/src/test/java/weldhitch/node/NodeShutdownTest.java
@@ -173,7 +173,7 @@
             } while (!"close".equals(stays.readMessage().header("connection")));
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
             assertTrue(!drain.isAlive(), "the shutdown did not complete");
-            // 0.7 s are planned; the timeout for such a client alone would make it at least 2 s.
+            // The node should end after 0.7 s; the timeout for a client that does not close would delay that to 2 s.
             assertTrue(System.nanoTime() - lastWriteAt < 1_900_000_000L, "delayed by a client that does not close");
         }
     }
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -92,12 +92,12 @@
     }
 
     @Test
-    void unavailableWithoutTheNeverRanHeaderIsNoRejection() throws Exception {
+    void unavailableWithoutTheNeverRanHeaderIsNotARejection() throws Exception {
         assertFailsWithoutRetry("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false);
     }
 
     @Test
-    void unavailableWithAnUnknownNeverRanValueIsNoRejection() throws Exception {
+    void unavailableWithAnUnknownNeverRanValueIsNotARejection() throws Exception {
         assertFailsWithoutRetry("HTTP/1.1 503 Busy\r\nX-Never-Ran: 0\r\nContent-Length: 0\r\n\r\n", false);
     }
 
@@ -132,11 +132,11 @@
                 "HTTP/1.1 200 OK\r\nContent-Le",
                 ""
             })
-    void responseCutByAResetMayHaveRunAndIsNotServed(String begun) throws Exception {
+    void responseCutByAResetMayHaveRunAndIsNotServed(String partialResponse) throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         RawHttpMessage m = sendToScriptedServers(
                 connection -> {
-                    connection.write(begun);
+                    connection.write(partialResponse);
                     connection.reset();
                 },
                 attempts);
@@ -230,9 +230,9 @@
 
     @Test
     void informationalResponsesAndFoldedHeadersAreAccepted() throws Exception {
-        String ahead = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
+        String informationalResponses = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
         try (NodeHarness harness = NodeHarness.start(ScriptedServer.respondingWith(
-                m -> ahead + ok("x").replace("\r\n\r\n", "\r\nX-Note: a\r\n b\r\n\r\n")))) {
+                m -> informationalResponses + ok("x").replace("\r\n\r\n", "\r\nX-Note: a\r\n b\r\n\r\n")))) {
             for (int i = 0; i < 3; i++) {
                 assertEquals("x", harness.send(get("k" + i)).bodyText());
             }
@@ -360,8 +360,8 @@
     }
 
     /**
-     * Guards against servers that close a connection as soon as it is reused, however short it was idle. Once the node
-     * has detected that, non-idempotent requests use new connections.
+     * Guards against servers that close a connection as soon as it is reused, however briefly it was idle. Once the
+     * node has detected that, non-idempotent requests use new connections.
      */
     @Test
     void nonIdempotentRequestGetsANewConnectionOnceAReusedOneHasBroken() throws Exception {
--- a/node/src/test/java/weldhitch/node/PackagedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/PackagedNodeIT.java
@@ -75,12 +75,12 @@
         try (NodeProcess node =
                 new NodeProcess(run -> run.replaceFirst("java ", "java -Xlog:class+load:file=" + loaded + ":none "))) {
             node.exercise();
-            List<String> elsewhere = Files.readAllLines(loaded).stream()
+            List<String> notArchived = Files.readAllLines(loaded).stream()
                     .filter(l -> !l.contains("source: shared objects file"))
                     .filter(l ->
                             l.startsWith("weldhitch.") || l.startsWith("io.netty.") || l.startsWith("com.fasterxml."))
                     .toList();
-            assertTrue(elsewhere.size() <= 5, "not in the archive, run ClassListGenerator again: " + elsewhere);
+            assertTrue(notArchived.size() <= 5, "not in the archive, run ClassListGenerator again: " + notArchived);
         } finally {
             Files.delete(loaded);
         }
--- a/node/src/test/java/weldhitch/node/PipelinedInputTest.java
+++ b/node/src/test/java/weldhitch/node/PipelinedInputTest.java
@@ -67,8 +67,8 @@
 
     @Test
     void enqueueAboveTheLimitDiscardsTheMessageAndKeepsTheEarlierOnes() {
-        int fitting = PipelinedInput.MAX_BYTES / PipelinedInput.HEAD_BYTES;
-        for (int i = 0; i < fitting; i++) {
+        int maxHeads = PipelinedInput.MAX_BYTES / PipelinedInput.HEAD_BYTES;
+        for (int i = 0; i < maxHeads; i++) {
             input.enqueue(head(), ARRIVED_AT);
         }
         assertFalse(input.isDiscarding());
--- a/node/src/test/java/weldhitch/node/RequestTokenTest.java
+++ b/node/src/test/java/weldhitch/node/RequestTokenTest.java
@@ -13,12 +13,12 @@
     @Test
     void validatorsAgreeWithTheRegularExpressions() {
         SplittableRandom random = new SplittableRandom(3);
-        String letters = "0123456789..0123456789!~ \u007f\u00e9a-+";
+        String characters = "0123456789..0123456789!~ \u007f\u00e9a-+";
         for (int i = 0; i < 50_000; i++) {
             StringBuilder text = new StringBuilder();
-            int from = random.nextInt(letters.length());
+            int from = random.nextInt(characters.length());
             for (int n = random.nextInt(i % 10 == 0 ? 70 : 6); n > 0; n--) {
-                text.append(letters.charAt(from > 12 ? random.nextInt(letters.length()) : random.nextInt(12)));
+                text.append(characters.charAt(from > 12 ? random.nextInt(characters.length()) : random.nextInt(12)));
             }
             String token = text.toString();
             assertEquals(token.matches("[!-~]{1,64}"), ClientRequestParser.isRequestId(token), token);
--- a/node/src/test/java/weldhitch/node/ResponseBufferTest.java
+++ b/node/src/test/java/weldhitch/node/ResponseBufferTest.java
@@ -12,9 +12,9 @@
 class ResponseBufferTest {
     private final ResourceLimits limits = new ResourceLimits(1024, 64L << 20);
 
-    private ResponseBuffer buffer(long statedLength) {
+    private ResponseBuffer buffer(long declaredLength) {
         return new ResponseBuffer(
-                new ServerResponse("text/plain", statedLength, new BufferedBody(limits, statedLength)));
+                new ServerResponse("text/plain", declaredLength, new BufferedBody(limits, declaredLength)));
     }
 
     private static ByteBuf bytes(int count) {
--- a/node/src/test/java/weldhitch/node/RestartBenchmark.java
+++ b/node/src/test/java/weldhitch/node/RestartBenchmark.java
@@ -16,7 +16,7 @@
 
 /**
  * Measures planned restarts of the packaged node; run by hand. Measures the time from start to readiness, and from
- * SIGTERM to the close of the listener and to the end of the process, with a client that keeps sending on one
+ * SIGTERM to the close of the listener and to the end of the process, both with a client that keeps sending on one
  * connection and without load. docs/restarts-and-releases.md contains the command.
  */
 final class RestartBenchmark {
@@ -51,7 +51,7 @@
         String hosts = NodeHarness.host("s", server.address());
         try (reservedPort;
                 ScriptedServer discovery = NodeHarness.discovery(hosts)) {
-            // As for the service that the node was built for: deadlines of at most 3 s, latency objectives of 1.2 s.
+            // Deadlines of at most 3 s and latency objectives of 1.2 s, as in the service that the node was built for.
             String json = new String(NodeHarness.config(discovery.address(), hosts, 1024, ""), StandardCharsets.UTF_8)
                     .replace("127.0.0.1:0", reservedPort.address())
                     .replace("\"aimS\":4.0", "\"aimS\":1.2")
@@ -66,7 +66,7 @@
                 while (!isReady(port)) {
                     Thread.onSpinWait();
                 }
-                ready.add(since(start));
+                ready.add(elapsedMillis(start));
                 int answered = 0;
                 TestConnection connection = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
                 try {
@@ -77,19 +77,19 @@
                     }
                     long terminatedAt = System.nanoTime();
                     process.destroy();
-                    Thread watch = TestSupport.startDaemon(() -> {
+                    Thread listenerWatcher = TestSupport.startDaemon(() -> {
                         while (listens(port)) {
                             Thread.onSpinWait();
                         }
-                        closed.add(since(terminatedAt));
+                        closed.add(elapsedMillis(terminatedAt));
                     });
                     for (String close = null; underLoad && close == null; answered++) {
                         connection.write(NodeHarness.get("n" + answered));
                         close = connection.readMessage().header("connection");
                     }
                     process.waitFor();
-                    ended.add(since(terminatedAt));
-                    watch.join();
+                    ended.add(elapsedMillis(terminatedAt));
+                    listenerWatcher.join();
                 } finally {
                     connection.close();
                 }
@@ -103,7 +103,7 @@
         }
     }
 
-    private static long since(long start) {
+    private static long elapsedMillis(long start) {
         return (System.nanoTime() - start) / NANOS_PER_MILLI;
     }
 
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Returns whether the kernel's socket table contains the listener. A connection attempt instead would keep the node
-     * listening.
+     * Returns whether the kernel's socket table contains the listener. The benchmark does not connect to find out,
+     * because a connection would keep the node listening.
      */
     private static boolean listens(int port) throws IOException {
         String listening = "(?s).*:" + String.format("%04X", port) + " 0+:0000 0A.*";
--- a/node/src/test/java/weldhitch/node/SignalsTest.java
+++ b/node/src/test/java/weldhitch/node/SignalsTest.java
@@ -31,7 +31,7 @@
     private ReservedPort port;
 
     @BeforeEach
-    void holdPort() throws IOException {
+    void reservePort() throws IOException {
         port = new ReservedPort();
     }
 
@@ -46,16 +46,17 @@
      */
     private static final class ManualSignals implements Signals {
         Runnable reload;
-        Runnable end;
+        Runnable terminate;
         boolean hangUpImmediately;
         boolean terminateImmediately;
         int port;
-        boolean connectable;
+        /** Whether the node already listened when a handler was installed. */
+        boolean listenedTooEarly;
 
         @Override
         public void onHangUp(Runnable handler) {
             reload = handler;
-            connectable |= connects();
+            listenedTooEarly |= canConnect();
             if (hangUpImmediately) {
                 reload.run();
             }
@@ -63,14 +64,14 @@
 
         @Override
         public void onTerminate(Runnable handler) {
-            end = handler;
-            connectable |= connects();
+            terminate = handler;
+            listenedTooEarly |= canConnect();
             if (terminateImmediately) {
-                end.run();
+                terminate.run();
             }
         }
 
-        boolean connects() {
+        boolean canConnect() {
             try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 return socket.isConnected();
             } catch (IOException e) {
@@ -97,8 +98,8 @@
                     dir.resolve("config"),
                     NodeHarness.config(discovery.address(), host("s", server.address()), 1024, ""));
             Node node = new NodeService(environment(config, signals.port), signals).start(null);
-            assertFalse(signals.connectable, "the node listened before its signal handlers were installed");
-            assertTrue(signals.connects());
+            assertFalse(signals.listenedTooEarly, "the node listened before its signal handlers were installed");
+            assertTrue(signals.canConnect());
             node.stop();
         }
     }
@@ -132,7 +133,7 @@
         signals.port = port.number();
         Path config = Files.write(dir.resolve("config"), NodeHarness.config("127.0.0.1:9", "", 1024, ""));
         new NodeService(environment(config, signals.port), signals).start(null);
-        assertFalse(signals.connects());
+        assertFalse(signals.canConnect());
     }
 
     /**
--- a/node/src/test/java/weldhitch/node/StreamTest.java
+++ b/node/src/test/java/weldhitch/node/StreamTest.java
@@ -122,7 +122,7 @@
             connection.readHead();
             // The server is blocked once it has not been able to write for 300 ms.
             TestSupport.await(() -> sent.get() > 0 && System.nanoTime() - sentAt.get() > 300_000_000L);
-            assertTrue(sent.get() < body.length, "the node read all of it for a client that does not read");
+            assertTrue(sent.get() < body.length, "the complete response was read for a client that does not read");
             assertArrayEquals(body, connection.readBytes(body.length));
         }
     }
--- a/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
@@ -42,12 +42,13 @@
      * How long the node stays suspended after the client has disconnected, in milliseconds. Longer than the 100 ms by
      * which the invariant allows the node's view of a client to lag.
      */
-    private static final long SUSPENDED_AFTER_DEPARTURE_MILLIS = 300;
+    private static final long SUSPENDED_AFTER_DISCONNECT_MILLIS = 300;
 
+    /** Time that the resumed node gets to send something that it must not send, in milliseconds. */
     private static final long SETTLE_MILLIS = 300;
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    /** Tolerance by which the remaining time that a server is sent may exceed what the client has left. */
-    private static final double STATED_TIMEOUT_SLACK_SECONDS = 0.15;
+    /** Amount by which the timeout that a server receives may exceed the time that its client still waits. */
+    private static final double DEADLINE_TOLERANCE_SECONDS = 0.15;
 
     /** Ways in which a peer ends a connection. */
     enum Ending {
@@ -63,7 +64,7 @@
         }
     }
 
-    private static void elapse(long millis) {
+    private static void waitMillis(long millis) {
         long startedAt = System.nanoTime();
         TestSupport.await(() -> System.nanoTime() - startedAt > millis * NANOS_PER_MILLI);
     }
@@ -78,7 +79,7 @@
         return new NodeProcess(UnaryOperator.identity(), customize.apply(config).getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String impatient(String request) {
+    private static String withShortTimeout(String request) {
         return request.replace("X-Expires-In: 8.000", "X-Expires-In: 0." + CLIENT_TIMEOUT_MILLIS);
     }
 
@@ -112,16 +113,16 @@
             for (int i = 0; i < clients; i++) {
                 TestConnection connection = reusedConnections ? connections.get(i) : node.connect();
                 connections.set(i, connection);
-                connection.write(impatient(i % 2 == 0 ? get("left-" + i) : post("left-" + i, "body")));
+                connection.write(withShortTimeout(i % 2 == 0 ? get("left-" + i) : post("left-" + i, "body")));
             }
-            elapse(CLIENT_TIMEOUT_MILLIS);
+            waitMillis(CLIENT_TIMEOUT_MILLIS);
             for (TestConnection connection : connections) {
                 ending.apply(connection);
             }
-            elapse(SUSPENDED_AFTER_DEPARTURE_MILLIS);
+            waitMillis(SUSPENDED_AFTER_DISCONNECT_MILLIS);
             node.resume();
             assertEquals(200, node.send(get("after")).status());
-            elapse(SETTLE_MILLIS);
+            waitMillis(SETTLE_MILLIS);
             assertEquals(List.of(), receivedIds("left", server));
         }
     }
@@ -153,11 +154,11 @@
                 TestSupport.await(() -> !receivedIds("left", first, second).isEmpty());
                 node.suspend();
                 // The rejection arrives first, so that the node reads it before the close.
-                elapse(CLIENT_TIMEOUT_MILLIS);
+                waitMillis(CLIENT_TIMEOUT_MILLIS);
                 ending.apply(client);
-                elapse(SUSPENDED_AFTER_DEPARTURE_MILLIS);
+                waitMillis(SUSPENDED_AFTER_DISCONNECT_MILLIS);
                 node.resume();
-                elapse(SETTLE_MILLIS);
+                waitMillis(SETTLE_MILLIS);
                 assertEquals(List.of("left"), receivedIds("left", first, second));
             }
         }
@@ -178,23 +179,23 @@
             node.suspend();
             TestConnection late = stalled.release();
             Ending.CLOSE.apply(client);
-            elapse(SUSPENDED_AFTER_DEPARTURE_MILLIS);
+            waitMillis(SUSPENDED_AFTER_DISCONNECT_MILLIS);
             node.resume();
             assertTrue(late.isClosedByPeer(), "a request was sent for a client that had disconnected");
         }
     }
 
     /**
-     * The remaining time that a server is sent must not exceed what the client has left, however late the node read the
-     * request.
+     * The remaining time that the node sends to a server must not exceed the time that the client still waits, however
+     * late the node read the request.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void remainingTimeExcludesTheTimeBeforeTheRequestWasRead(boolean reusedConnection) throws Exception {
         double timeoutSeconds = 2;
-        Map<String, Double> statedExpiry = new ConcurrentHashMap<>();
+        Map<String, Double> serverDeadline = new ConcurrentHashMap<>();
         ScriptedServer server = ScriptedServer.respondingWith(m -> {
-            statedExpiry.put(
+            serverDeadline.put(
                     m.header("x-trace-id"), System.nanoTime() / 1e9 + Double.parseDouble(m.header("x-expires-in")));
             return ok("x");
         });
@@ -207,13 +208,13 @@
             node.suspend();
             TestConnection client = reusedConnection ? reused : node.connect();
             client.write(post("patient", "body").replace("8.000", Double.toString(timeoutSeconds)));
-            double clientWaitsUntil = System.nanoTime() / 1e9 + timeoutSeconds;
-            elapse(500);
+            double clientDeadline = System.nanoTime() / 1e9 + timeoutSeconds;
+            waitMillis(500);
             node.resume();
             assertEquals(200, client.readMessage().status());
             assertTrue(
-                    statedExpiry.get("patient") <= clientWaitsUntil + STATED_TIMEOUT_SLACK_SECONDS,
-                    "stated " + (statedExpiry.get("patient") - clientWaitsUntil) + " s more than the client waits");
+                    serverDeadline.get("patient") <= clientDeadline + DEADLINE_TOLERANCE_SECONDS,
+                    "server deadline is " + (serverDeadline.get("patient") - clientDeadline) + " s after the client's");
         }
     }
 
@@ -233,7 +234,7 @@
             node.suspend();
             long signalledAt = System.nanoTime();
             node.terminate();
-            elapse(1200);
+            waitMillis(1200);
             node.resume();
             assertEquals(504, client.readMessage().status());
             long answeredAfterMillis = (System.nanoTime() - signalledAt) / NANOS_PER_MILLI;
@@ -244,12 +245,12 @@
     /** A pipelined request waits behind the previous one, and its client's timeout runs meanwhile. */
     @Test
     void remainingTimeOfAPipelinedRequestCountsFromItsArrival() throws Exception {
-        Map<String, Double> statedExpiry = new ConcurrentHashMap<>();
+        Map<String, Double> serverDeadline = new ConcurrentHashMap<>();
         ScriptedServer server = ScriptedServer.respondingWith(m -> {
-            statedExpiry.put(
+            serverDeadline.put(
                     m.header("x-trace-id"), System.nanoTime() / 1e9 + Double.parseDouble(m.header("x-expires-in")));
             if (m.header("x-trace-id").equals("first")) {
-                elapse(500);
+                waitMillis(500);
             }
             return ok("x");
         });
@@ -257,12 +258,12 @@
                 NodeHarness harness = NodeHarness.start(server);
                 TestConnection client = harness.client()) {
             client.write(get("first") + post("second", "body").replace("8.000", "2.000"));
-            double clientWaitsUntil = System.nanoTime() / 1e9 + 2;
+            double clientDeadline = System.nanoTime() / 1e9 + 2;
             assertEquals(200, client.readMessage().status());
             assertEquals(200, client.readMessage().status());
             assertTrue(
-                    statedExpiry.get("second") <= clientWaitsUntil + STATED_TIMEOUT_SLACK_SECONDS,
-                    "stated " + (statedExpiry.get("second") - clientWaitsUntil) + " s more than the client waits");
+                    serverDeadline.get("second") <= clientDeadline + DEADLINE_TOLERANCE_SECONDS,
+                    "server deadline is " + (serverDeadline.get("second") - clientDeadline) + " s after the client's");
         }
     }
 
@@ -289,7 +290,7 @@
                 case "reset" -> idle.reset();
                 default -> idle.write(ok("stray"));
             }
-            elapse(20);
+            waitMillis(20);
             node.resume();
             RawHttpMessage response = client.readMessage();
             assertEquals(200, response.status());
