--- a/capture/src/test/java/weldhitch/capture/live/CaptureWriterTest.java
+++ b/capture/src/test/java/weldhitch/capture/live/CaptureWriterTest.java
@@ -200,7 +200,10 @@
         }
     }
 
-    /** {@code /dev/full}, the device of Linux that is always full, replaces the file until there is space again. */
+    /**
+     * Simulates a full disk: until there is space again, segments are written to {@code /dev/full}, a Linux device on
+     * which every write fails for lack of space.
+     */
     @Test
     void fullDiskDropsEventsAndCaptureResumes() throws Exception {
         AtomicBoolean full = new AtomicBoolean(true);
@@ -312,7 +315,7 @@
         assertEquals(1, CaptureFiles.segmentsIn(root.resolve("capture")).size());
     }
 
-    /** The writer lags behind: the node does not wait for it, and events that find the queue full are counted. */
+    /** The node does not wait for a slow writer: events that find the queue full are dropped and counted. */
     @Test
     void fullQueueDropsEventsAndReportsCount() throws Exception {
         CaptureLimits smallQueue = new CaptureLimits(64 << 20, 3600 * SECOND, 1 << 30, 60 * SECOND, 64);
