--- a/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
@@ -194,7 +194,7 @@
             cluster.mode = Mode.FULL;
             cluster.sendRequests(CLIENTS, cluster.rejected, cluster.rejected.get() + 200);
             int after = cluster.countAdmitted();
-            assertTrue(after > 0 && after <= before / 2, after + " requests admitted after " + before);
+            assertTrue(after > 0 && after <= before / 2, after + " requests admitted, expected 1 to half of " + before);
         }
     }
 
@@ -229,7 +229,7 @@
             drain.countDown();
             assertTrue(listApplied.await(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             int after = cluster.countAdmitted();
-            assertTrue(after > 0 && after <= before / 2, after + " requests admitted after " + before);
+            assertTrue(after > 0 && after <= before / 2, after + " requests admitted, expected 1 to half of " + before);
         }
     }
 }
--- a/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
@@ -121,7 +121,7 @@
             cluster.servers.get(0).byDefault(resetAfterLastByte());
             cluster.sendRequests(60);
             cluster.servers.get(1).close();
-            cluster.servers.get(0).byDefault(respond("well again"));
+            cluster.servers.get(0).byDefault(respond("recovered"));
             cluster.sendRequests(60);
             captureDirectory = cluster.captureDirectory;
             requestsSent = cluster.requestsSent;
--- a/node/src/test/java/weldhitch/node/ClientConnectionTest.java
+++ b/node/src/test/java/weldhitch/node/ClientConnectionTest.java
@@ -128,16 +128,16 @@
 
     @Test
     void clientDisconnectEndsItsAttempt() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch requestReceived = new CountDownLatch(1);
         ScriptedServer server = new ScriptedServer(connection -> {
             connection.readHead();
-            seen.countDown();
+            requestReceived.countDown();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
             TestConnection client = harness.client();
             client.write(get("1"));
             TestConnection attempt = server.nextConnection();
-            seen.await();
+            requestReceived.await();
             client.close();
             assertTrue(attempt.isClosedByPeer(), "the attempt was not cancelled although its client had disconnected");
         }
--- a/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
+++ b/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
@@ -30,14 +30,15 @@
  */
 class DescriptorExhaustionIT {
     private static final int DESCRIPTORS = 256;
-    private static final long GRACE = 2_050_000_000L;
+    /** Time after a drain update in which a draining server may still receive requests, in nanoseconds. */
+    private static final long GRACE_NANOS = 2_050_000_000L;
     private static final String READY = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /**
      * Opens an idle connection. The node may close it without reading, because more connections are opened than the
      * process has descriptors for.
      */
-    private static TestConnection idle(int port, int number) throws IOException {
+    private static TestConnection openIdleConnection(int port, int number) throws IOException {
         TestConnection connection = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
         if (number % 2 == 0) {
             try {
@@ -69,7 +70,7 @@
                 discovery.awaitNotified();
                 discovery.pause();
                 for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-                    idleClients.add(idle(node.port, i));
+                    idleClients.add(openIdleConnection(node.port, i));
                 }
                 discovery.drain("drains").resume();
                 long reachableAt = System.nanoTime();
@@ -77,10 +78,10 @@
                 assertTrue(
                         notifiedAt - reachableAt < 6_000_000_000L,
                         "notified " + (notifiedAt - reachableAt) / 1_000_000 + " ms after discovery resumed");
-                for (int i = 0; System.nanoTime() - notifiedAt < GRACE + 300_000_000L; i++) {
+                for (int i = 0; System.nanoTime() - notifiedAt < GRACE_NANOS + 300_000_000L; i++) {
                     checker.send("after" + i, true, post("after" + i, "b"));
                 }
-                assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE));
+                assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE_NANOS));
                 assertEquals(List.of(), checker.violations(List.of(stays, drains)));
                 assertTrue(checker.completedRequests().stream()
                                 .filter(a -> a.status() == 200)
@@ -100,14 +101,14 @@
      */
     @Test
     void nineInTenRestartsAreReadyWithinTenSeconds() throws Exception {
-        ExecutorService starts = Executors.newFixedThreadPool(10);
+        ExecutorService executor = Executors.newFixedThreadPool(10);
         try (ScriptedHttpServer server = new ScriptedHttpServer("s");
                 FakeDiscovery discovery = new FakeDiscovery()) {
             discovery.add("s", server.address());
             byte[] config = NodeHarness.config(discovery.address(), host("s", server.address()), 1024, "");
             List<Future<Long>> readyTimes = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                readyTimes.add(starts.submit(() -> {
+                readyTimes.add(executor.submit(() -> {
                     long startedAt = System.nanoTime();
                     try (NodeProcess node = new NodeProcess(run -> run, config)) {
                         TestSupport.await(60, () -> statusOf(node, READY) == 200);
@@ -122,10 +123,10 @@
                 millis[i] = readyTimes.get(i).get(90, TimeUnit.SECONDS);
             }
             Arrays.sort(millis);
-            System.out.println("ten nodes started at once are ready after " + Arrays.toString(millis) + " ms");
+            System.out.println("ten nodes started simultaneously are ready after " + Arrays.toString(millis) + " ms");
             assertTrue(millis[8] < 10_000, Arrays.toString(millis));
         } finally {
-            starts.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
--- a/node/src/test/java/weldhitch/node/FleetIT.java
+++ b/node/src/test/java/weldhitch/node/FleetIT.java
@@ -26,6 +26,7 @@
 class FleetIT {
     private static final int NODES = Integer.getInteger("weldhitch.fleet.nodes", 12);
     private static final int SERVERS = Integer.getInteger("weldhitch.fleet.servers", 6);
+    /** Processing time of each request at a server, in milliseconds. */
     private static final long SERVER_MS = 20;
     /**
      * Capacity of a server once warm, in requests per second. It is far above the offered load, because the tested rule
@@ -128,9 +129,9 @@
             // The fleet has recovered when every node serves its clients again.
             TestSupport.await(() -> recoveredNodes(fleet, faultsEndedAt).size() == fleet.nodes.size());
             assertEquals(List.of(), fleet.stopAndCheckInvariants(true), description + "\n" + fleet.eventLog.tail(60));
-            Map<Completion, Integer> ends = new HashMap<>();
-            fleet.loadGenerator.requests().forEach(a -> ends.merge(a.completion(), 1, Integer::sum));
-            System.out.println("seed " + seed + ": " + schedule.size() + " faults, requests by completion " + ends);
+            Map<Completion, Integer> counts = new HashMap<>();
+            fleet.loadGenerator.requests().forEach(a -> counts.merge(a.completion(), 1, Integer::sum));
+            System.out.println("seed " + seed + ": " + schedule.size() + " faults, requests by completion " + counts);
         }
     }
 
--- a/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
@@ -28,7 +28,8 @@
  * Tests the invariants on a node whose servers and links fail as scripted, with a client that counts executions.
  */
 class InvariantsOnSocketsTest {
-    private static final long GRACE = 2_000_000_000L;
+    /** Time after a drain update in which a draining server may still receive requests, in nanoseconds. */
+    private static final long GRACE_NANOS = 2_000_000_000L;
     private static final Step[] FAULTS = {
         reject(),
         respondWithStatus(500),
@@ -66,8 +67,8 @@
                     threads.add(TestSupport.startDaemon(() -> {
                         for (int i = 0; i < 60; i++) {
                             String id = "c" + number + "." + i;
-                            boolean unsafe = i % 2 == 0;
-                            client.send(id, unsafe, unsafe ? post(id, "b") : get(id));
+                            boolean nonIdempotent = i % 2 == 0;
+                            client.send(id, nonIdempotent, nonIdempotent ? post(id, "b") : get(id));
                             if (number == 0 && i % 10 == 9) {
                                 link.resetConnections();
                             }
@@ -107,11 +108,11 @@
                 }
                 long notifiedAt = discovery.drain("drains").awaitNotified();
                 int late = 0;
-                while (System.nanoTime() - notifiedAt < GRACE + TimeUnit.MILLISECONDS.toNanos(300)) {
+                while (System.nanoTime() - notifiedAt < GRACE_NANOS + TimeUnit.MILLISECONDS.toNanos(300)) {
                     client.send("after" + late, true, post("after" + late++, "b"));
                 }
                 assertTrue(late > 10, late + " requests sent after the drain");
-                assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE));
+                assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE_NANOS));
                 assertEquals(List.of(), client.violations(List.of(stays, drains)));
                 assertTrue(
                         client.completedRequests().stream().allMatch(a -> a.status() == 200),
--- a/node/src/test/java/weldhitch/node/NodeProcess.java
+++ b/node/src/test/java/weldhitch/node/NodeProcess.java
@@ -72,7 +72,7 @@
         Matcher listens = Pattern.compile("listens on /127\\.0\\.0\\.1:(\\d+)").matcher(String.valueOf(first));
         if (!listens.find()) {
             close();
-            throw new IOException("the first log line does not name a port to listen on: " + first);
+            throw new IOException("expected the first log line to contain the listening port, found: " + first);
         }
         return Integer.parseInt(listens.group(1));
     }
--- a/node/src/test/java/weldhitch/node/NodeShutdownTest.java
+++ b/node/src/test/java/weldhitch/node/NodeShutdownTest.java
@@ -55,8 +55,8 @@
 
     /**
      * During a rolling restart the previously restarted node may still be down, so the existing connections to this
-     * node are all that its clients have. Closing them at the start of the shutdown left clients without a node for
-     * whole seconds.
+     * node may be the only ones that its clients have. Closing them at the start of the shutdown left clients without a
+     * node for seconds.
      */
     @Test
     void servesExistingConnectionsAndRejectsLateRequests() throws Exception {
@@ -110,15 +110,15 @@
             }
         });
         try (NodeHarness harness = NodeHarness.start(silent);
-                TestConnection waits = harness.client()) {
-            waits.write(post("1", "b"));
+                TestConnection waitingClient = harness.client()) {
+            waitingClient.write(post("1", "b"));
             requestsReceived.acquire();
             long shutdownStartedAt = System.nanoTime();
             Thread drain = TestSupport.startDaemon(harness.node::drain);
-            RawHttpMessage m = waits.readMessage();
+            RawHttpMessage m = waitingClient.readMessage();
             assertEquals(504, m.status(), "the request may have been executed, so it must not be rejected");
-            assertTrue(System.nanoTime() - shutdownStartedAt < 7_000_000_000L, "answered only at its own deadline");
-            assertTrue(waits.isClosedByPeer());
+            assertTrue(System.nanoTime() - shutdownStartedAt < 7_000_000_000L, "answered only at the deadline of 8 s");
+            assertTrue(waitingClient.isClosedByPeer());
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
             assertTrue(!drain.isAlive(), "the shutdown did not complete");
             assertEquals(0, requestsReceived.availablePermits(), "the request was sent a second time");
@@ -134,15 +134,15 @@
         try (server;
                 discovery;
                 NodeHarness harness = NodeHarness.start(NodeHarness.config(discovery.address(), draining, 1024, ""));
-                TestConnection waits = harness.client()) {
-            waits.write(post("1", "b"));
+                TestConnection waitingClient = harness.client()) {
+            waitingClient.write(post("1", "b"));
             // The request has been received as soon as a second request with its id is rejected.
             while (harness.send(post("1", "b")).status() != 400) {
                 Thread.onSpinWait();
             }
             Thread drain = TestSupport.startDaemon(harness.node::drain);
-            assertEquals(503, waits.readMessage().status());
-            assertTrue(waits.isClosedByPeer());
+            assertEquals(503, waitingClient.readMessage().status());
+            assertTrue(waitingClient.isClosedByPeer());
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
             assertTrue(!drain.isAlive(), "the shutdown did not complete");
             assertEquals(0, server.requests.size());
@@ -161,16 +161,16 @@
         try (server;
                 discovery;
                 NodeHarness harness = NodeHarness.start(config);
-                TestConnection stays = harness.client()) {
-            stays.write(get("first"));
-            assertEquals(200, stays.readMessage().status());
+                TestConnection lingeringClient = harness.client()) {
+            lingeringClient.write(get("first"));
+            assertEquals(200, lingeringClient.readMessage().status());
             Thread drain = TestSupport.startDaemon(harness.node::drain);
             long lastWriteAt;
             int requestCount = 0;
             do {
-                stays.write(get("n" + requestCount++));
+                lingeringClient.write(get("n" + requestCount++));
                 lastWriteAt = System.nanoTime();
-            } while (!"close".equals(stays.readMessage().header("connection")));
+            } while (!"close".equals(lingeringClient.readMessage().header("connection")));
             drain.join(TestSupport.TIMEOUT_SECONDS * 1000L);
             assertTrue(!drain.isAlive(), "the shutdown did not complete");
             // The node should end after 0.7 s; the timeout for a client that does not close would delay that to 2 s.
@@ -208,7 +208,7 @@
         try (server;
                 discovery;
                 NodeHarness harness = NodeHarness.start(shortDeadlines(discovery, server));
-                TestConnection stays = harness.client();
+                TestConnection lingeringClient = harness.client();
                 TestConnection stream = harness.client()) {
             stream.write(NodeHarness.feed("feed"));
             assertEquals(
@@ -217,12 +217,12 @@
             Thread drain = TestSupport.startDaemon(harness.node::drain);
             int requestCount = 0;
             do {
-                stays.write(get("n" + requestCount++));
-            } while (!"close".equals(stays.readMessage().header("connection")));
+                lingeringClient.write(get("n" + requestCount++));
+            } while (!"close".equals(lingeringClient.readMessage().header("connection")));
             // The lingering connection is closed after every deadline has passed; writes fail only then.
             assertThrows(java.io.IOException.class, () -> {
                 while (true) {
-                    stays.write("x");
+                    lingeringClient.write("x");
                 }
             });
             last.countDown();
--- a/node/src/test/java/weldhitch/node/RaceConditionTest.java
+++ b/node/src/test/java/weldhitch/node/RaceConditionTest.java
@@ -100,11 +100,11 @@
                     connection.write(ok("stays"));
                 }
             });
-            long released = System.nanoTime();
+            long releasedAt = System.nanoTime();
             bystander.write(get("2"));
             assertEquals("stays", bystander.readMessage().bodyText());
             // The kernel retransmits the SYN of the first connect one second after its start, if it is still pending.
-            TestSupport.await(() -> System.nanoTime() - released > 1_500_000_000L);
+            TestSupport.await(() -> System.nanoTime() - releasedAt > 1_500_000_000L);
             assertTrue(heads.poll().contains("X-Trace-Id: 2"));
             assertTrue(heads.isEmpty(), () -> "sent for a client that had disconnected: " + heads);
         }
--- a/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/RouteConfigOnSocketsTest.java
@@ -243,8 +243,8 @@
             }
             cluster.write("[class.read]\nattempts = 3");
             cluster.reload();
-            cluster.node.send(get("mended"));
-            assertEquals(3, cluster.attempts("mended"));
+            cluster.node.send(get("valid"));
+            assertEquals(3, cluster.attempts("valid"));
         }
     }
 
@@ -272,13 +272,13 @@
                 2,
                 delayed(300, resetAfterLastByte()))) {
             TestConnection connection = cluster.node.client();
-            connection.write(get("under-way"));
-            TestSupport.await(() -> cluster.attempts("under-way") == 1);
+            connection.write(get("in-flight"));
+            TestSupport.await(() -> cluster.attempts("in-flight") == 1);
             cluster.write("[class.read]\nattempts = 1");
             cluster.reload();
             cluster.node.send(get("new"));
             connection.readMessage();
-            assertEquals(2, cluster.attempts("under-way"));
+            assertEquals(2, cluster.attempts("in-flight"));
             assertEquals(1, cluster.attempts("new"));
         }
     }
--- a/node/src/test/java/weldhitch/node/StreamTest.java
+++ b/node/src/test/java/weldhitch/node/StreamTest.java
@@ -62,12 +62,12 @@
 
     @Test
     void brokenStreamResetsTheClient() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch partReceived = new CountDownLatch(1);
         ScriptedServer server = new ScriptedServer(connection -> {
             connection.readHead();
             connection.write("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
             connection.write(randomBytes(100_000));
-            seen.await();
+            partReceived.await();
             connection.reset();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
@@ -75,7 +75,7 @@
             connection.write(feed("1"));
             assertEquals("1000000", RawHttpMessage.header(connection.readHead(), "content-length"));
             assertEquals(1000, connection.readBytes(1000).length);
-            seen.countDown();
+            partReceived.countDown();
             // The framing of a stream may not show that it was truncated, so the connection must be reset.
             assertThrows(IOException.class, connection::readToEnd, "the truncated stream did not end with a reset");
         }
@@ -84,11 +84,11 @@
     /** Regression: a long response of unknown length was buffered until its client's timeout had expired. */
     @Test
     void slowResponseOfUnknownLengthIsStreamedBeforeItIsComplete() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
+        CountDownLatch partReceived = new CountDownLatch(1);
         ScriptedServer server = new ScriptedServer(connection -> {
             connection.readHead();
             connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
-            seen.await();
+            partReceived.await();
             connection.write("4\r\nlast\r\n0\r\n\r\n");
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
@@ -96,7 +96,7 @@
             connection.write(feed("1"));
             assertEquals("chunked", RawHttpMessage.header(connection.readHead(), "transfer-encoding"));
             assertEquals("5\r\nfirst\r\n", new String(connection.readBytes(10)));
-            seen.countDown();
+            partReceived.countDown();
             assertEquals("4\r\nlast\r\n0\r\n\r\n", new String(connection.readBytes(14)));
         }
     }
