--- a/bench/src/main/java/weldhitch/bench/CaptureEncodingBenchmark.java
+++ b/bench/src/main/java/weldhitch/bench/CaptureEncodingBenchmark.java
@@ -65,7 +65,7 @@
         int length() throws Exception;
     }
 
-    /** Encodes by Simple Binary Encoding (SBE), with the encoders that captures use. */
+    /** Encodes in Simple Binary Encoding (SBE), with the encoders that captures use. */
     private static final class SbeEncoding implements RecordEncoding {
         private final ExpandableDirectByteBuffer buffer = new ExpandableDirectByteBuffer(2 * BLOCK_BYTES);
         private final MessageHeaderEncoder header = new MessageHeaderEncoder();
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Encodes by Avro, with generic records. */
+    /** Encodes in Avro, with generic records. */
     private static final class AvroEncoding implements RecordEncoding {
         private final ByteArrayOutputStream out = new ByteArrayOutputStream(2 * BLOCK_BYTES);
         private final BinaryEncoder encoder = EncoderFactory.get().directBinaryEncoder(out, null);
@@ -173,7 +173,7 @@
         }
     }
 
-    /** Encodes by Protocol Buffers, with dynamic messages. */
+    /** Encodes in Protocol Buffers, with dynamic messages. */
     private static final class ProtobufEncoding implements RecordEncoding {
         private final byte[] buffer = new byte[2 * BLOCK_BYTES];
         private CodedOutputStream out = CodedOutputStream.newInstance(buffer);
--- a/node/src/test/java/weldhitch/node/ConnectionDeadlinesTest.java
+++ b/node/src/test/java/weldhitch/node/ConnectionDeadlinesTest.java
@@ -47,9 +47,9 @@
         deadlines.requestStarted();
         assertExpiresAfter(ConnectionDeadlines.BODY_GRACE_NANOS, Expiry.BODY, RECEIVING, START);
         deadlines.bytesReceived((int) ConnectionDeadlines.MIN_BODY_BYTES_PER_SECOND);
-        long grown = ConnectionDeadlines.BODY_GRACE_NANOS + 1_000_000_000L;
-        assertExpiresAfter(grown, Expiry.BODY, RECEIVING, START);
-        assertExpiresAfter(grown, Expiry.BODY, DISCARDING_BODY, START);
+        long extendedTimeout = ConnectionDeadlines.BODY_GRACE_NANOS + 1_000_000_000L;
+        assertExpiresAfter(extendedTimeout, Expiry.BODY, RECEIVING, START);
+        assertExpiresAfter(extendedTimeout, Expiry.BODY, DISCARDING_BODY, START);
     }
 
     @Test
--- a/node/src/test/java/weldhitch/node/DiscoveryTest.java
+++ b/node/src/test/java/weldhitch/node/DiscoveryTest.java
@@ -174,8 +174,8 @@
             discovery.enqueueList(4, true, host("a", a.address()));
             assertTrue(discovery.awaitCall().contains("after=4&wait_ms=2000"));
             long silentSince = System.nanoTime();
-            // This poll gets no response on the first connection. The next one requests no wait, so that missed
-            // changes arrive at once.
+            // This poll gets no response on the first connection. The next one requests no wait, so that it returns
+            // missed changes immediately.
             assertTrue(discovery.awaitCall().contains("after=4&wait_ms=0"));
             long after = (System.nanoTime() - silentSince) / 1_000_000;
             // Half a second of the limit is tolerance for a busy machine.
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -30,7 +30,7 @@
      */
     private static RawHttpMessage sendToScriptedServers(ConnectionHandler first, AtomicInteger attempts)
             throws Exception {
-        ConnectionHandler both = connection -> {
+        ConnectionHandler handler = connection -> {
             for (String head = connection.readHead(); head != null; head = connection.readHead()) {
                 connection.readBytes(4);
                 if (attempts.incrementAndGet() == 1) {
@@ -40,7 +40,7 @@
                 }
             }
         };
-        try (NodeHarness harness = NodeHarness.start(new ScriptedServer(both), new ScriptedServer(both))) {
+        try (NodeHarness harness = NodeHarness.start(new ScriptedServer(handler), new ScriptedServer(handler))) {
             return harness.send(post("a1", "body"));
         }
     }
@@ -81,8 +81,8 @@
             assertEquals("k7", received.header("idempotency-key"));
             assertEquals("a1", received.header("x-trace-id"));
             assertNull(received.header("x-hop"), "a hop-by-hop header of the client's connection was forwarded");
-            double left = Double.parseDouble(received.header("x-expires-in"));
-            assertTrue(left > 0 && left <= 8, "remaining time " + left);
+            double remainingSeconds = Double.parseDouble(received.header("x-expires-in"));
+            assertTrue(remainingSeconds > 0 && remainingSeconds <= 8, "remaining time " + remainingSeconds);
         }
     }
 
@@ -183,7 +183,7 @@
     void responseResetBeforeTheRequestIsWrittenIsRetriedElsewhere() throws Exception {
         String body = "b".repeat(8 << 20);
         AtomicInteger attempts = new AtomicInteger();
-        ConnectionHandler both = connection -> {
+        ConnectionHandler handler = connection -> {
             for (String head = connection.readHead(); head != null; head = connection.readHead()) {
                 if (attempts.incrementAndGet() == 1) {
                     connection.write("HTTP/1.1 200 OK\r\n\r\nhalf");
@@ -195,7 +195,7 @@
                 connection.write(ok("done"));
             }
         };
-        try (NodeHarness harness = NodeHarness.start(new ScriptedServer(both), new ScriptedServer(both))) {
+        try (NodeHarness harness = NodeHarness.start(new ScriptedServer(handler), new ScriptedServer(handler))) {
             assertEquals("done", harness.send(post("w1", body)).bodyText());
             assertEquals(2, attempts.get());
         }
@@ -239,7 +239,7 @@
         }
     }
 
-    /** Regression: bytes after a response were taken for the response to the next request. */
+    /** Regression: bytes after a response were interpreted as the response to the next request. */
     @Test
     void bytesAfterAResponseCloseItsConnection() throws Exception {
         ScriptedServer server = ScriptedServer.respondingWith(m -> ok(m.header("x-trace-id")) + ok("not yours"));
@@ -283,7 +283,7 @@
     @Test
     void truncatedResponseToAnIdempotentRequestIsRetriedAndServedCompletely() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
-        ConnectionHandler half = connection -> {
+        ConnectionHandler handler = connection -> {
             while (connection.readHead() != null) {
                 if (attempts.incrementAndGet() == 1) {
                     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf");
@@ -293,7 +293,7 @@
                 }
             }
         };
-        try (NodeHarness harness = NodeHarness.start(new ScriptedServer(half), new ScriptedServer(half))) {
+        try (NodeHarness harness = NodeHarness.start(new ScriptedServer(handler), new ScriptedServer(handler))) {
             assertEquals("whole", harness.send(get("c1")).bodyText());
         }
     }
@@ -329,8 +329,8 @@
     }
 
     /**
-     * Guards against a connection for nearly every non-idempotent request: in a large fleet, each node uses each server
-     * too seldom to find a recently used connection.
+     * Guards against opening a connection for nearly every non-idempotent request: in a large fleet, each node uses
+     * each server too seldom to find a recently used connection.
      */
     @Test
     void nonIdempotentRequestReusesAnIdleConnectionOnceIdempotentOnesSucceededOnOlderOnes() throws Exception {
@@ -403,11 +403,11 @@
             for (int i = 0; i < 4; i++) {
                 assertEquals(503, harness.send(post("i" + i, "x")).status(), "request " + i);
             }
-            try (ServerSocket back = new ServerSocket(port.number(), 1, InetAddress.getLoopbackAddress())) {
-                back.setSoTimeout(TestSupport.TIMEOUT_SECONDS * 1000);
+            try (ServerSocket listener = new ServerSocket(port.number(), 1, InetAddress.getLoopbackAddress())) {
+                listener.setSoTimeout(TestSupport.TIMEOUT_SECONDS * 1000);
                 TestConnection client = harness.client();
                 client.write(post("j", "x"));
-                try (TestConnection server = new TestConnection(back.accept())) {
+                try (TestConnection server = new TestConnection(listener.accept())) {
                     assertEquals("POST /book HTTP/1.1", server.readMessage().firstLine());
                     server.write(ok("back"));
                     assertEquals("back", client.readMessage().bodyText());
--- a/node/src/test/java/weldhitch/node/PackagedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/PackagedNodeIT.java
@@ -53,7 +53,7 @@
                 NodeProcess.hangUp(process);
                 assertEquals("discovery moved address=/127.0.0.1:9", log.readLine());
                 process.destroy();
-                // Connections that still arrive are answered with Connection: close.
+                // New connections are still accepted; their requests are answered with Connection: close.
                 assertEquals(200, NodeProcess.send(port, NodeHarness.get("2")).status());
                 assertEquals(128 + 15, process.waitFor());
             } finally {
--- a/node/src/test/java/weldhitch/node/StartupBenchmark.java
+++ b/node/src/test/java/weldhitch/node/StartupBenchmark.java
@@ -9,8 +9,7 @@
 
 /**
  * Measures the CPU time of a packaged node until it listens, for its first 300 requests and for the next 2,000; run by
- * hand. The arguments are the options of the virtual machine to try. docs/restarts-and-releases.md contains the
- * command.
+ * hand. The arguments are additional JVM options to measure. docs/restarts-and-releases.md contains the command.
  */
 final class StartupBenchmark {
     private StartupBenchmark() {}
@@ -23,13 +22,13 @@
             try (NodeProcess node = new NodeProcess(run -> run.replaceFirst("-jar", options + " -jar"));
                     TestConnection connection =
                             new TestConnection(new Socket(InetAddress.getLoopbackAddress(), node.port))) {
-                long start = cpuMillis(node);
+                long cpuAtStart = cpuMillis(node);
                 sendRequests(connection, 300, "a");
-                long first = cpuMillis(node);
+                long cpuAfterFirst = cpuMillis(node);
                 sendRequests(connection, 2000, "b");
-                samples.get(0).add(start);
-                samples.get(1).add(first - start);
-                samples.get(2).add(cpuMillis(node) - first);
+                samples.get(0).add(cpuAtStart);
+                samples.get(1).add(cpuAfterFirst - cpuAtStart);
+                samples.get(2).add(cpuMillis(node) - cpuAfterFirst);
             }
         }
         samples.forEach(Collections::sort);
