--- a/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/AdmissionOnSocketsTest.java
@@ -32,7 +32,7 @@
      */
     private static final int SLOW_MS = 600;
 
-    /** The way in which the servers respond: they serve after 100 ms, reject, or block until released. */
+    /** How the servers respond: they serve after 100 ms, reject immediately, or block until released. */
     private enum Mode {
         ANSWER_SOON,
         FULL,
@@ -194,7 +194,7 @@
             cluster.mode = Mode.FULL;
             cluster.sendRequests(CLIENTS, cluster.rejected, cluster.rejected.get() + 200);
             int after = cluster.countAdmitted();
-            assertTrue(after > 0 && after <= before / 2, after + " requests admitted after " + before);
+            assertTrue(after > 0 && after <= before / 2, after + " requests admitted, expected 1 to half of " + before);
         }
     }
 
@@ -229,7 +229,7 @@
             drain.countDown();
             assertTrue(listApplied.await(TestSupport.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             int after = cluster.countAdmitted();
-            assertTrue(after > 0 && after <= before / 2, after + " requests admitted after " + before);
+            assertTrue(after > 0 && after <= before / 2, after + " requests admitted, expected 1 to half of " + before);
         }
     }
 }
