--- a/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
+++ b/fleet/src/main/java/weldhitch/fleet/error/FleetError.java
@@ -88,7 +88,7 @@
     }
 
     /**
-     * No coordinator responded to a member.
+     * No coordinator responded to a member as leader: calls failed, or a coordinator that does not lead responded.
      *
      * @param failures the causes of the failed attempts
      */
@@ -103,7 +103,8 @@
             return new Description(
                     "steward-unreachable",
                     member,
-                    "no coordinator responds (" + String.join(", ", failures) + "); the active version stays active",
+                    "no coordinator responds as leader (" + String.join(", ", failures)
+                            + "); until one does, this member prepares no new version",
                     "start the coordinators, or restore the network path to them");
         }
     }
--- a/fleet/src/main/java/weldhitch/fleet/member/CoordinatorOutageLog.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/CoordinatorOutageLog.java
@@ -6,7 +6,7 @@
 import weldhitch.fleet.error.FleetError;
 
 /**
- * Decides when a member logs that no coordinator responds, that they respond again, and that it rejects requests
+ * Decides when a member logs that no coordinator responds as leader, that one does again, and that it rejects requests
  * meanwhile. An ongoing outage is logged again each time its duration has doubled; the start of rejection is logged
  * once. Owned by {@link FleetMember} and used on its thread; not thread-safe. Times are nanoseconds of {@link
  * System#nanoTime}, passed in by the caller.
--- a/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
+++ b/fleet/src/main/java/weldhitch/fleet/member/FleetMember.java
@@ -19,8 +19,8 @@
 /**
  * A running fleet member. It owns the thread that exchanges heartbeats with the coordinators, builds the tables of
  * versions and publishes the active ones. Requests acquire tables from {@link #tables} on any thread. While no
- * coordinator responds, the active version stays active. The lock of this object guards the participant and the built
- * tables.
+ * coordinator responds as leader, no new version is prepared and the tables stay published. The lock of this object
+ * guards the participant and the built tables.
  *
  * @param <T> the contents of a version's table
  */
@@ -186,7 +186,7 @@
             applyEffects(participant.onResponse(sentAt, System.nanoTime(), response));
         }
         if (!response.fromLeader()) {
-            onNoLeaderResponse("the coordinator that responded is not the leader");
+            onNoLeaderResponse("the last one called is not the leader");
             return;
         }
         Optional<RouteVersion> versionToBuild;
