--- a/cli/src/main/java/weldhitch/cli/CaptureCommands.java
+++ b/cli/src/main/java/weldhitch/cli/CaptureCommands.java
@@ -48,9 +48,8 @@
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description =
-                    "Checks a capture against the four invariants. Exits with status 0 if all hold, 1 if one is "
-                            + "violated, 3 if the capture can't be read.")
+            description = "Checks a capture against the four invariants. Exits with status 0 if all hold, 1 if one is "
+                    + "violated, 3 if the capture can't be read.")
     static final class VerifyCommand implements Callable<Integer> {
         @Mixin
         private CaptureOption capture;
@@ -162,9 +161,8 @@
     @Command(
             name = "summary",
             mixinStandardHelpOptions = true,
-            description =
-                    "Summarises a capture: request outcomes by class and over time, causes of rejections and "
-                            + "failures, attempts by server.")
+            description = "Summarises a capture: request outcomes by class and over time, causes of rejections and "
+                    + "failures, attempts by server.")
     static final class SummaryCommand implements Callable<Integer> {
         @Mixin
         private CaptureOption capture;
--- a/cli/src/main/java/weldhitch/cli/ReplayCommand.java
+++ b/cli/src/main/java/weldhitch/cli/ReplayCommand.java
@@ -46,9 +46,8 @@
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
-        description =
-                "Replays a capture with this build and reports decisions that differ. Exits with status 0 "
-                        + "if all are the same, 1 if not, 3 if the capture can't be read.")
+        description = "Replays a capture with this build and reports decisions that differ. Exits with status 0 "
+                + "if all are the same, 1 if not, 3 if the capture can't be read.")
 final class ReplayCommand implements Callable<Integer> {
     private static final int MAX_SHOWN_DIFFERENCES = 10;
     private static final int MAX_SEEDS = 1000;
--- a/cli/src/main/java/weldhitch/cli/WhyCommand.java
+++ b/cli/src/main/java/weldhitch/cli/WhyCommand.java
@@ -65,8 +65,8 @@
                 capture.out().println(toJson(explanation).toPrettyString());
             } else if (explanation.steps().isEmpty()) {
                 capture.out()
-                        .println("no decision about this request or server in " + replayer.replayedEvents()
-                                + " events");
+                        .println(
+                                "no decision about this request or server in " + replayer.replayedEvents() + " events");
             } else {
                 capture.out().print(explanation.text());
             }
@@ -88,8 +88,7 @@
             return instant.getEpochSecond() * 1_000_000_000L + instant.getNano();
         } catch (DateTimeParseException e) {
             throw new ParameterException(
-                    spec.commandLine(),
-                    "--at: \"" + time + "\", expected a time such as 2026-12-01T09:30:00.250Z");
+                    spec.commandLine(), "--at: \"" + time + "\", expected a time such as 2026-12-01T09:30:00.250Z");
         }
     }
 
--- a/cli/src/test/java/weldhitch/cli/LocalityIT.java
+++ b/cli/src/test/java/weldhitch/cli/LocalityIT.java
@@ -316,9 +316,8 @@
                             && request.sentAt() < zoneBackAt
                             && request.status() == 200)
                     .count();
-            System.out.println(
-                    "without coordinators, zone a lost: idempotent requests to its nodes served in 3 s "
-                            + servedLookups);
+            System.out.println("without coordinators, zone a lost: idempotent requests to its nodes served in 3 s "
+                    + servedLookups);
             // While zone a has no server, panic mode lets idempotent requests go to any zone with servers. Class book
             // has panic mode off: it may spill only to zone b, and at most by the uncoordinated fraction.
             assertTrue(servedLookups > 20, "too few idempotent requests served: " + servedLookups);
--- a/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
+++ b/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
@@ -62,8 +62,8 @@
                 output.contains(file + ":3: error: class.read.attempts: 4 is more than the platform's limit of 3"),
                 output);
         assertTrue(
-                output.contains(file + ":4: error: class.read.deadlin: is not a known key; "
-                        + "did you mean \"deadline\"?"),
+                output.contains(
+                        file + ":4: error: class.read.deadlin: is not a known key; " + "did you mean \"deadline\"?"),
                 output);
         assertTrue(output.endsWith(": 2 errors\n"), output);
     }
--- a/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/core/VersionActivationTest.java
@@ -69,8 +69,7 @@
         cluster.runUntil(20 * SECOND);
         assertEquals(Map.of(1L, false), cluster.outcomes());
         assertNull(cluster.whyNotConverged(), cluster.eventLogText());
-        assertTrue(
-                cluster.eventLogText().contains("m1: version 1 aborted: m3: x.toml:3: no"), cluster.eventLogText());
+        assertTrue(cluster.eventLogText().contains("m1: version 1 aborted: m3: x.toml:3: no"), cluster.eventLogText());
     }
 
     @Test
@@ -121,6 +120,7 @@
         final String partitionedProcess;
         /** The lost messages: 0 for those from the process, 1 for those to it, 2 for both. */
         final int partitionDirection;
+
         boolean faultFree;
 
         RandomFaults(long seed) {
--- a/coordinator/src/test/java/weldhitch/coordinator/server/RecordedMessagesTest.java
+++ b/coordinator/src/test/java/weldhitch/coordinator/server/RecordedMessagesTest.java
@@ -101,7 +101,8 @@
                                 .message();
                         return message instanceof PeerMessage.ConsensusRequest consensusRequest
                                 ? Stream.of(
-                                        message.getClass(), consensusRequest.message().getClass())
+                                        message.getClass(),
+                                        consensusRequest.message().getClass())
                                 : message instanceof PeerMessage.ConsensusReply consensusReply
                                         ? Stream.of(
                                                 message.getClass(),
--- a/fleet/src/main/java/weldhitch/fleet/activation/ActivationParticipant.java
+++ b/fleet/src/main/java/weldhitch/fleet/activation/ActivationParticipant.java
@@ -236,8 +236,8 @@
         }
         String delay = schedule.isKnown() ? (schedule.switchAt() - now) / NANOS_PER_MILLI + " ms" : "unknown time";
         String clockError = schedule.isKnown() ? schedule.errorBound() / NANOS_PER_MICRO + " us" : "unknown";
-        effects.add(new LogEvent(
-                "version " + target.number() + " activates in " + delay + ", clock error " + clockError));
+        effects.add(
+                new LogEvent("version " + target.number() + " activates in " + delay + ", clock error " + clockError));
     }
 
     private void dropTarget(List<Effect> effects, String reason) {
--- a/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/LocalityRule.java
@@ -98,9 +98,7 @@
             require(
                     maxFraction > 0 && maxFraction <= 1 && growthPerSecond > 0,
                     "most must be above 0 and at most 1, growth above 0");
-            require(
-                    uncoordinatedFraction >= 0 && uncoordinatedFraction <= maxFraction,
-                    "alone must be from 0 to most");
+            require(uncoordinatedFraction >= 0 && uncoordinatedFraction <= maxFraction, "alone must be from 0 to most");
         }
 
         private static void require(boolean valid, String requirement) {
--- a/fleet/src/main/java/weldhitch/fleet/locality/PriorityLevelState.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/PriorityLevelState.java
@@ -22,6 +22,7 @@
      * otherwise 0.
      */
     private int trend;
+
     private long changedAt;
     private double spillFraction;
     private long updatedAt;
--- a/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
+++ b/fleet/src/main/java/weldhitch/fleet/locality/QuotaAllocator.java
@@ -20,6 +20,7 @@
     private final ReplacedGrants replacedGrants;
     /** The issued grants by zone and node. */
     private final Map<String, Map<String, List<IssuedGrant>>> issuedGrants = new TreeMap<>();
+
     private final Map<String, Map<String, Double>> demandByZone = new TreeMap<>();
 
     /**
--- a/fleet/src/test/java/weldhitch/fleet/activation/ActivationParticipantTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/activation/ActivationParticipantTest.java
@@ -128,8 +128,7 @@
         ActiveVersions activeVersions = participant.activeVersions(1102 * NANOS_PER_MILLI);
         assertEquals(0, activeVersions.versionAt(4598 * NANOS_PER_MILLI));
         assertEquals(1, activeVersions.versionAt(4602 * NANOS_PER_MILLI));
-        assertFalse(
-                activeVersions.isInDoubtAt(4500 * NANOS_PER_MILLI), "no lease is needed if the time is known");
+        assertFalse(activeVersions.isInDoubtAt(4500 * NANOS_PER_MILLI), "no lease is needed if the time is known");
         // A process that was suspended reads the same object much later and gets the new version.
         assertEquals(1, activeVersions.versionAt(9000 * NANOS_PER_MILLI));
     }
--- a/fleet/src/test/java/weldhitch/fleet/locality/FleetSpilloverTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/FleetSpilloverTest.java
@@ -75,11 +75,10 @@
             SimulatedFleet fleet = overloadedFleet(1, 0.02, 0.45, 0.4);
             fleet.messageLoss = messageLoss;
             fleet.runUntil(35 * SECOND);
-            System.out.println(
-                    "message loss " + messageLoss + ": peaks " + fleet.peakUtilizations() + ", served "
-                            + fleet.servedFraction() + ", changes " + fleet.maxTransitions() + "; uncoordinated: peaks "
-                            + uncoordinated.peakUtilizations() + ", served "
-                            + uncoordinated.servedFraction() + ", changes " + uncoordinated.maxTransitions());
+            System.out.println("message loss " + messageLoss + ": peaks " + fleet.peakUtilizations() + ", served "
+                    + fleet.servedFraction() + ", changes " + fleet.maxTransitions() + "; uncoordinated: peaks "
+                    + uncoordinated.peakUtilizations() + ", served "
+                    + uncoordinated.servedFraction() + ", changes " + uncoordinated.maxTransitions());
             assertWithinTarget(fleet);
             assertTrue(fleet.maxTransitions() <= 3 * 35 / 5, "priority level changes: " + fleet.maxTransitions());
             // The spill fraction takes 2 s to grow, a tenth of the duration of this overload, and quota grants take
--- a/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
@@ -35,6 +35,7 @@
 
         /** The calls in each time step of the last second. */
         final int[] callsByStep = new int[200];
+
         final int[] servedByStep = new int[200];
         double peakUtilization;
 
--- a/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/ZoneSelectorTest.java
@@ -226,8 +226,7 @@
         assertTrue(node.hasFreshFleetView(SECOND));
         assertEquals(0, node.zoneViews(4 * SECOND).get("a").utilization(), 1e-9);
         assertTrue(node.tick(2 * SECOND).isEmpty(), "the view is fresh");
-        assertTrue(
-                node.tick(4 * SECOND).stream().anyMatch(line -> line.startsWith("stale-view: n:")), "view is stale");
+        assertTrue(node.tick(4 * SECOND).stream().anyMatch(line -> line.startsWith("stale-view: n:")), "view is stale");
         node.onFleetView(
                 new FleetView(Map.of("a", overloaded, "b", idle), Map.of(), SECOND, 10, 10), 5 * SECOND, 5 * SECOND);
         assertTrue(node.tick(5 * SECOND).contains("fleet view fresh again reporters=10"));
--- a/node/src/main/java/weldhitch/node/NodeConfig.java
+++ b/node/src/main/java/weldhitch/node/NodeConfig.java
@@ -129,8 +129,7 @@
             }
         });
         if (settingPairs.isEmpty()) {
-            throw InvalidConfigException.invalidValue(
-                    "settings", "none", "an object with the node's settings", null);
+            throw InvalidConfigException.invalidValue("settings", "none", "an object with the node's settings", null);
         }
         return settingPairs;
     }
--- a/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
+++ b/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
@@ -32,6 +32,7 @@
     private static final int DESCRIPTORS = 256;
     /** Time after a drain update in which a draining server may still receive requests, in nanoseconds. */
     private static final long GRACE_NANOS = 2_050_000_000L;
+
     private static final String READY = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /**
--- a/node/src/test/java/weldhitch/node/DiscoveryTest.java
+++ b/node/src/test/java/weldhitch/node/DiscoveryTest.java
@@ -257,8 +257,7 @@
             assertServedBy(harness, "1", "a");
             Files.write(file, NodeHarness.config(newDiscovery.server.address(), "", 1024, ""));
             harness.node.reload(environment);
-            assertEquals(
-                    GET_ALL, newDiscovery.awaitCall(), "versions of another discovery service are not comparable");
+            assertEquals(GET_ALL, newDiscovery.awaitCall(), "versions of another discovery service are not comparable");
             assertTrue(oldDiscovery.server.nextConnection().isClosedByPeer(), "the old long poll continues");
             assertServedBy(harness, "2", "a");
             newDiscovery.enqueueList(3, true, host("b", b.address()));
--- a/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
@@ -30,6 +30,7 @@
 class InvariantsOnSocketsTest {
     /** Time after a drain update in which a draining server may still receive requests, in nanoseconds. */
     private static final long GRACE_NANOS = 2_000_000_000L;
+
     private static final Step[] FAULTS = {
         reject(),
         respondWithStatus(500),
--- a/node/src/test/java/weldhitch/node/OutcomeTest.java
+++ b/node/src/test/java/weldhitch/node/OutcomeTest.java
@@ -256,8 +256,8 @@
         for (String status : new String[] {"503 Full", "504 Over"}) {
             AtomicInteger attempts = new AtomicInteger();
             RawHttpMessage m = sendToScriptedServers(
-                    connection -> connection.write(
-                            "HTTP/1.1 " + status + "\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"),
+                    connection ->
+                            connection.write("HTTP/1.1 " + status + "\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"),
                     attempts);
             assertEquals(2, attempts.get());
             assertEquals("done", m.bodyText());
--- a/node/src/test/java/weldhitch/node/RaceConditionTest.java
+++ b/node/src/test/java/weldhitch/node/RaceConditionTest.java
@@ -84,7 +84,10 @@
         try (ScriptedDiscovery discovery = new ScriptedDiscovery();
                 StalledListener stalledListener = new StalledListener();
                 NodeHarness harness = NodeHarness.start(config(
-                        discovery, host("held", stalledListener.address()), "\"cancel\":true", "\"cancel\":" + cancel));
+                        discovery,
+                        host("held", stalledListener.address()),
+                        "\"cancel\":true",
+                        "\"cancel\":" + cancel));
                 TestConnection client = harness.client();
                 TestConnection bystander = harness.client()) {
             discovery.awaitCall();
--- a/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
@@ -46,6 +46,7 @@
 
     /** Time that the resumed node gets to send something that it must not send, in milliseconds. */
     private static final long SETTLE_MILLIS = 300;
+
     private static final long NANOS_PER_MILLI = 1_000_000L;
     /** Amount by which the timeout that a server receives may exceed the time that its client still waits. */
     private static final double DEADLINE_TOLERANCE_SECONDS = 0.15;
--- a/replay/src/main/java/weldhitch/replay/Replayer.java
+++ b/replay/src/main/java/weldhitch/replay/Replayer.java
@@ -179,8 +179,7 @@
                 }
             } catch (IllegalArgumentException e) {
                 balancer = null;
-                recordDivergence(
-                        snapshotRecord.timestamp(), null, List.of(), "invalid snapshot: " + e.getMessage());
+                recordDivergence(snapshotRecord.timestamp(), null, List.of(), "invalid snapshot: " + e.getMessage());
             }
         }
         boolean restored = !continuous;
--- a/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigParser.java
+++ b/routeconfig/src/main/java/weldhitch/routeconfig/RouteConfigParser.java
@@ -116,7 +116,8 @@
                 file,
                 line,
                 "",
-                "is not valid TOML: " + e.getOriginalMessage().lines().findFirst().orElse(""),
+                "is not valid TOML: "
+                        + e.getOriginalMessage().lines().findFirst().orElse(""),
                 "fix this line; the lines after it were not checked",
                 false));
     }
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/ColdStart.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/ColdStart.java
@@ -16,6 +16,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
     /** Wait that a node with a list requests under {@link PollPacing#LOCAL_AGENT}, in nanoseconds. */
     private static final long MIN_WATCH = 2 * NANOS_PER_SECOND;
+
     private static final long MAX_POLL_INTERVAL = 10 * NANOS_PER_SECOND;
     private static final long FIRST_POLL_SPREAD_PER_NODE = 50 * NANOS_PER_MILLI;
     /** Longest time until a coordinator first responds after a node's start, in nanoseconds. */
