--- a/node/src/main/java/weldhitch/node/ClientConnection.java
+++ b/node/src/main/java/weldhitch/node/ClientConnection.java
@@ -15,10 +15,8 @@
 import java.io.IOException;
 
 /**
- * Handles one downstream connection: the state machine that receives its requests one by one, passes each
- * to the {@link Dispatcher} and writes the dispatcher's response. Owns the objects that validate heads, queue
- * pipelined input, track timeouts and encode responses. Created by {@link ClientConnectionManager}; not thread-safe,
- * confined to the event loop.
+ * State machine of one downstream connection: receives requests one by one, passes each to the {@link Dispatcher} and
+ * writes its response. Created by {@link ClientConnectionManager}; not thread-safe, confined to the event loop.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements ClientCallback {
     private final ClientConnectionListener<ClientConnection> owner;
@@ -77,11 +75,8 @@
         channel.close();
     }
 
-    /**
-     * Closes the connection if it is between two requests. Reads pending input first, because closing with unread bytes
-     * would reset the connection and lose the request that they hold.
-     */
     void closeIfIdle() {
+        // Closing with unread bytes would reset the connection and lose the request that they hold.
         PendingInput.read(channel);
         if (channel.isActive() && state == ClientConnectionState.IDLE && !deadlines.isReadingHead()) {
             owner.idleChanged(this, false);
@@ -354,10 +349,7 @@
         }
     }
 
-    /**
-     * Ends the current request or closes the connection if one of its timeouts has expired. Reads pending input first,
-     * which may end the timeout.
-     */
+    /** Ends the request or closes the connection if a timeout expired. First reads pending input, which may end it. */
     void checkTimeouts(long now) {
         if (deadlines.expiry(state, now) != ConnectionDeadlines.Expiry.NONE) {
             PendingInput.read(channel);
--- a/node/src/main/java/weldhitch/node/Dispatcher.java
+++ b/node/src/main/java/weldhitch/node/Dispatcher.java
@@ -41,10 +41,7 @@
  */
 final class Dispatcher implements AttemptListener {
     private static final long WATCHDOG_SLACK_NANOS = 8_000_000L;
-    /**
-     * Retry-After of a request that is rejected because the node is fenced or the route version is in doubt: a few of
-     * the node's heartbeat intervals.
-     */
+    /** Retry-After if the node is fenced or the route version is in doubt: a few of the node's heartbeat intervals. */
     private static final long REJECTION_RETRY_AFTER_NANOS = 1_000_000_000L;
 
     private final Clock clock;
