--- a/cli/src/test/java/weldhitch/cli/OuterNamesTest.java
+++ b/cli/src/test/java/weldhitch/cli/OuterNamesTest.java
@@ -439,7 +439,7 @@
         List<String> missing = new ArrayList<>();
         for (String reader : KEY_READERS) {
             Path file = literals.fileOf(reader);
-            Set<String> names = namesNear(reader, file);
+            Set<String> names = namesOf(reader);
             literals.literalsOf(file).stream()
                     .map(literal -> literal.replaceFirst("^\\.", ""))
                     .filter(literal -> literal.matches("[A-Za-z](?:[A-Za-z0-9_.-]*[A-Za-z0-9])?"))
@@ -449,17 +449,17 @@
         assertAll(missing.stream());
     }
 
-    /** Returns the names, and the words of composed ones, in the sections and rows that a class owns or shares. */
-    private static Set<String> namesNear(String reader, Path file) {
-        Set<String> sections = page.rows(LITERAL_SECTIONS).stream()
-                .filter(row -> literals.filesOf(row).contains(file))
-                .map(OuterNamesPage.Row::section)
-                .collect(Collectors.toSet());
+    /**
+     * Returns the names in the rows that a class owns, and the words of composed ones. The first word is left out, as
+     * it is a name of its own: {@code hedge} does not stand on the page because {@code hedge.after} does.
+     */
+    private static Set<String> namesOf(String owner) {
         return page.rows().stream()
-                .filter(row -> sections.contains(row.section())
-                        || row.owners().stream().anyMatch(owner -> owner.endsWith("." + reader)))
+                .filter(row -> row.owners().stream()
+                        .anyMatch(name -> List.of(name.split("[. ]")).contains(owner)))
                 .flatMap(row -> row.spans().stream())
-                .flatMap(span -> Stream.concat(Stream.of(span), OuterNamesPage.words(span).stream()))
+                .flatMap(span -> Stream.concat(
+                        Stream.of(span), OuterNamesPage.words(span).stream().skip(1)))
                 .collect(Collectors.toSet());
     }
 
