--- a/capture/src/main/java/weldhitch/capture/format/BlockFormat.java
+++ b/capture/src/main/java/weldhitch/capture/format/BlockFormat.java
@@ -13,15 +13,17 @@
     static final int FORMAT_VERSION = 1;
     static final int FILE_HEADER_BYTES = 16;
     static final int BLOCK_HEADER_BYTES = 48;
-    /** Flag: the block starts with a document of kind 1 and can be read without any earlier block. */
+    /** Flag: the block starts with a snapshot document (kind 1) and can be read without any earlier block. */
     static final int FLAG_SELF_CONTAINED = 1;
     /** Limit for a block's uncompressed content, in bytes. */
     static final int MAX_CONTENT_BYTES = 64 << 20;
-    /** The content is at most this many times as long as the compressed bytes, plus the slack. */
+    /** A block's content is at most this many times as long as its compressed bytes, plus the slack below. */
     private static final long MAX_COMPRESSION_RATIO = 4096;
 
     private static final long COMPRESSION_RATIO_SLACK_BYTES = 64 << 10;
+    /** The ASCII characters "WLITHCAP" in file order. */
     private static final long FILE_MAGIC = 0x5041434854494c57L;
+    /** The ASCII characters "WBLK" in file order. */
     static final int BLOCK_MAGIC = 0x4b4c4257;
 
     private BlockFormat() {}
@@ -32,8 +34,9 @@
      * @param storedBytes compressed length in bytes
      * @param contentBytes uncompressed length in bytes
      * @param checksum CRC-32C of the compressed bytes
-     * @param blockNumber of the block in its segment, from 0
-     * @param baseTime base that the first record's time is relative to, nanoseconds
+     * @param flags bit set, see {@link #FLAG_SELF_CONTAINED}
+     * @param blockNumber number of the block in its segment, from 0
+     * @param baseTime time that the first record's time is relative to, in nanoseconds
      */
     record Header(int storedBytes, int contentBytes, int checksum, int flags, long blockNumber, long baseTime) {
         boolean isSelfContained() {
@@ -61,14 +64,14 @@
     static void checkFileHeader(String file, ByteBuffer bytes) throws CaptureFormatException {
         ByteBuffer header = bytes.order(ByteOrder.LITTLE_ENDIAN);
         if (header.remaining() < FILE_HEADER_BYTES || header.getLong(0) != FILE_MAGIC) {
-            throw new CaptureFormatException(file + ": is no capture, expected one that weldhitch wrote");
+            throw new CaptureFormatException(file + ": is not a capture, expected a file that weldhitch wrote");
         }
         if (header.getInt(12) != checksum(header.duplicate().limit(12))) {
-            throw new CaptureFormatException(file + ": its first " + FILE_HEADER_BYTES + " bytes are damaged");
+            throw new CaptureFormatException(file + ": its first " + FILE_HEADER_BYTES + " bytes are corrupt");
         }
         if (header.getInt(8) != FORMAT_VERSION) {
-            throw new CaptureFormatException(file + ": is of format " + header.getInt(8) + ", expected "
-                    + FORMAT_VERSION + ": read it by the build that wrote it");
+            throw new CaptureFormatException(file + ": has format version " + header.getInt(8) + ", expected "
+                    + FORMAT_VERSION + ": read it with the build that wrote it");
         }
     }
 
--- a/cli/src/test/java/weldhitch/ArchitectureTest.java
+++ b/cli/src/test/java/weldhitch/ArchitectureTest.java
@@ -18,6 +18,7 @@
 /** Architecture rules, checked by ArchUnit: which packages may depend on which. */
 @AnalyzeClasses(packages = "weldhitch", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
+    /** Packages of deterministic code: without I/O, and with clock readings and random numbers passed in. */
     private static final String[] PURE_PACKAGES = {
         "weldhitch.decision..",
         "weldhitch.consensus",
@@ -31,7 +32,7 @@
     };
 
     @ArchTest
-    static final ArchRule pureCodeDependsOnCollectionsAndMathsAlone = classes()
+    static final ArchRule pureCodeDependsOnlyOnCollectionsAndMaths = classes()
             .that()
             .resideInAnyPackage(PURE_PACKAGES)
             .should()
@@ -80,7 +81,7 @@
             .orShould()
             .callMethod(Math.class, "random");
 
-    /** Hash order may differ between runs, and snapshots and replays must not depend on it. */
+    /** Hash order may differ between runs, but snapshots and replays must not depend on it. */
     @ArchTest
     static final ArchRule balancerUsesNoHashOrderedCollections = noClasses()
             .that()
@@ -117,9 +118,9 @@
     static final ArchRule fleetPackagesAreFreeOfCycles =
             slices().matching("weldhitch.fleet.(*)..").should().beFreeOfCycles();
 
-    /** A rule for a package that holds no class would hold of nothing, without a word. */
+    /** Checks that each pattern matches a class, because a rule whose pattern matches none would check nothing. */
     @ArchTest
-    static void everyPurePackageHoldsClasses(JavaClasses classes) {
+    static void everyPurePackageContainsClasses(JavaClasses classes) {
         for (String pattern : PURE_PACKAGES) {
             assertTrue(classes.stream().anyMatch(c -> PackageMatcher.of(pattern).matches(c.getPackageName())), pattern);
         }
@@ -157,7 +158,7 @@
             .resideInAPackage("weldhitch.testkit..");
 
     /**
-     * Within the node, too, a request's path has one direction; responses come back through narrow
+     * Requests pass through the classes of the node in one direction; responses come back through narrow
      * interfaces.
      */
     @ArchTest
@@ -170,7 +171,7 @@
 
                 @Override
                 public String getDescription() {
-                    return "classes of the node with what is nested in them";
+                    return "classes of the node with their nested classes";
                 }
             })
             .should()
--- a/cli/src/test/java/weldhitch/cli/FormerVerbsTest.java
+++ b/cli/src/test/java/weldhitch/cli/FormerVerbsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** Verbs of earlier releases go on working beside their present names, and the help lists the present ones alone. */
+/** Tests that verbs of earlier releases work like their present names, and that the help lists only the latter. */
 class FormerVerbsTest {
     @TempDir
     Path directory;
@@ -35,7 +35,7 @@
 
     @ParameterizedTest
     @CsvSource({"coordinator", "steward"})
-    void aMissingCoordinatorFileEndsWithTheSameStatusUnderBothVerbs(String verb) {
+    void missingCoordinatorFileHasTheSameExitStatusUnderBothVerbs(String verb) {
         String missing = directory.resolve("missing.toml").toString();
         assertEquals(78, Weldhitch.commandLine().execute(verb, "--config", missing));
     }
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void theHelpListsPresentNamesAlone() {
+    void helpListsOnlyPresentNames() {
         String help = Weldhitch.commandLine().getUsageMessage();
         assertTrue(help.contains("coordinator") && help.contains("simulator"), help);
         assertFalse(help.contains("steward") || help.matches("(?s).*\\blab\\b.*"), help);
--- a/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
+++ b/cli/src/test/java/weldhitch/cli/RouteConfigCommandsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests of {@code check} and {@code explain}, with text and JSON output. */
+/** Tests {@code check} and {@code explain}, with text and JSON output. */
 class RouteConfigCommandsTest {
     private static final String PLATFORM = """
         {"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"0f","limits":{"sockets":256},
@@ -48,9 +48,9 @@
     void reportsAValidFile() throws Exception {
         Files.writeString(file, "version = 1\n[class.read]\nattempts = 3\n# end\n");
         assertEquals(0, run("check", file.toString(), "--config", config.toString()));
-        assertEquals(file + ": sound, 1 routes\n", out.toString());
+        assertEquals(file + ": valid, 1 routes\n", out.toString());
         assertEquals(0, run("check", file.toString()));
-        assertTrue(out.toString().contains("not held against a platform"), out.toString());
+        assertTrue(out.toString().contains("not checked against a node configuration"), out.toString());
     }
 
     @Test
@@ -58,10 +58,12 @@
         Files.writeString(file, "version = 1\n[class.read]\nattempts = 4\ndeadlin = \"1s\"\n# end\n");
         assertEquals(1, run("check", file.toString(), "--config", config.toString()));
         String output = out.toString();
-        assertTrue(output.contains(file + ":3: error: class.read.attempts: 4 is more than the platform's 3"), output);
         assertTrue(
-                output.contains(file + ":4: error: class.read.deadlin: is no key that is known here; "
-                        + "did you mean \"deadline\"?"),
+                output.contains(file + ":3: error: class.read.attempts: 4 is more than the platform's limit of 3"),
+                output);
+        assertTrue(
+                output.contains(
+                        file + ":4: error: class.read.deadlin: is not a known key; " + "did you mean \"deadline\"?"),
                 output);
         assertTrue(output.endsWith(": 2 errors\n"), output);
     }
--- a/client/src/main/java/weldhitch/client/policy/AttemptOutcome.java
+++ b/client/src/main/java/weldhitch/client/policy/AttemptOutcome.java
@@ -1,12 +1,12 @@
 package weldhitch.client.policy;
 
-/** How one attempt ended. */
+/** The outcome of one attempt. */
 public enum AttemptOutcome {
     /** A complete response with status 200. */
     OK(false),
     /** Status 429 or 503: the node states that the request was not executed. */
     REJECTED(true),
-    /** Any other status, which says nothing about execution. */
+    /** Any other status, from which it is unknown whether the request was executed. */
     ERROR_RESPONSE(false),
     /** Not completely written, or no connection was established. */
     NOT_SENT(true),
--- a/client/src/main/java/weldhitch/client/policy/OutgoingCall.java
+++ b/client/src/main/java/weldhitch/client/policy/OutgoingCall.java
@@ -14,20 +14,20 @@
 
     long sentAt;
     /**
-     * When the first attempt that may have been executed was sent; meaningless while {@code mayHaveRun} is
-     * false.
+     * Time at which the first attempt that may have been executed was sent; meaningless while
+     * {@code possiblyExecuted} is false.
      */
     long possiblyExecutedSince;
 
     boolean possiblyExecuted;
     /** Outcome of the last attempt that ended; null before the first has. */
     AttemptOutcome lastOutcome;
-    /** Time of the next attempt; 0 to wait for a node with capacity. */
+    /** Time of the next attempt; 0 to send it as soon as a node is available and has capacity. */
     long resumeAt;
 
     long backoff;
-    /** Whether a retry token (or the first attempt) covers the attempt at hand. */
-    boolean paid;
+    /** Whether the call has been recorded in the retry budget; its first attempt takes no retry token. */
+    boolean recordedInRetryBudget;
 
     boolean unbudgetedRetryUsed;
 
--- a/decision/src/test/java/weldhitch/decision/balancing/EndpointUpdateTest.java
+++ b/decision/src/test/java/weldhitch/decision/balancing/EndpointUpdateTest.java
@@ -50,7 +50,7 @@
                 seed);
     }
 
-    private static List<BalancerAction> withCachedList(BalancerHarness harness) {
+    private static List<BalancerAction> applyCachedList(BalancerHarness harness) {
         return harness.handle(
                 new EndpointsChanged(EndpointUpdateKind.CACHED, List.of(harness.entry("a", EndpointState.READY, 0))));
     }
@@ -91,38 +91,38 @@
 
     @Test
     void firstSubscriptionsAreJittered() {
-        long first = single(withCachedList(pollingNode(1)), ScheduleTimer.class)
+        long first = single(applyCachedList(pollingNode(1)), ScheduleTimer.class)
                 .orElseThrow()
                 .delay();
-        long second = single(withCachedList(pollingNode(2)), ScheduleTimer.class)
+        long second = single(applyCachedList(pollingNode(2)), ScheduleTimer.class)
                 .orElseThrow()
                 .delay();
         assertTrue(first != second);
-        assertTrue(Math.max(first, second) < 5 * SECOND, "later than the rule lets a node go without asking");
+        assertTrue(Math.max(first, second) < 5 * SECOND, "a first subscription is delayed by 5 s or more");
     }
 
     @Test
     void rejectedSubscriptionIsRetriedWithBackoff() {
         BalancerHarness harness = pollingNode(3);
-        List<BalancerAction> actions = harness.fireTimer(withCachedList(harness));
+        List<BalancerAction> actions = harness.fireTimer(applyCachedList(harness));
         assertTrue(single(actions, SubscribeToEndpoints.class).isPresent());
         long total = 0;
         for (int i = 0; i < 5; i++) {
             actions = harness.handle(new EndpointsChanged(EndpointUpdateKind.REJECTED, List.of()));
             assertFalse(single(actions, SubscribeToEndpoints.class).isPresent());
             long wait = single(actions, ScheduleTimer.class).orElseThrow().delay();
-            assertTrue(wait >= SECOND && wait <= 10 * SECOND, "waits " + wait);
+            assertTrue(wait >= SECOND && wait <= 10 * SECOND, "backoff in ns: " + wait);
             total += wait;
             actions = harness.fireTimer(actions);
             assertTrue(single(actions, SubscribeToEndpoints.class).isPresent());
         }
-        assertTrue(total > 15 * SECOND, "waits do not grow: " + total);
+        assertTrue(total > 15 * SECOND, "the backoff does not grow; total in ns: " + total);
     }
 
     @Test
     void subscribedNodeDoesNotResubscribe() {
         BalancerHarness harness = pollingNode(4);
-        harness.fireTimer(withCachedList(harness));
+        harness.fireTimer(applyCachedList(harness));
         assertTrue(
                 harness.applyDelta(harness.entry("b", EndpointState.READY, 0)).isEmpty());
         harness.now += 60 * SECOND;
--- a/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
+++ b/fleet/src/test/java/weldhitch/fleet/locality/SimulatedFleet.java
@@ -10,8 +10,8 @@
 import java.util.function.IntPredicate;
 
 /**
- * A simulated fleet for tests: nodes in zones with their rules, a leading coordinator and the network between
- * them, in ticks of 5 ms. Endpoints are simulated as the capacity of their zone. Not thread-safe.
+ * A simulated fleet for tests: nodes in zones with their rules, a leading coordinator and the network between them, in
+ * steps of 5 ms. The endpoints of a zone are simulated by their total capacity. Not thread-safe.
  */
 final class SimulatedFleet {
     static final long NANOS_PER_MILLI = 1_000_000L;
@@ -21,7 +21,7 @@
     private static final long REPORT_INTERVAL = 200 * NANOS_PER_MILLI;
 
     /**
-     * A zone: its capacity, and the calls per second that clients send to its nodes, as a function of the
+     * A zone: its capacity, and the rate in calls per second that clients send to its nodes, as a function of the
      * seconds since the start.
      */
     static final class SimulatedZone {
@@ -30,10 +30,12 @@
         final int nodeCount;
         final DoubleUnaryOperator offeredLoad;
         boolean down;
-        /** The actual capacity of its endpoints as a fraction of the nominal one. */
+        /** The actual capacity of its endpoints as a fraction of the nominal capacity. */
         double speedFactor = 1;
 
+        /** The calls in each time step of the last second. */
         final int[] callsByStep = new int[200];
+
         final int[] servedByStep = new int[200];
         double peakUtilization;
 
@@ -64,11 +66,11 @@
     private final SplittableRandom random;
     private final TestScheduler scheduler = new TestScheduler();
     ZoneLoadAggregator leader = new ZoneLoadAggregator(-ZoneLoadAggregator.GRANT_DURATION, 0.002);
-    /** Fraction of the calls to the coordinator, and of its responses, that are lost. */
+    /** Fraction of the messages to and from the coordinator that are lost. */
     double messageLoss;
-    /** Nodes whose calls never reach the coordinator. */
+    /** Nodes whose messages never reach the coordinator. */
     IntPredicate isolatedFromCoordinators = n -> false;
-    /** Peaks are recorded from this time on. */
+    /** Time from which peak utilizations are recorded. */
     long peaksMeasuredFrom;
 
     long now;
@@ -105,10 +107,10 @@
     void runUntil(long end) {
         for (; now < end; now += TIME_STEP) {
             scheduler.runDue(now);
-            int bin = (int) (now / TIME_STEP % 200);
+            int step = (int) (now / TIME_STEP % 200);
             zones.values().forEach(z -> {
-                z.callsByStep[bin] = 0;
-                z.servedByStep[bin] = 0;
+                z.callsByStep[step] = 0;
+                z.servedByStep[step] = 0;
             });
             for (int n = 0; n < nodes.size(); n++) {
                 double arrivals = fractionalArrivals.get(n)
@@ -117,7 +119,7 @@
                                 * TIME_STEP
                                 / SECOND;
                 for (; arrivals >= 1; arrivals--) {
-                    sendRequest(n, bin);
+                    sendRequest(n, step);
                 }
                 fractionalArrivals.set(n, arrivals);
                 long tick = now / TIME_STEP + n;
@@ -136,7 +138,7 @@
         }
     }
 
-    private void sendRequest(int nodeIndex, int bin) {
+    private void sendRequest(int nodeIndex, int step) {
         offeredRequests++;
         ZoneSelector node = nodes.get(nodeIndex);
         ZoneSelection selection = node.select("any", null, null, random.nextDouble(), now);
@@ -145,10 +147,10 @@
                     selection.zones().get(random.nextInt(selection.zones().size())));
             String endpoint = zone.name + random.nextInt(zone.endpointCount);
             node.onAttemptSent(endpoint, selection, now);
-            zone.callsByStep[bin]++;
+            zone.callsByStep[step]++;
             int servedInLastTenth = 0;
             for (int i = 0; i < 20; i++) {
-                servedInLastTenth += zone.servedByStep[(bin - i + 200) % 200];
+                servedInLastTenth += zone.servedByStep[(step - i + 200) % 200];
             }
             boolean hasCapacity = servedInLastTenth < zone.capacity() * zone.speedFactor / 10;
             node.onAttemptEnded(
@@ -158,7 +160,7 @@
                     now,
                     now);
             if (!zone.down && hasCapacity) {
-                zone.servedByStep[bin]++;
+                zone.servedByStep[step]++;
                 servedRequests++;
                 return;
             }
@@ -193,7 +195,7 @@
         });
     }
 
-    /** The largest number of priority level transitions at any node. */
+    /** Returns the largest number of priority level transitions at any node. */
     int maxTransitions() {
         return nodes.stream().mapToInt(ZoneSelector::transitions).max().orElse(0);
     }
--- a/node/src/main/java/weldhitch/node/Clock.java
+++ b/node/src/main/java/weldhitch/node/Clock.java
@@ -1,22 +1,22 @@
 package weldhitch.node;
 
 /**
- * A wall clock that never goes back: the start's epoch time plus the monotonic time since. Immutable,
+ * A wall clock that never goes back: the epoch time of its creation plus the monotonic time since then. Immutable,
  * thread-safe.
  */
 final class Clock {
-    private static final long MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final long epoch = System.currentTimeMillis() * MILLI;
-    private final long start = System.nanoTime();
+    private final long startEpochNanos = System.currentTimeMillis() * NANOS_PER_MILLI;
+    private final long startMonotonicNanos = System.nanoTime();
 
-    /** Nanoseconds since the epoch. */
+    /** Returns the nanoseconds since the epoch. */
     long now() {
-        return epoch + (System.nanoTime() - start);
+        return startEpochNanos + (System.nanoTime() - startMonotonicNanos);
     }
 
-    /** Nanoseconds of a discovery entry's {@code born_ms}; 0 stays 0 and means "long ago". */
+    /** Converts a discovery entry's {@code born_ms} to nanoseconds; 0 stays 0, which means a start long ago. */
     static long ofMillis(long millis) {
-        return millis * MILLI;
+        return millis * NANOS_PER_MILLI;
     }
 }
--- a/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/CaptureOnSocketsTest.java
@@ -29,7 +29,8 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * A live node that captures, in front of servers that fail in every way, and what its capture shows afterwards.
+ * Tests captures of a live node whose servers reject, fail and reset requests. The captures are replayed, explained
+ * and checked against the invariants.
  */
 class CaptureOnSocketsTest {
     @TempDir
@@ -72,7 +73,7 @@
             node.node.reload(Map.of("GW_CONFIG", platform.toString()));
         }
 
-        /** Sends this many requests, idempotent and not; each must be answered. */
+        /** Sends this many requests, idempotent and non-idempotent ones; each must get a response. */
         void sendRequests(int count) throws IOException {
             for (int i = 0; i < count; i++) {
                 String id = String.format("%016x", 0x9000 + requestsSent++);
@@ -96,12 +97,12 @@
     }
 
     private static Replayer replay(Path captureDirectory, DecisionExplainer explanation) throws IOException {
-        Replayer player = new Replayer(
+        Replayer replayer = new Replayer(
                 explanation,
                 false,
                 explanation == null ? new Replayer.Listener[0] : new Replayer.Listener[] {explanation});
-        CaptureFiles.read(List.of(captureDirectory), player);
-        return player;
+        CaptureFiles.read(List.of(captureDirectory), replayer);
+        return replayer;
     }
 
     @Test
@@ -120,30 +121,30 @@
             cluster.servers.get(0).byDefault(resetAfterLastByte());
             cluster.sendRequests(60);
             cluster.servers.get(1).close();
-            cluster.servers.get(0).byDefault(respond("well again"));
+            cluster.servers.get(0).byDefault(respond("recovered"));
             cluster.sendRequests(60);
             captureDirectory = cluster.captureDirectory;
             requestsSent = cluster.requestsSent;
         }
         assertFalse(captureThreadRuns());
-        Replayer player = replay(captureDirectory, null);
-        assertEquals(List.of(), player.divergences());
-        assertEquals(0, player.droppedEvents() + player.skippedEvents() + player.corruptions());
-        assertEquals(1, player.restores());
-        CaptureVerifier verify = new CaptureVerifier();
+        Replayer replayer = replay(captureDirectory, null);
+        assertEquals(List.of(), replayer.divergences());
+        assertEquals(0, replayer.droppedEvents() + replayer.skippedEvents() + replayer.corruptions());
+        assertEquals(1, replayer.restores());
+        CaptureVerifier verifier = new CaptureVerifier();
         List<CaptureEntry> entries = new ArrayList<>();
         CaptureFiles.read(List.of(captureDirectory), e -> {
-            verify.accept(e);
+            verifier.accept(e);
             entries.add(e);
         });
-        assertEquals(List.of(), verify.checker.violations());
-        assertEquals(requestsSent, verify.checker.answered());
-        assertEquals(0, verify.checker.openRequests());
+        assertEquals(List.of(), verifier.checker.violations());
+        assertEquals(requestsSent, verifier.checker.answered());
+        assertEquals(0, verifier.checker.openRequests());
         assertTrue(entries.stream()
                 .anyMatch(e -> e instanceof CaptureEntry.EventRecord t
                         && t.event() instanceof RoutesChanged n
                         && n.routes() != null));
-        // A request that was retried: explained by its id as its client knows it.
+        // A request that was retried is found by the id that its client sent.
         AttemptEnded retriedAttempt = entries.stream()
                 .filter(e -> e instanceof CaptureEntry.EventRecord t
                         && t.event() instanceof AttemptEnded a
@@ -154,8 +155,8 @@
         DecisionExplainer explanation = DecisionExplainer.forRequest(retriedAttempt.requestId());
         replay(captureDirectory, explanation);
         assertTrue(explanation.text().contains("attempt 1 goes to " + retriedAttempt.endpointId()), explanation.text());
-        assertTrue(explanation.text().contains("is tried again"), explanation.text());
-        // The capture holds no bodies and no header that identifies a person.
+        assertTrue(explanation.text().contains("is retried"), explanation.text());
+        // The capture contains neither bodies nor headers that identify a person.
         for (CaptureFiles.SegmentFile segment : CaptureFiles.segmentsIn(captureDirectory)) {
             assertFalse(Files.readString(segment.path(), java.nio.charset.StandardCharsets.ISO_8859_1)
                     .contains("cow"));
@@ -199,16 +200,16 @@
             cluster.write("", 2);
             cluster.reload();
             TestSupport.await(() -> !captureThreadRuns());
-            Replayer player = replay(cluster.captureDirectory, null);
-            assertEquals(List.of(), player.divergences());
-            assertEquals(2, player.restores());
-            assertTrue(player.replayedEvents() >= 3 * 20 * 2, player.replayedEvents() + " events");
+            Replayer replayer = replay(cluster.captureDirectory, null);
+            assertEquals(List.of(), replayer.divergences());
+            assertEquals(2, replayer.restores());
+            assertTrue(replayer.replayedEvents() >= 3 * 20 * 2, replayer.replayedEvents() + " events");
         }
     }
 
-    /** An obstacle to the capture must not affect serving: the node continues. */
+    /** A capture that can't be written must not affect the requests. */
     @Test
-    void unwritableDirectoryCostsNoRequest() throws Exception {
+    void unwritableDirectoryFailsNoRequest() throws Exception {
         try (TestCluster cluster = new TestCluster("")) {
             Files.writeString(cluster.captureDirectory, "in the way");
             cluster.write(cluster.captureSection(true), 2);
@@ -226,9 +227,9 @@
             });
             cluster.write("", 2);
             cluster.reload();
-            Replayer player = replay(cluster.captureDirectory, null);
-            assertEquals(List.of(), player.divergences());
-            assertTrue(player.droppedEvents() > 30, player.droppedEvents() + " said to be missing");
+            Replayer replayer = replay(cluster.captureDirectory, null);
+            assertEquals(List.of(), replayer.divergences());
+            assertTrue(replayer.droppedEvents() > 30, replayer.droppedEvents() + " events reported as dropped");
         }
     }
 }
--- a/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
+++ b/node/src/test/java/weldhitch/node/DescriptorExhaustionIT.java
@@ -25,38 +25,40 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * The users' requirements on rare situations that only a process of its own shows: exhausted descriptors, and
- * the time to readiness.
+ * Tests requirements on rare situations that need a separate process: exhausted file descriptors, and the time to
+ * readiness.
  */
 class DescriptorExhaustionIT {
     private static final int DESCRIPTORS = 256;
-    private static final long GRACE = 2_050_000_000L;
+    /** Time after a drain update in which a draining server may still receive requests, in nanoseconds. */
+    private static final long GRACE_NANOS = 2_050_000_000L;
+
     private static final String READY = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /**
-     * Opens an idle connection, which the node may close unread: there are more than the process has
-     * descriptors for.
+     * Opens an idle connection. The node may close it without reading, because more connections are opened than the
+     * process has descriptors for.
      */
-    private static TestConnection idle(int port, int number) throws IOException {
-        TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
+    private static TestConnection openIdleConnection(int port, int number) throws IOException {
+        TestConnection connection = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), port));
         if (number % 2 == 0) {
             try {
-                wire.write(get("idle" + number));
-                wire.readMessage();
+                connection.write(get("idle" + number));
+                connection.readMessage();
             } catch (IOException e) {
-                // closed by the node to free a descriptor
+                // Closed by the node to free a descriptor.
             }
         }
-        return wire;
+        return connection;
     }
 
     /**
-     * Idle clients exhaust the descriptors while discovery is down; it recovers with a drain update, which the
-     * node receives and applies all the same.
+     * Idle clients exhaust the descriptors while discovery is unavailable. Discovery then recovers with a drain update,
+     * which the node must receive and apply.
      */
     @Test
     void exhaustedDescriptorsDoNotBlockDrainUpdates() throws Exception {
-        List<TestConnection> callers = new ArrayList<>();
+        List<TestConnection> idleClients = new ArrayList<>();
         try (ScriptedHttpServer stays = new ScriptedHttpServer("stays");
                 ScriptedHttpServer drains = new ScriptedHttpServer("drains");
                 FakeDiscovery discovery = new FakeDiscovery()) {
@@ -69,18 +71,18 @@
                 discovery.awaitNotified();
                 discovery.pause();
                 for (int i = 0; i < 2 * DESCRIPTORS; i++) {
-                    callers.add(idle(node.port, i));
+                    idleClients.add(openIdleConnection(node.port, i));
                 }
                 discovery.drain("drains").resume();
                 long reachableAt = System.nanoTime();
                 long notifiedAt = discovery.awaitNotified();
                 assertTrue(
                         notifiedAt - reachableAt < 6_000_000_000L,
-                        "told " + (notifiedAt - reachableAt) / 1_000_000 + " ms after it could be reached");
-                for (int i = 0; System.nanoTime() - notifiedAt < GRACE + 300_000_000L; i++) {
+                        "notified " + (notifiedAt - reachableAt) / 1_000_000 + " ms after discovery resumed");
+                for (int i = 0; System.nanoTime() - notifiedAt < GRACE_NANOS + 300_000_000L; i++) {
                     checker.send("after" + i, true, post("after" + i, "b"));
                 }
-                assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE));
+                assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE_NANOS));
                 assertEquals(List.of(), checker.violations(List.of(stays, drains)));
                 assertTrue(checker.completedRequests().stream()
                                 .filter(a -> a.status() == 200)
@@ -88,30 +90,30 @@
                         > 0.9 * checker.completedRequests().size());
             }
         } finally {
-            for (TestConnection caller : callers) {
-                caller.close();
+            for (TestConnection idleClient : idleClients) {
+                idleClient.close();
             }
         }
     }
 
     /**
-     * Ten nodes start simultaneously, as after a step of a rolling restart: nine are ready, and serve, within
+     * Ten nodes start simultaneously, as in a step of a rolling restart. Nine of them must be ready, and serve, within
      * 10 s.
      */
     @Test
     void nineInTenRestartsAreReadyWithinTenSeconds() throws Exception {
-        ExecutorService starts = Executors.newFixedThreadPool(10);
+        ExecutorService executor = Executors.newFixedThreadPool(10);
         try (ScriptedHttpServer server = new ScriptedHttpServer("s");
                 FakeDiscovery discovery = new FakeDiscovery()) {
             discovery.add("s", server.address());
             byte[] config = NodeHarness.config(discovery.address(), host("s", server.address()), 1024, "");
             List<Future<Long>> readyTimes = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                readyTimes.add(starts.submit(() -> {
-                    long began = System.nanoTime();
+                readyTimes.add(executor.submit(() -> {
+                    long startedAt = System.nanoTime();
                     try (NodeProcess node = new NodeProcess(run -> run, config)) {
                         TestSupport.await(60, () -> statusOf(node, READY) == 200);
-                        long ready = System.nanoTime() - began;
+                        long ready = System.nanoTime() - startedAt;
                         assertEquals(200, statusOf(node, get("first")));
                         return ready / 1_000_000;
                     }
@@ -122,10 +124,10 @@
                 millis[i] = readyTimes.get(i).get(90, TimeUnit.SECONDS);
             }
             Arrays.sort(millis);
-            System.out.println("ten nodes started at once are ready after " + Arrays.toString(millis) + " ms");
+            System.out.println("ten nodes started simultaneously are ready after " + Arrays.toString(millis) + " ms");
             assertTrue(millis[8] < 10_000, Arrays.toString(millis));
         } finally {
-            starts.shutdownNow();
+            executor.shutdownNow();
         }
     }
 
--- a/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
+++ b/node/src/test/java/weldhitch/node/InvariantsOnSocketsTest.java
@@ -25,11 +25,12 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * The four invariants, with servers and links that fail by a script, checked by a client that counts
- * executions.
+ * Tests the invariants on a node whose servers and links fail as scripted, with a client that counts executions.
  */
 class InvariantsOnSocketsTest {
-    private static final long GRACE = 2_000_000_000L;
+    /** Time after a drain update in which a draining server may still receive requests, in nanoseconds. */
+    private static final long GRACE_NANOS = 2_000_000_000L;
+
     private static final Step[] FAULTS = {
         reject(),
         respondWithStatus(500),
@@ -41,7 +42,7 @@
     };
 
     @Test
-    void requestsAreAnsweredOnceAndUnsafeOnesNeverRunTwice() throws Exception {
+    void requestsAreAnsweredOnceAndNonIdempotentOnesNeverRunTwice() throws Exception {
         List<ScriptedHttpServer> servers =
                 List.of(new ScriptedHttpServer("s0"), new ScriptedHttpServer("s1"), new ScriptedHttpServer("s2"));
         SplittableRandom random = new SplittableRandom(11);
@@ -67,8 +68,8 @@
                     threads.add(TestSupport.startDaemon(() -> {
                         for (int i = 0; i < 60; i++) {
                             String id = "c" + number + "." + i;
-                            boolean unsafe = i % 2 == 0;
-                            client.send(id, unsafe, unsafe ? post(id, "b") : get(id));
+                            boolean nonIdempotent = i % 2 == 0;
+                            client.send(id, nonIdempotent, nonIdempotent ? post(id, "b") : get(id));
                             if (number == 0 && i % 10 == 9) {
                                 link.resetConnections();
                             }
@@ -93,7 +94,7 @@
     }
 
     @Test
-    void nothingNewGoesToAServerThatDrains() throws Exception {
+    void noNewRequestIsSentToADrainingServer() throws Exception {
         try (ScriptedHttpServer stays = new ScriptedHttpServer("stays");
                 ScriptedHttpServer drains = new ScriptedHttpServer("drains");
                 FakeDiscovery discovery = new FakeDiscovery()) {
@@ -108,14 +109,15 @@
                 }
                 long notifiedAt = discovery.drain("drains").awaitNotified();
                 int late = 0;
-                while (System.nanoTime() - notifiedAt < GRACE + TimeUnit.MILLISECONDS.toNanos(300)) {
+                while (System.nanoTime() - notifiedAt < GRACE_NANOS + TimeUnit.MILLISECONDS.toNanos(300)) {
                     client.send("after" + late, true, post("after" + late++, "b"));
                 }
-                assertTrue(late > 10, late + " asked");
-                assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE));
+                assertTrue(late > 10, late + " requests sent after the drain");
+                assertEquals(List.of(), InvariantCheckingClient.requestsAfterDrain(drains, notifiedAt, GRACE_NANOS));
                 assertEquals(List.of(), client.violations(List.of(stays, drains)));
                 assertTrue(
-                        client.completedRequests().stream().allMatch(a -> a.status() == 200), "a drain cost a request");
+                        client.completedRequests().stream().allMatch(a -> a.status() == 200),
+                        "a request failed during the drain");
             }
         }
     }
--- a/node/src/test/java/weldhitch/node/PackagedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/PackagedNodeIT.java
@@ -15,7 +15,7 @@
 import weldhitch.testkit.ScriptedServer;
 import weldhitch.testkit.TestSupport;
 
-/** Starts the packaged node by the command in the deploy file. */
+/** Tests the packaged node, started by the command in the deploy file. */
 class PackagedNodeIT {
     static ProcessBuilder run() throws Exception {
         String command = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
@@ -53,7 +53,7 @@
                 NodeProcess.hangUp(process);
                 assertEquals("discovery moved address=/127.0.0.1:9", log.readLine());
                 process.destroy();
-                // Connections that still arrive are answered, with Connection: close.
+                // New connections are still accepted; their requests are answered with Connection: close.
                 assertEquals(200, NodeProcess.send(port, NodeHarness.get("2")).status());
                 assertEquals(128 + 15, process.waitFor());
             } finally {
@@ -66,8 +66,8 @@
     }
 
     /**
-     * With a class list that was out of date, 160 classes were read from the jar or generated in a node's first
-     * second, 20 of them before it listened: on a busy machine half of the time to readiness.
+     * Guards against an outdated class list: with one, 160 classes were read from the jar or generated in a node's
+     * first second, 20 of them before it listened, which took half of the time to readiness on a busy machine.
      */
     @Test
     void loadsItsOwnClassesFromItsArchive() throws Exception {
@@ -75,20 +75,20 @@
         try (NodeProcess node =
                 new NodeProcess(run -> run.replaceFirst("java ", "java -Xlog:class+load:file=" + loaded + ":none "))) {
             node.exercise();
-            List<String> elsewhere = Files.readAllLines(loaded).stream()
+            List<String> notArchived = Files.readAllLines(loaded).stream()
                     .filter(l -> !l.contains("source: shared objects file"))
                     .filter(l ->
                             l.startsWith("weldhitch.") || l.startsWith("io.netty.") || l.startsWith("com.fasterxml."))
                     .toList();
-            assertTrue(elsewhere.size() <= 5, "run ClassList anew: " + elsewhere);
+            assertTrue(notArchived.size() <= 5, "not in the archive, run ClassListGenerator again: " + notArchived);
         } finally {
             Files.delete(loaded);
         }
     }
 
     /**
-     * The jar contains what parsing the file needs, and the signal activates a new file, or keeps the last
-     * valid one.
+     * The jar contains the classes that parse the file. SIGHUP activates a valid new file and keeps the last valid one
+     * otherwise.
      */
     @Test
     void readsItsOperatorFileAtStartAndOnSighup() throws Exception {
@@ -101,14 +101,14 @@
             String logLine = node.logLine();
             assertTrue(
                     logLine.startsWith("route config rejected, keeping last valid: " + file
-                            + ":3: error: class.read.attempts: 9 is more than the platform's 4"),
+                            + ":3: error: class.read.attempts: 9 is more than the platform's limit of 4"),
                     logLine);
             assertEquals(200, node.send(NodeHarness.get("still")).status());
             Files.writeString(file, "version = 1\n[class.read]\ntenants = { \"*\" = 0.001 }\n# end\n");
             node.hangUp();
             logLine = node.logLine();
             assertTrue(logLine.startsWith("route config active file=") && logLine.endsWith(" routes=1"), logLine);
-            // The limit is so low that nothing is admitted: the new rules are active.
+            // The limit is so low that no request is admitted, which shows that the new rules are active.
             TestSupport.await(() -> status(node) == 503);
         } finally {
             Files.delete(file);
--- a/node/src/test/java/weldhitch/node/PipelinedInputTest.java
+++ b/node/src/test/java/weldhitch/node/PipelinedInputTest.java
@@ -14,7 +14,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.junit.jupiter.api.Test;
 
-/** The limits of {@link PipelinedInput} and the release of what it reserves. */
+/** Tests the limits of {@link PipelinedInput} and the release of the memory that it reserves. */
 class PipelinedInputTest {
     private static final long ARRIVED_AT = 7;
 
@@ -67,8 +67,8 @@
 
     @Test
     void enqueueAboveTheLimitDiscardsTheMessageAndKeepsTheEarlierOnes() {
-        int fitting = PipelinedInput.MAX_BYTES / PipelinedInput.HEAD_BYTES;
-        for (int i = 0; i < fitting; i++) {
+        int maxHeads = PipelinedInput.MAX_BYTES / PipelinedInput.HEAD_BYTES;
+        for (int i = 0; i < maxHeads; i++) {
             input.enqueue(head(), ARRIVED_AT);
         }
         assertFalse(input.isDiscarding());
--- a/node/src/test/java/weldhitch/node/ResponseBufferTest.java
+++ b/node/src/test/java/weldhitch/node/ResponseBufferTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Test;
 import weldhitch.node.ResponseBuffer.Disposition;
 
-/** When {@link ResponseBuffer} buffers, forwards and gives up a response. */
+/** Tests when {@link ResponseBuffer} buffers a response, forwards it, or reports it as unusable. */
 class ResponseBufferTest {
     private final ResourceLimits limits = new ResourceLimits(1024, 64L << 20);
 
-    private ResponseBuffer buffer(long statedLength) {
+    private ResponseBuffer buffer(long declaredLength) {
         return new ResponseBuffer(
-                new ServerResponse("text/plain", statedLength, new BufferedBody(limits, statedLength)));
+                new ServerResponse("text/plain", declaredLength, new BufferedBody(limits, declaredLength)));
     }
 
     private static ByteBuf bytes(int count) {
@@ -38,7 +38,7 @@
         assertEquals(Disposition.BUFFERED, unsized.add(bytes(ResponseBuffer.MAX_BUFFERED_UNSIZED_BYTES), true));
         ByteBuf next = bytes(1);
         assertEquals(Disposition.FORWARD, unsized.add(next, true));
-        assertEquals(1, next.readableBytes(), "what is forwarded must not have been consumed");
+        assertEquals(1, next.readableBytes(), "the forwarded bytes were consumed");
     }
 
     @Test
--- a/node/src/test/java/weldhitch/node/StartupBenchmark.java
+++ b/node/src/test/java/weldhitch/node/StartupBenchmark.java
@@ -8,39 +8,39 @@
 import weldhitch.testkit.TestConnection;
 
 /**
- * Measures, by hand, the processor time of a packaged node: until it listens, for its first 300 requests and
- * for the next 2,000. The arguments are the options of the virtual machine to try. The command stands in
- * docs/restarts-and-releases.md.
+ * Measures the CPU time of a packaged node until it listens, for its first 300 requests and for the next 2,000; run by
+ * hand. The arguments are additional JVM options to measure. docs/restarts-and-releases.md contains the command.
  */
 final class StartupBenchmark {
     private StartupBenchmark() {}
 
-    /** Runs the measurement with the options given and prints its figures. */
+    /** Runs the measurement with the given options and prints the results. */
     public static void main(String[] args) throws Exception {
         String options = String.join(" ", args);
         List<List<Long>> samples = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         for (int i = 0; i < 7; i++) {
             try (NodeProcess node = new NodeProcess(run -> run.replaceFirst("-jar", options + " -jar"));
-                    TestConnection wire = new TestConnection(new Socket(InetAddress.getLoopbackAddress(), node.port))) {
-                long start = cpuMillis(node);
-                sendRequests(wire, 300, "a");
-                long first = cpuMillis(node);
-                sendRequests(wire, 2000, "b");
-                samples.get(0).add(start);
-                samples.get(1).add(first - start);
-                samples.get(2).add(cpuMillis(node) - first);
+                    TestConnection connection =
+                            new TestConnection(new Socket(InetAddress.getLoopbackAddress(), node.port))) {
+                long cpuAtStart = cpuMillis(node);
+                sendRequests(connection, 300, "a");
+                long cpuAfterFirst = cpuMillis(node);
+                sendRequests(connection, 2000, "b");
+                samples.get(0).add(cpuAtStart);
+                samples.get(1).add(cpuAfterFirst - cpuAtStart);
+                samples.get(2).add(cpuMillis(node) - cpuAfterFirst);
             }
         }
         samples.forEach(Collections::sort);
-        System.out.println("processor ms, median of 7: until it listens "
+        System.out.println("CPU time in ms, median of 7: until the node listens "
                 + samples.get(0).get(3) + ", first 300 requests "
                 + samples.get(1).get(3) + ", next 2000 " + samples.get(2).get(3) + "  " + options);
     }
 
-    private static void sendRequests(TestConnection wire, int count, String idPrefix) throws Exception {
+    private static void sendRequests(TestConnection connection, int count, String idPrefix) throws Exception {
         for (int i = 0; i < count; i++) {
-            wire.write(i % 2 == 0 ? NodeHarness.get(idPrefix + i) : NodeHarness.post(idPrefix + i, "body"));
-            wire.readMessage();
+            connection.write(i % 2 == 0 ? NodeHarness.get(idPrefix + i) : NodeHarness.post(idPrefix + i, "body"));
+            connection.readMessage();
         }
     }
 
--- a/node/src/test/java/weldhitch/node/StreamTest.java
+++ b/node/src/test/java/weldhitch/node/StreamTest.java
@@ -17,7 +17,7 @@
 import weldhitch.testkit.TestConnection;
 import weldhitch.testkit.TestSupport;
 
-/** Long bodies: streamed within memory bounds, and never made to look complete when truncated. */
+/** Tests that long bodies are streamed within memory bounds, and that a truncated body never looks complete. */
 class StreamTest {
     private static byte[] randomBytes(int size) {
         byte[] bytes = new byte[size];
@@ -26,17 +26,17 @@
     }
 
     private static void assertServed(String head, byte[] sent, byte[] expected) throws Exception {
-        ScriptedServer server = new ScriptedServer(wire -> {
-            while (wire.readHead() != null) {
-                wire.write(head);
-                wire.write(sent);
+        ScriptedServer server = new ScriptedServer(connection -> {
+            while (connection.readHead() != null) {
+                connection.write(head);
+                connection.write(sent);
             }
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(feed("1").replace("HTTP/1.1", "HTTP/1.0"));
-            wire.readHead();
-            assertArrayEquals(expected, wire.readToEnd());
+            TestConnection connection = harness.client();
+            connection.write(feed("1").replace("HTTP/1.1", "HTTP/1.0"));
+            connection.readHead();
+            assertArrayEquals(expected, connection.readToEnd());
         }
     }
 
@@ -62,67 +62,68 @@
 
     @Test
     void brokenStreamResetsTheClient() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            wire.write("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
-            wire.write(randomBytes(100_000));
-            seen.await();
-            wire.reset();
+        CountDownLatch partReceived = new CountDownLatch(1);
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
+            connection.write(randomBytes(100_000));
+            partReceived.await();
+            connection.reset();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(feed("1"));
-            assertEquals("1000000", RawHttpMessage.header(wire.readHead(), "content-length"));
-            assertEquals(1000, wire.readBytes(1000).length);
-            seen.countDown();
-            assertThrows(IOException.class, wire::readToEnd, "a reset, as the stream's framing may not show its end");
+            TestConnection connection = harness.client();
+            connection.write(feed("1"));
+            assertEquals("1000000", RawHttpMessage.header(connection.readHead(), "content-length"));
+            assertEquals(1000, connection.readBytes(1000).length);
+            partReceived.countDown();
+            // The framing of a stream may not show that it was truncated, so the connection must be reset.
+            assertThrows(IOException.class, connection::readToEnd, "the truncated stream did not end with a reset");
         }
     }
 
-    /** Regression: buffering a long response of unstated length until its client's timeout has expired. */
+    /** Regression: a long response of unknown length was buffered until its client's timeout had expired. */
     @Test
     void slowResponseOfUnknownLengthIsStreamedBeforeItIsComplete() throws Exception {
-        CountDownLatch seen = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
-            seen.await();
-            wire.write("4\r\nlast\r\n0\r\n\r\n");
+        CountDownLatch partReceived = new CountDownLatch(1);
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n");
+            partReceived.await();
+            connection.write("4\r\nlast\r\n0\r\n\r\n");
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(feed("1"));
-            assertEquals("chunked", RawHttpMessage.header(wire.readHead(), "transfer-encoding"));
-            assertEquals("5\r\nfirst\r\n", new String(wire.readBytes(10)));
-            seen.countDown();
-            assertEquals("4\r\nlast\r\n0\r\n\r\n", new String(wire.readBytes(14)));
+            TestConnection connection = harness.client();
+            connection.write(feed("1"));
+            assertEquals("chunked", RawHttpMessage.header(connection.readHead(), "transfer-encoding"));
+            assertEquals("5\r\nfirst\r\n", new String(connection.readBytes(10)));
+            partReceived.countDown();
+            assertEquals("4\r\nlast\r\n0\r\n\r\n", new String(connection.readBytes(14)));
         }
     }
 
-    /** A client that does not read applies backpressure to the server and does not fill the node's memory. */
+    /** A client that does not read must slow the server down rather than fill the node's memory. */
     @Test
     void slowReaderAppliesBackpressureToTheServer() throws Exception {
         AtomicLong sent = new AtomicLong();
         AtomicLong sentAt = new AtomicLong();
         byte[] body = randomBytes(32 << 20);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            wire.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n");
             for (int at = 0; at < body.length; at += 8192) {
-                wire.write(java.util.Arrays.copyOfRange(body, at, Math.min(body.length, at + 8192)));
+                connection.write(java.util.Arrays.copyOfRange(body, at, Math.min(body.length, at + 8192)));
                 sentAt.set(System.nanoTime());
                 sent.addAndGet(8192);
             }
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(feed("1"));
-            wire.readHead();
-            // Blocked: nothing more could be written for 300 ms.
+            TestConnection connection = harness.client();
+            connection.write(feed("1"));
+            connection.readHead();
+            // The server is blocked once it has not been able to write for 300 ms.
             TestSupport.await(() -> sent.get() > 0 && System.nanoTime() - sentAt.get() > 300_000_000L);
-            assertTrue(sent.get() < body.length, "the node took all of it in for a client that reads nothing");
-            assertArrayEquals(body, wire.readBytes(body.length));
+            assertTrue(sent.get() < body.length, "the complete response was read for a client that does not read");
+            assertArrayEquals(body, connection.readBytes(body.length));
         }
     }
 
@@ -130,44 +131,44 @@
     void longRequestBodyReachesTheServerCompletely() throws Exception {
         byte[] body = randomBytes(3_000_000);
         java.util.concurrent.BlockingQueue<byte[]> received = new java.util.concurrent.LinkedBlockingQueue<>();
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
-            received.add(wire.readBytes(body.length));
-            wire.write(NodeHarness.ok("got"));
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
+            received.add(connection.readBytes(body.length));
+            connection.write(NodeHarness.ok("got"));
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(post("1", "").replace("Length: 0", "Length: " + body.length));
-            wire.write(body);
-            assertEquals("got", wire.readMessage().bodyText());
+            TestConnection connection = harness.client();
+            connection.write(post("1", "").replace("Length: 0", "Length: " + body.length));
+            connection.write(body);
+            assertEquals("got", connection.readMessage().bodyText());
             assertArrayEquals(body, received.take());
         }
     }
 
     /**
-     * A request whose last byte has not left the node has not been executed: it is rejected, so that it may be
-     * retried.
+     * A request whose last byte has not been written has not been executed. It is rejected, so that its client may
+     * retry it.
      */
     @Test
     void requestNotFullyWrittenInTimeIsRejected() throws Exception {
         byte[] body = randomBytes(24 << 20);
         CountDownLatch finished = new CountDownLatch(1);
-        ScriptedServer server = new ScriptedServer(wire -> {
-            wire.readHead();
+        ScriptedServer server = new ScriptedServer(connection -> {
+            connection.readHead();
             finished.await();
         });
         try (NodeHarness harness = NodeHarness.start(server)) {
-            TestConnection wire = harness.client();
-            wire.write(
+            TestConnection connection = harness.client();
+            connection.write(
                     post("1", "").replace("Length: 0", "Length: " + body.length).replace("8.000", "0.500"));
-            wire.write(body);
-            assertEquals(503, wire.readMessage().status());
+            connection.write(body);
+            assertEquals(503, connection.readMessage().status());
             finished.countDown();
         }
     }
 
     /**
-     * Regression: ending a body twice if writing one chunk makes the channel writable again within the write.
+     * Regression: a body was ended twice if writing one chunk made the channel writable again within the write.
      */
     @Test
     void bodyOfAFewChunksIsEndedOnce() throws Exception {
@@ -186,9 +187,9 @@
         ResourceLimits limits = new ResourceLimits(1024, 2 << 20);
         BufferedBody big = new BufferedBody(limits, -1);
         io.netty.buffer.ByteBuf more = io.netty.buffer.Unpooled.wrappedBuffer(new byte[1 << 20]);
-        assertTrue(!big.add(more), "a body took more than the budget has for long ones");
+        assertTrue(!big.add(more), "a long body reserved more than its share of the memory limit");
         BufferedBody small = new BufferedBody(limits, 100);
-        assertTrue(small.add(io.netty.buffer.Unpooled.wrappedBuffer(new byte[100])), "no room kept for small ones");
+        assertTrue(small.add(io.netty.buffer.Unpooled.wrappedBuffer(new byte[100])), "no memory left for short bodies");
         big.release();
         small.release();
         assertEquals(0, limits.reservedBytes());
--- a/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
+++ b/node/src/test/java/weldhitch/node/SuspendedNodeIT.java
@@ -27,31 +27,31 @@
 import weldhitch.testkit.TestSupport;
 
 /**
- * Incident of 2 December 2026: requests were forwarded after their clients had disconnected.
+ * Tests that a node that was suspended neither acts on an outdated state of its sockets nor counts deadlines from the
+ * late time at which it read a request.
  *
- * <p>Seen: within the first second of a node's traffic, clients that wait about 200 ms sent requests and closed
- * their connections; 356 to 831 ms after the requests the node forwarded them, some twice.
- *
- * <p>How it came about: the node did not run for that long. A request and the close behind it waited in the
- * socket; one read returned the request alone, and it was forwarded before the next poll showed the close. Its
- * deadline, counted from the read, lay ahead.
- *
- * <p>Cause: the node acted on what it had last seen of a socket, at times it had read late. Proof: in 24 of 25
- * recorded requests the forwarding is later than twice the client's wait after the sending, so the read that
- * began the deadline came after the close; the second attempt of the 25th shows the same. Here the node is
- * suspended across the close, and the same happens each time.
+ * <p>Guards against this failure: clients that wait about 200 ms sent requests and closed their connections, and the
+ * node forwarded the requests 356 to 831 ms after they were sent, some of them twice. The node had not run for that
+ * long. A request and the close behind it were both waiting in the socket; one read returned the request alone, and
+ * the node forwarded it before the next poll reported the close. The deadline, counted from the read, had not passed.
+ * The tests suspend the node across the close, which reproduces the failure each time.
  */
 class SuspendedNodeIT {
     private static final long CLIENT_TIMEOUT_MILLIS = 200;
-    /** Longer than a client may be ahead of the node's view of it: the invariant allows 100 ms. */
-    private static final long SUSPENDED_AFTER_DEPARTURE_MILLIS = 300;
+    /**
+     * How long the node stays suspended after the client has disconnected, in milliseconds. Longer than the 100 ms by
+     * which the invariant allows the node's view of a client to lag.
+     */
+    private static final long SUSPENDED_AFTER_DISCONNECT_MILLIS = 300;
 
+    /** Time that the resumed node gets to send something that it must not send, in milliseconds. */
     private static final long SETTLE_MILLIS = 300;
+
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    /** By how much the remaining time that a server is told may exceed what the client has left. */
-    private static final double STATED_TIMEOUT_SLACK_SECONDS = 0.15;
+    /** Amount by which the timeout that a server receives may exceed the time that its client still waits. */
+    private static final double DEADLINE_TOLERANCE_SECONDS = 0.15;
 
-    /** How a peer ends a connection. */
+    /** Ways in which a peer ends a connection. */
     enum Ending {
         CLOSE,
         RESET;
@@ -65,7 +65,7 @@
         }
     }
 
-    private static void elapse(long millis) {
+    private static void waitMillis(long millis) {
         long startedAt = System.nanoTime();
         TestSupport.await(() -> System.nanoTime() - startedAt > millis * NANOS_PER_MILLI);
     }
@@ -80,7 +80,7 @@
         return new NodeProcess(UnaryOperator.identity(), customize.apply(config).getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String impatient(String request) {
+    private static String withShortTimeout(String request) {
         return request.replace("X-Expires-In: 8.000", "X-Expires-In: 0." + CLIENT_TIMEOUT_MILLIS);
     }
 
@@ -95,7 +95,7 @@
         return ids;
     }
 
-    /** The incident: on new connections and on reused ones, safe requests and unsafe ones, closes and resets. */
+    /** Covers new and reused connections, idempotent and non-idempotent requests, and closes and resets. */
     @ParameterizedTest
     @CsvSource({"false, CLOSE", "false, RESET", "true, CLOSE", "true, RESET"})
     void requestOfADisconnectedClientIsNotForwarded(boolean reusedConnections, Ending ending) throws Exception {
@@ -114,23 +114,23 @@
             for (int i = 0; i < clients; i++) {
                 TestConnection connection = reusedConnections ? connections.get(i) : node.connect();
                 connections.set(i, connection);
-                connection.write(impatient(i % 2 == 0 ? get("left-" + i) : post("left-" + i, "body")));
+                connection.write(withShortTimeout(i % 2 == 0 ? get("left-" + i) : post("left-" + i, "body")));
             }
-            elapse(CLIENT_TIMEOUT_MILLIS);
+            waitMillis(CLIENT_TIMEOUT_MILLIS);
             for (TestConnection connection : connections) {
                 ending.apply(connection);
             }
-            elapse(SUSPENDED_AFTER_DEPARTURE_MILLIS);
+            waitMillis(SUSPENDED_AFTER_DISCONNECT_MILLIS);
             node.resume();
             assertEquals(200, node.send(get("after")).status());
-            elapse(SETTLE_MILLIS);
+            waitMillis(SETTLE_MILLIS);
             assertEquals(List.of(), receivedIds("left", server));
         }
     }
 
     /**
-     * A server rejects the first attempt, and then the client disconnects, both while the node is suspended. An
-     * idle connection to the other server is at hand.
+     * A server rejects the first attempt, and then the client disconnects, both while the node is suspended. An idle
+     * connection to the other server is available.
      */
     @ParameterizedTest
     @EnumSource(Ending.class)
@@ -154,18 +154,18 @@
                 client.write(get("left"));
                 TestSupport.await(() -> !receivedIds("left", first, second).isEmpty());
                 node.suspend();
-                // The rejection arrives first, so that the node sees it before the close.
-                elapse(CLIENT_TIMEOUT_MILLIS);
+                // The rejection arrives first, so that the node reads it before the close.
+                waitMillis(CLIENT_TIMEOUT_MILLIS);
                 ending.apply(client);
-                elapse(SUSPENDED_AFTER_DEPARTURE_MILLIS);
+                waitMillis(SUSPENDED_AFTER_DISCONNECT_MILLIS);
                 node.resume();
-                elapse(SETTLE_MILLIS);
+                waitMillis(SETTLE_MILLIS);
                 assertEquals(List.of("left"), receivedIds("left", first, second));
             }
         }
     }
 
-    /** A connect succeeds, and the client disconnects, both while the node is suspended. */
+    /** A connect succeeds and then the client disconnects, both while the node is suspended. */
     @Test
     void connectThatSucceedsAfterItsClientDisconnectedCarriesNoRequest() throws Exception {
         try (StalledListener stalled = new StalledListener();
@@ -180,23 +180,23 @@
             node.suspend();
             TestConnection late = stalled.release();
             Ending.CLOSE.apply(client);
-            elapse(SUSPENDED_AFTER_DEPARTURE_MILLIS);
+            waitMillis(SUSPENDED_AFTER_DISCONNECT_MILLIS);
             node.resume();
             assertTrue(late.isClosedByPeer(), "a request was sent for a client that had disconnected");
         }
     }
 
     /**
-     * The same cause, another rule: what a server is told of the remaining time is what the client has left,
-     * whenever the request was read.
+     * The remaining time that the node sends to a server must not exceed the time that the client still waits, however
+     * late the node read the request.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void remainingTimeExcludesTheTimeBeforeTheRequestWasRead(boolean reusedConnection) throws Exception {
         double timeoutSeconds = 2;
-        Map<String, Double> statedExpiry = new ConcurrentHashMap<>();
+        Map<String, Double> serverDeadline = new ConcurrentHashMap<>();
         ScriptedServer server = ScriptedServer.respondingWith(m -> {
-            statedExpiry.put(
+            serverDeadline.put(
                     m.header("x-trace-id"), System.nanoTime() / 1e9 + Double.parseDouble(m.header("x-expires-in")));
             return ok("x");
         });
@@ -209,20 +209,20 @@
             node.suspend();
             TestConnection client = reusedConnection ? reused : node.connect();
             client.write(post("patient", "body").replace("8.000", Double.toString(timeoutSeconds)));
-            double clientWaitsUntil = System.nanoTime() / 1e9 + timeoutSeconds;
-            elapse(500);
+            double clientDeadline = System.nanoTime() / 1e9 + timeoutSeconds;
+            waitMillis(500);
             node.resume();
             assertEquals(200, client.readMessage().status());
             assertTrue(
-                    statedExpiry.get("patient") <= clientWaitsUntil + STATED_TIMEOUT_SLACK_SECONDS,
-                    "told " + (statedExpiry.get("patient") - clientWaitsUntil) + " s more than the client waits");
+                    serverDeadline.get("patient") <= clientDeadline + DEADLINE_TOLERANCE_SECONDS,
+                    "server deadline is " + (serverDeadline.get("patient") - clientDeadline) + " s after the client's");
         }
     }
 
     /**
-     * The same cause, another rule: the process is killed 3.7 s after SIGTERM was sent, whenever the node handles
-     * it, and has answered by then. Half a second more is granted to a noisy machine; suspended for longer than that,
-     * a node that counts from when it handles the signal is later.
+     * The process is killed 3.7 s after SIGTERM was sent, however late the node handles the signal, so the node must
+     * have answered by then. The test allows half a second more for a busy machine. The node is suspended for longer
+     * than that, so a node that counts from the handling of the signal answers too late.
      */
     @Test
     void shutdownCountsFromWhenTheSignalWasSent() throws Exception {
@@ -235,7 +235,7 @@
             node.suspend();
             long signalledAt = System.nanoTime();
             node.terminate();
-            elapse(1200);
+            waitMillis(1200);
             node.resume();
             assertEquals(504, client.readMessage().status());
             long answeredAfterMillis = (System.nanoTime() - signalledAt) / NANOS_PER_MILLI;
@@ -243,15 +243,15 @@
         }
     }
 
-    /** A pipelined request waits behind the one before it, and its client's time passes meanwhile. */
+    /** A pipelined request waits behind the previous one, and its client's timeout runs meanwhile. */
     @Test
     void remainingTimeOfAPipelinedRequestCountsFromItsArrival() throws Exception {
-        Map<String, Double> statedExpiry = new ConcurrentHashMap<>();
+        Map<String, Double> serverDeadline = new ConcurrentHashMap<>();
         ScriptedServer server = ScriptedServer.respondingWith(m -> {
-            statedExpiry.put(
+            serverDeadline.put(
                     m.header("x-trace-id"), System.nanoTime() / 1e9 + Double.parseDouble(m.header("x-expires-in")));
             if (m.header("x-trace-id").equals("first")) {
-                elapse(500);
+                waitMillis(500);
             }
             return ok("x");
         });
@@ -259,18 +259,18 @@
                 NodeHarness harness = NodeHarness.start(server);
                 TestConnection client = harness.client()) {
             client.write(get("first") + post("second", "body").replace("8.000", "2.000"));
-            double clientWaitsUntil = System.nanoTime() / 1e9 + 2;
+            double clientDeadline = System.nanoTime() / 1e9 + 2;
             assertEquals(200, client.readMessage().status());
             assertEquals(200, client.readMessage().status());
             assertTrue(
-                    statedExpiry.get("second") <= clientWaitsUntil + STATED_TIMEOUT_SLACK_SECONDS,
-                    "told " + (statedExpiry.get("second") - clientWaitsUntil) + " s more than the client waits");
+                    serverDeadline.get("second") <= clientDeadline + DEADLINE_TOLERANCE_SECONDS,
+                    "server deadline is " + (serverDeadline.get("second") - clientDeadline) + " s after the client's");
         }
     }
 
     /**
-     * The same cause, upstream: an idle server connection ended while the node was suspended, or carries bytes
-     * that answer nothing. The request that comes next is served on another connection.
+     * An idle server connection was closed while the node was suspended, or received bytes that belong to no
+     * request. The next request must be served on another connection.
      */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset", "stray response"})
@@ -284,14 +284,14 @@
             assertEquals(200, client.readMessage().status());
             TestConnection idle = server.nextConnection();
             node.suspend();
-            // The request arrives first, so that the node sees it before the change.
+            // The request arrives first, so that the node reads it before the change.
             client.write(post("next", "body"));
             switch (change) {
                 case "close" -> idle.close();
                 case "reset" -> idle.reset();
                 default -> idle.write(ok("stray"));
             }
-            elapse(20);
+            waitMillis(20);
             node.resume();
             RawHttpMessage response = client.readMessage();
             assertEquals(200, response.status());
--- a/simulator/src/main/java/weldhitch/simulator/coldstart/DiscoveryService.java
+++ b/simulator/src/main/java/weldhitch/simulator/coldstart/DiscoveryService.java
@@ -6,9 +6,9 @@
 import weldhitch.simulator.cluster.EventScheduler;
 
 /**
- * A discovery service of fixed capacity: answers polls one after another, also those whose callers have given
- * up, and rejects polls that find the queue full. While it is down, connections are refused or, in a network
- * outage, nothing answers at all. Single-threaded, on the event scheduler.
+ * A discovery service of fixed capacity. It answers polls one after another, even those that the node has
+ * abandoned, and rejects polls that find the queue full. While it is down, connections are refused or, in a
+ * network outage, nothing responds at all. Single-threaded, on the event scheduler.
  */
 final class DiscoveryService {
     /** The result of one poll. */
@@ -19,13 +19,14 @@
         CONNECTION_FAILED
     }
 
-    /** Receives the result of a poll; never called if the service went silent meanwhile. */
+    /** Receives the result of a poll; never called if the service has become silent meanwhile. */
     interface PollCallback {
         void onResult(PollResult result);
     }
 
     /**
-     * How it fails while it is down: connections are refused, or new ones time out and open ones stay silent.
+     * How the service fails while it is down: connections are refused, or new ones time out and open ones stay
+     * silent.
      */
     enum OutageMode {
         REFUSES_CONNECTIONS,
@@ -38,16 +39,16 @@
     /**
      * The capacity of the service. Immutable.
      *
-     * @param pollCostNanos work of one poll in nanoseconds
-     * @param lineCostNanos work of one line of an answer in nanoseconds
-     * @param maxQueueLength polls that can be queued; further ones are rejected
+     * @param pollCostNanos time for handling one poll, in nanoseconds
+     * @param lineCostNanos time for writing one line of a response, in nanoseconds
+     * @param maxQueueLength number of polls that can be queued; further ones are rejected
      */
     record Capacity(long pollCostNanos, long lineCostNanos, int maxQueueLength) {}
 
     /**
      * A poll that is queued or waits for an update.
      *
-     * @param fullList whether it asks for the complete list
+     * @param fullList whether it requests the complete list
      * @param watchNanos nanoseconds that it may wait for an update; 0 for not at all
      */
     private record PendingPoll(boolean fullList, long watchNanos, PollCallback callback) {}
@@ -61,9 +62,9 @@
     private boolean available = true;
     private boolean busy;
     private long generation;
-    /** Polls by tenth of a second since the start. */
+    /** Number of polls in each tenth of a second since the start. */
     final BucketedCounter polls = new BucketedCounter();
-    /** Lines written by tenth of a second since the start. */
+    /** Number of lines written in each tenth of a second since the start. */
     final BucketedCounter linesWritten = new BucketedCounter();
 
     int peakQueueLength;
@@ -76,7 +77,8 @@
     }
 
     /**
-     * Drops every open poll, with an error unless the outage is silent; until {@link #endOutage} none is answered.
+     * Starts an outage: drops every open poll, with an error unless the outage is silent. No poll is answered until
+     * {@link #endOutage}.
      */
     void startOutage() {
         available = false;
@@ -91,12 +93,12 @@
         }
     }
 
-    /** Answers polls again. */
+    /** Ends the outage: polls are answered again. */
     void endOutage() {
         available = true;
     }
 
-    /** The list changes: every waiting poll is answered, one after the other. */
+    /** Publishes a change of the list: every waiting poll is answered, one after the other. */
     void publishChange() {
         List<PendingPoll> notified = new ArrayList<>(watches);
         watches.clear();
@@ -107,7 +109,7 @@
     /**
      * Handles a poll.
      *
-     * @param fullList whether it asks for the complete list
+     * @param fullList whether it requests the complete list
      * @param watchNanos nanoseconds that it may wait for an update; 0 for not at all
      */
     void poll(boolean fullList, long watchNanos, PollCallback callback) {
--- a/simulator/src/main/java/weldhitch/simulator/whatif/UnservedRequests.java
+++ b/simulator/src/main/java/weldhitch/simulator/whatif/UnservedRequests.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * The times at which requests of each class ended unserved, added in order of time. Not thread-safe; times are
+ * The times at which requests of each class ended unserved, added in order of time. Not thread-safe. Times are in
  * nanoseconds.
  */
 final class UnservedRequests {
@@ -19,7 +19,8 @@
     }
 
     /**
-     * How many there were in the second up to this time: the requests whose retries arrive now are among them.
+     * Counts the requests that ended unserved in the second before this time, inclusive. They include the requests
+     * whose retries arrive at this time.
      */
     int countInLastSecond(String requestClass, long at) {
         List<Long> times = timesByClass.getOrDefault(String.valueOf(requestClass), List.of());
