--- a/client/src/test/java/weldhitch/client/WeldhitchClientTest.java
+++ b/client/src/test/java/weldhitch/client/WeldhitchClientTest.java
@@ -157,7 +157,11 @@
             CompletableFuture<Response> response = client.sendAsync(Request.nonIdempotent("book-visit", BODY));
             switch (change) {
                 case "close" -> idle.close();
-                case "reset" -> idle.reset();
+                case "reset" -> {
+                    idle.reset();
+                    // The socket is closed, and the reset sent, only when the handler's blocked read has returned.
+                    TestSupport.await(() -> node.activeHandlers() == 0);
+                }
                 default -> idle.write(ok("stray"));
             }
             loopReleased.countDown();
